--- a/packages/wagtailroute-dispatch/src/__tests__/unit/advertisements.test.ts
+++ b/packages/wagtailroute-dispatch/src/__tests__/unit/advertisements.test.ts
@@ -17,14 +17,14 @@
 const DRAINING: core.Advertisement = {kind: 'draining'};
 
 const listGranted = (effects: readonly dispatch.Effect[]) => effects.filter(effect => effect.kind === 'grant').map(({upstream}) => upstream);
-const listRefused = (effects: readonly dispatch.Effect[]) => effects.filter(effect => effect.kind === 'refuse').map(({ask, reason}) => [ask.id, reason]);
+const listRefused = (effects: readonly dispatch.Effect[]) => effects.filter(effect => effect.kind === 'refuse').map(({request: ask, reason}) => [ask.id, reason]);
 
 /**
 A host's request is shed, and the answer advertises something.
 */
 function advertise(dispatcher: dispatch.Dispatcher, host: core.HostId, advertisement: core.Advertisement, now: number): readonly dispatch.Effect[] {
 	const id = `${host}-told`;
-	const granted = dispatcher.ask(createAsk(id, {host}), now);
+	const granted = dispatcher.requestSlot(createAsk(id, {host}), now);
 	const recorded = dispatcher.recordAdvertisements(id, [advertisement], now);
 	return [...granted, ...recorded, ...dispatcher.end(id, {ending: 'shed', milliseconds: 1}, now)];
 }
@@ -63,7 +63,7 @@
 			const second = createDispatcher([createCandidate('u')]);
 			second.applyUpdates(SERVICE, first.listUpdates(0).get(SERVICE) ?? [], 0);
 			const asked = isReported ? second : first;
-			const effects = asked.ask(createAsk('next', {host, remainingMilliseconds: 1000, objectiveMilliseconds: 100}), now);
+			const effects = asked.requestSlot(createAsk('next', {host, remainingMilliseconds: 1000, objectiveMilliseconds: 100}), now);
 			t.deepEqual(listGranted(effects), isGranted ? ['u'] : []);
 			t.is(listRefused(effects).length, isGranted ? 0 : 1, 'what is not granted is refused at once');
 		});
@@ -74,24 +74,24 @@
 	const dispatcher = createDispatcher([createCandidate('u')]);
 	advertise(dispatcher, 'a', DRAINING, 0);
 	dispatcher.setCandidates(SERVICE, [createCandidate('u', {slots: 4})], 1000);
-	t.deepEqual(listGranted(dispatcher.ask(createAsk('next'), 1000)), []);
+	t.deepEqual(listGranted(dispatcher.requestSlot(createAsk('next'), 1000)), []);
 	t.true(dispatcher.report(SERVICE, 1000)[0]?.isDraining);
 });
 
 test('a success of a request that was sent before does not end a backoff', t => {
 	const dispatcher = createDispatcher([createCandidate('u')]);
-	dispatcher.ask(createAsk('early', {host: 'a'}), 0);
+	dispatcher.requestSlot(createAsk('early', {host: 'a'}), 0);
 	advertise(dispatcher, 'a', BACKOFF, 10);
 	dispatcher.end('early', {ending: 'success', milliseconds: 100}, 110);
-	t.deepEqual(listGranted(dispatcher.ask(createAsk('next', {host: 'a'}), 1000)), []);
+	t.deepEqual(listGranted(dispatcher.requestSlot(createAsk('next', {host: 'a'}), 1000)), []);
 });
 
 test('a second answer never shortens a backoff', t => {
 	const dispatcher = createDispatcher([createCandidate('u')]);
-	dispatcher.ask(createAsk('other', {host: 'a'}), 0);
+	dispatcher.requestSlot(createAsk('other', {host: 'a'}), 0);
 	advertise(dispatcher, 'a', BACKOFF, 0);
 	dispatcher.recordAdvertisements('other', [{kind: 'backoff', milliseconds: 500}], 100);
-	t.deepEqual(listGranted(dispatcher.ask(createAsk('next', {host: 'a'}), 1900)), []);
+	t.deepEqual(listGranted(dispatcher.requestSlot(createAsk('next', {host: 'a'}), 1900)), []);
 });
 
 test('peers receive once that an upstream leaves, and nothing of backoffs', t => {
@@ -114,8 +114,8 @@
 	test(`a request that waits ${name}`, t => {
 		// Guards against callers that wait until their deadline for upstreams that take nothing more.
 		const dispatcher = createDispatcher([createCandidate('u', {slots: 1})]);
-		dispatcher.ask(createAsk('held', {host: 'a'}), 0);
-		t.deepEqual(dispatcher.ask(createAsk('waiting', {host: 'a'}), 1), []);
+		dispatcher.requestSlot(createAsk('held', {host: 'a'}), 0);
+		t.deepEqual(dispatcher.requestSlot(createAsk('waiting', {host: 'a'}), 1), []);
 		const effects = dispatcher.recordAdvertisements('held', [advertisement], 2);
 		t.deepEqual(listRefused(effects), isRefused ? [['waiting', 'no-upstream']] : []);
 		dispatcher.end('held', {ending: 'shed', milliseconds: 1}, 2);
@@ -159,7 +159,7 @@
 				continue;
 			}
 
-			const {ask: {id, host}, upstream} = effect;
+			const {request: {id, host}, upstream} = effect;
 			broken.push(...(closedUntil.get(`${host} ${upstream}`) ?? 0) > now ? [`${id} at ${upstream}`] : []);
 			ends.push({
 				at: now + 10 + (random() * 200), id, host, upstream,
@@ -197,7 +197,7 @@
 			const ask = createAsk(`${step}-${request}`, {
 				host, requestClass, isResend: isMove || random() < 0.2, isMove,
 			});
-			grant(dispatcher.ask(ask, now), now);
+			grant(dispatcher.requestSlot(ask, now), now);
 		}
 
 		grant(dispatcher.tick(now), now);
--- a/packages/wagtailroute-dispatch/src/__tests__/unit/dispatcher.test.ts
+++ b/packages/wagtailroute-dispatch/src/__tests__/unit/dispatcher.test.ts
@@ -18,7 +18,7 @@
 type ChoiceCase = {
 	readonly name: string;
 	readonly candidates: readonly dispatch.Candidate[];
-	readonly ask?: Partial<dispatch.Ask>;
+	readonly ask?: Partial<dispatch.SlotRequest>;
 	readonly granted: string | undefined;
 };
 
@@ -36,7 +36,7 @@
 
 for (const {name, candidates, ask, granted} of CHOICES) {
 	test(`grants ${name}`, t => {
-		const effects = createDispatcher(candidates).ask(createAsk('1', ask), 0);
+		const effects = createDispatcher(candidates).requestSlot(createAsk('1', ask), 0);
 		t.is(getGrant(effects)?.upstream, granted);
 		t.is(getRefusal(effects)?.reason, granted === undefined ? 'no-upstream' : undefined);
 	});
@@ -44,11 +44,11 @@
 
 test('an ask waits for the next slot, and the more urgent one comes first', t => {
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 1})]);
-	dispatcher.ask(createAsk('1'), 0);
-	t.deepEqual(dispatcher.ask(createAsk('2'), 1), []);
-	t.deepEqual(dispatcher.ask(createAsk('3', {priority: 0}), 2), []);
+	dispatcher.requestSlot(createAsk('1'), 0);
+	t.deepEqual(dispatcher.requestSlot(createAsk('2'), 1), []);
+	t.deepEqual(dispatcher.requestSlot(createAsk('3', {priority: 0}), 2), []);
 	const effects = dispatcher.end('1', {ending: 'success', milliseconds: 100}, 100);
-	t.deepEqual(effects.map(effect => effect.kind === 'grant' ? effect.ask.id : effect.kind), ['3']);
+	t.deepEqual(effects.map(effect => effect.kind === 'grant' ? effect.request.id : effect.kind), ['3']);
 });
 
 test('who can be answered within the objective comes before who can not any more', t => {
@@ -56,12 +56,12 @@
 	// Sequence: all who waited meanwhile come back together; those who come now stand behind them, and are late in their turn.
 	// Cause: who came first was served first, whether or not that was of use.
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 1})]);
-	dispatcher.ask(createAsk('under-way'), 0);
-	dispatcher.ask(createAsk('back', {waitedMilliseconds: 2000}), 1);
-	dispatcher.ask(createAsk('new'), 2);
+	dispatcher.requestSlot(createAsk('under-way'), 0);
+	dispatcher.requestSlot(createAsk('back', {waitedMilliseconds: 2000}), 1);
+	dispatcher.requestSlot(createAsk('new'), 2);
 	const granted = getGrant(dispatcher.end('under-way', {ending: 'success', milliseconds: 200}, 200));
-	t.is(granted?.ask.id, 'new');
-	t.is(getGrant(dispatcher.end('new', {ending: 'success', milliseconds: 200}, 400))?.ask.id, 'back');
+	t.is(granted?.request.id, 'new');
+	t.is(getGrant(dispatcher.end('new', {ending: 'success', milliseconds: 200}, 400))?.request.id, 'back');
 });
 
 const TRIAL_CASES = [
@@ -77,18 +77,18 @@
 		const others = ['b', 'c', 'd', 'e'];
 		const dispatcher = createDispatcher(['a', ...others].map(upstream => createCandidate(upstream, {slots: 1})));
 		for (const id of ['bad-1', 'bad-2']) {
-			dispatcher.ask(createAsk(id, {excluded: others}), 0);
+			dispatcher.requestSlot(createAsk(id, {excluded: others}), 0);
 			dispatcher.end(id, {ending: 'error', milliseconds: 10}, 0);
 		}
 
 		let triedAt = Infinity;
 		for (let now = 50; triedAt === Infinity && now < 10_000; now += 50) {
 			const id = String(now);
-			const effects = [...dispatcher.tick(now), ...dispatcher.ask(createAsk(id, {remainingMilliseconds: 400}), now)];
+			const effects = [...dispatcher.tick(now), ...dispatcher.requestSlot(createAsk(id, {remainingMilliseconds: 400}), now)];
 			triedAt = effects.some(effect => effect.kind === 'grant' && effect.upstream === 'a') ? now : triedAt;
 			for (const effect of effects) {
 				if (!isFull && effect.kind === 'grant') {
-					dispatcher.end(effect.ask.id, {ending: 'success', milliseconds: 10}, now);
+					dispatcher.end(effect.request.id, {ending: 'success', milliseconds: 10}, now);
 				}
 			}
 		}
@@ -139,14 +139,14 @@
 		const others = ['b', 'c', 'd', 'e', 'f', 'g'];
 		const dispatcher = createDispatcher(['a', ...others].map(upstream => createCandidate(upstream)));
 		for (let error = 0; error < errors; error++) {
-			dispatcher.ask(createAsk(`bad-${error}`, {excluded: others}), 0);
+			dispatcher.requestSlot(createAsk(`bad-${error}`, {excluded: others}), 0);
 			dispatcher.end(`bad-${error}`, {ending: 'error', milliseconds: 10}, 0);
 		}
 
 		let failedAt = 0;
 		const times: number[] = [];
 		for (let now = 20; times.length < tried.length && now < 20_000; now += 20) {
-			const granted = getGrant(dispatcher.ask(createAsk(String(now)), now));
+			const granted = getGrant(dispatcher.requestSlot(createAsk(String(now)), now));
 			const isTried = granted?.upstream === 'a';
 			if (isTried) {
 				times.push(now - failedAt);
@@ -184,7 +184,7 @@
 		const others = ['b', 'c', 'd'];
 		const dispatcher = createDispatcher([createCandidate('a', {isSilent}), ...others.map(upstream => createCandidate(upstream))]);
 		const fail = (upstream: string, id: string) => {
-			dispatcher.ask(createAsk(id, {excluded: ['a', ...others].filter(other => other !== upstream)}), 0);
+			dispatcher.requestSlot(createAsk(id, {excluded: ['a', ...others].filter(other => other !== upstream)}), 0);
 			dispatcher.end(id, {ending: 'error', milliseconds: 10}, 0);
 		};
 
@@ -192,14 +192,14 @@
 			fail('a', `a-${error}`);
 		}
 
-		t.deepEqual(dispatcher.listIdle(SERVICE, 2500), [], 'too few failures');
+		t.deepEqual(dispatcher.listIdleUpstreams(SERVICE, 2500), [], 'too few failures');
 		for (const other of others) {
 			fail(other, other);
 		}
 
-		t.deepEqual(dispatcher.listIdle(SERVICE, 1500), [], 'all got requests lately');
-		t.is(dispatcher.listIdle(SERVICE, 2500).find(({upstream}) => upstream === 'a')?.cause, cause);
-		t.deepEqual(dispatcher.listIdle(SERVICE, 5000), [], 'no failures lately');
+		t.deepEqual(dispatcher.listIdleUpstreams(SERVICE, 1500), [], 'all got requests lately');
+		t.is(dispatcher.listIdleUpstreams(SERVICE, 2500).find(({upstream}) => upstream === 'a')?.cause, cause);
+		t.deepEqual(dispatcher.listIdleUpstreams(SERVICE, 5000), [], 'no failures lately');
 	});
 }
 
@@ -209,13 +209,13 @@
 	const dispatcher = createDispatcher(['a', ...others].map(upstream => createCandidate(upstream, {slots: 50})));
 	for (const upstream of ['a', 'a', ...others]) {
 		const id = `${upstream}-failed`;
-		dispatcher.ask(createAsk(id, {excluded: ['a', ...others].filter(other => other !== upstream)}), 0);
+		dispatcher.requestSlot(createAsk(id, {excluded: ['a', ...others].filter(other => other !== upstream)}), 0);
 		dispatcher.end(id, {ending: 'error', milliseconds: 10}, 0);
 	}
 
-	dispatcher.ask(createAsk('read', {requestClass: 'read', excluded: ['a']}), 100);
-	t.not(getGrant(dispatcher.ask(createAsk('unrepeatable'), 2000))?.upstream, 'a');
-	t.is(getGrant(dispatcher.ask(createAsk('read-again', {requestClass: 'read'}), 2100))?.upstream, 'a');
+	dispatcher.requestSlot(createAsk('read', {requestClass: 'read', excluded: ['a']}), 100);
+	t.not(getGrant(dispatcher.requestSlot(createAsk('unrepeatable'), 2000))?.upstream, 'a');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('read-again', {requestClass: 'read'}), 2100))?.upstream, 'a');
 });
 
 test('a request that was asked for at another dispatcher before earns no resends here', t => {
@@ -223,15 +223,15 @@
 	// counts the request too; under overload each counted request is worth a fifth of a resend. Cause: one request counts once for each dispatcher.
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 100})], {budget: {ratio: 0.2, extra: 0, windowMilliseconds: 10_000}});
 	for (let ask = 0; ask < 50; ask++) {
-		dispatcher.ask(createAsk(String(ask), {isAgain: true}), 0);
+		dispatcher.requestSlot(createAsk(String(ask), {isAgain: true}), 0);
 	}
 
-	t.is(getRefusal(dispatcher.ask(createAsk('resend', {isResend: true}), 1))?.reason, 'budget');
+	t.is(getRefusal(dispatcher.requestSlot(createAsk('resend', {isResend: true}), 1))?.reason, 'budget');
 	for (let ask = 50; ask < 60; ask++) {
-		dispatcher.ask(createAsk(String(ask)), 2);
+		dispatcher.requestSlot(createAsk(String(ask)), 2);
 	}
 
-	t.truthy(getGrant(dispatcher.ask(createAsk('resend', {isResend: true}), 3)));
+	t.truthy(getGrant(dispatcher.requestSlot(createAsk('resend', {isResend: true}), 3)));
 });
 
 test('with little traffic no upstream goes without a request for two seconds', t => {
@@ -249,7 +249,7 @@
 		}
 
 		const ask = createAsk(String(turn), {requestClass: turn % 5 < 2 ? 'read' : 'non-idempotent'});
-		const granted = getGrant(dispatcher.ask(ask, now))!.upstream;
+		const granted = getGrant(dispatcher.requestSlot(ask, now))!.upstream;
 		longest = now < 4000 ? 0 : Math.max(longest, now - startedAt.get(granted)!);
 		startedAt.set(granted, now);
 	}
@@ -260,12 +260,12 @@
 
 test('an ask that cannot be served in time is refused at once, with the time to come back', t => {
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 1})]);
-	dispatcher.ask(createAsk('1'), 0);
+	dispatcher.requestSlot(createAsk('1'), 0);
 	for (let ask = 2; ask < 9; ask++) {
-		dispatcher.ask(createAsk(String(ask)), 0);
+		dispatcher.requestSlot(createAsk(String(ask)), 0);
 	}
 
-	const refusal = getRefusal(dispatcher.ask(createAsk('9'), 0));
+	const refusal = getRefusal(dispatcher.requestSlot(createAsk('9'), 0));
 	t.is(refusal?.reason, 'no-slot-in-time');
 	t.true((refusal?.retryAfterMilliseconds ?? 0) >= 100 && (refusal?.retryAfterMilliseconds ?? 0) <= 2000 / 3);
 });
@@ -287,26 +287,26 @@
 		const dispatcher = createDispatcher([createCandidate('a', {slots: 1})]);
 		// One under way and two that wait, of a quarter of the objective each.
 		for (let count = 0; count < 3; count++) {
-			dispatcher.ask(createAsk(`before-${count}`), 0);
+			dispatcher.requestSlot(createAsk(`before-${count}`), 0);
 		}
 
-		t.is(getRefusal(dispatcher.ask(createAsk('last', ask), 0)) !== undefined, isRefused);
+		t.is(getRefusal(dispatcher.requestSlot(createAsk('last', ask), 0)) !== undefined, isRefused);
 	});
 }
 
 test('an ask whose time runs out while it waits is refused before its deadline', t => {
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 1})]);
-	dispatcher.ask(createAsk('1', {remainingMilliseconds: 5000}), 0);
-	dispatcher.ask(createAsk('2'), 0);
+	dispatcher.requestSlot(createAsk('1', {remainingMilliseconds: 5000}), 0);
+	dispatcher.requestSlot(createAsk('2'), 0);
 	t.deepEqual(dispatcher.tick(1000), []);
-	t.is(getRefusal(dispatcher.tick(1900))?.ask.id, '2');
-	t.is(dispatcher.getWaiting(), 0);
+	t.is(getRefusal(dispatcher.tick(1900))?.request.id, '2');
+	t.is(dispatcher.countWaiting(), 0);
 });
 
 test('a withdrawn ask gets nothing', t => {
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 1})]);
-	dispatcher.ask(createAsk('1'), 0);
-	dispatcher.ask(createAsk('2'), 0);
+	dispatcher.requestSlot(createAsk('1'), 0);
+	dispatcher.requestSlot(createAsk('2'), 0);
 	dispatcher.cancel('2');
 	t.deepEqual(dispatcher.end('1', {ending: 'success', milliseconds: 10}, 10), []);
 });
@@ -338,7 +338,7 @@
 	test(`an upstream that ends requests by ${endings.join(', ')} is ${isSuspended ? '' : 'not '}suspended`, t => {
 		const dispatcher = createDispatcher([createCandidate('a', {slots: 100})]);
 		for (const index of endings.keys()) {
-			dispatcher.ask(createAsk(String(index), {host: `host-${index}`}), 0);
+			dispatcher.requestSlot(createAsk(String(index), {host: `host-${index}`}), 0);
 		}
 
 		for (const [index, ending] of endings.entries()) {
@@ -350,7 +350,7 @@
 }
 
 const suspend = (dispatcher: dispatch.Dispatcher, id: string, now: number, excluded: readonly string[] = ['b']) => {
-	dispatcher.ask(createAsk(id, {excluded}), now);
+	dispatcher.requestSlot(createAsk(id, {excluded}), now);
 	return dispatcher.end(id, {ending: 'reset', milliseconds: 1}, now);
 };
 
@@ -362,7 +362,7 @@
 	const dispatcher = createDispatcher(['a', 'b', 'c', 'd'].map(id => createCandidate(id, {slots: 50})));
 	for (let ask = 0; ask < 200; ask++) {
 		const at = ask * 200;
-		t.truthy(getGrant(dispatcher.ask(createAsk(`${ask}`), at)));
+		t.truthy(getGrant(dispatcher.requestSlot(createAsk(`${ask}`), at)));
 		dispatcher.end(`${ask}`, {ending: ask % 5 < 3 ? 'shed' : 'success', milliseconds: 20}, at + 20);
 	}
 
@@ -375,17 +375,17 @@
 	// Cause: the return was decided by a clock, not by one request that can be sent again.
 	const dispatcher = createDispatcher([createCandidate('a'), createCandidate('b', {failureDomain: 'y', slots: 50})]);
 	suspend(dispatcher, '1', 0);
-	t.is(getGrant(dispatcher.ask(createAsk('2'), 1000))?.upstream, 'b');
-	const trial = getGrant(dispatcher.ask(createAsk('3', {requestClass: 'read'}), 1000));
+	t.is(getGrant(dispatcher.requestSlot(createAsk('2'), 1000))?.upstream, 'b');
+	const trial = getGrant(dispatcher.requestSlot(createAsk('3', {requestClass: 'read'}), 1000));
 	t.is(trial?.upstream, 'a');
 	t.true(trial?.isTrial);
-	t.is(getGrant(dispatcher.ask(createAsk('4', {requestClass: 'read'}), 1000))?.upstream, 'b');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('4', {requestClass: 'read'}), 1000))?.upstream, 'b');
 });
 
 test('a failed trial is followed by a longer wait, a successful one by the next trial at once', t => {
 	const dispatcher = createDispatcher([createCandidate('a'), createCandidate('b', {failureDomain: 'y', slots: 50})]);
 	suspend(dispatcher, '1', 0);
-	const tryAt = (id: string, now: number) => getGrant(dispatcher.ask(createAsk(id, {requestClass: 'read'}), now))?.upstream;
+	const tryAt = (id: string, now: number) => getGrant(dispatcher.requestSlot(createAsk(id, {requestClass: 'read'}), now))?.upstream;
 	t.is(tryAt('2', 300), 'a');
 	dispatcher.end('2', {ending: 'reset', milliseconds: 1}, 301);
 	t.is(tryAt('3', 700), 'b');
@@ -397,8 +397,8 @@
 test('without requests that may be repeated, one that may not is the trial after a long wait', t => {
 	const dispatcher = createDispatcher([createCandidate('a'), createCandidate('b', {failureDomain: 'y', slots: 50})]);
 	suspend(dispatcher, '1', 0);
-	t.is(getGrant(dispatcher.ask(createAsk('2'), 6000))?.upstream, 'b');
-	t.is(getGrant(dispatcher.ask(createAsk('3'), 6301))?.upstream, 'a');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('2'), 6000))?.upstream, 'b');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('3'), 6301))?.upstream, 'a');
 });
 
 test('after one good trial, a request that may not be repeated waits as long as others may be expected', t => {
@@ -407,10 +407,10 @@
 	// Cause: one success was taken for proof.
 	const dispatcher = createDispatcher([createCandidate('a'), createCandidate('b', {failureDomain: 'y', slots: 50})]);
 	suspend(dispatcher, '1', 0);
-	t.is(getGrant(dispatcher.ask(createAsk('2', {requestClass: 'read'}), 300))?.upstream, 'a');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('2', {requestClass: 'read'}), 300))?.upstream, 'a');
 	dispatcher.end('2', {ending: 'success', milliseconds: 100}, 400);
-	t.is(getGrant(dispatcher.ask(createAsk('3'), 401))?.upstream, 'b');
-	t.is(getGrant(dispatcher.ask(createAsk('4', {requestClass: 'read'}), 402))?.upstream, 'a');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('3'), 401))?.upstream, 'b');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('4', {requestClass: 'read'}), 402))?.upstream, 'a');
 });
 
 test('below the floor, a suspended upstream is better than a refusal', t => {
@@ -421,7 +421,7 @@
 	suspend(dispatcher, '1', 0, ['b']);
 	suspend(dispatcher, '2', 0, ['a']);
 	t.true(dispatcher.report(SERVICE, 1).every(upstream => upstream.isSuspended));
-	t.truthy(getGrant(dispatcher.ask(createAsk('3'), 1)));
+	t.truthy(getGrant(dispatcher.requestSlot(createAsk('3'), 1)));
 });
 
 const RESERVES = [
@@ -439,14 +439,14 @@
 		const dispatcher = createDispatcher([createCandidate('a', {slots: 8}), ...['b', 'c', 'd', 'e'].map(id => createCandidate(id, {slots: 1}))]);
 		suspend(dispatcher, 'failed', 0, ['b', 'c', 'd', 'e']);
 		for (let filler = 0; filler < 4; filler++) {
-			t.not(getGrant(dispatcher.ask(createAsk(`filler-${filler}`), 1))?.upstream, 'a');
+			t.not(getGrant(dispatcher.requestSlot(createAsk(`filler-${filler}`), 1))?.upstream, 'a');
 		}
 
 		for (let waiting = 0; waiting < 11; waiting++) {
-			dispatcher.ask(createAsk(`waiting-${waiting}`), 1);
+			dispatcher.requestSlot(createAsk(`waiting-${waiting}`), 1);
 		}
 
-		t.is(getGrant(dispatcher.ask(createAsk('crowded-out', ask), 2))?.upstream, granted);
+		t.is(getGrant(dispatcher.requestSlot(createAsk('crowded-out', ask), 2))?.upstream, granted);
 	});
 }
 
@@ -456,7 +456,7 @@
 	const suspended = dispatcher.report(SERVICE, 1).find(upstream => upstream.isSuspended);
 	const silent = ['a', 'b'].map(name => createCandidate(name, {slots: 50, isSilent: name === suspended?.upstream}));
 	dispatcher.setCandidates(SERVICE, silent, 1);
-	t.not(getGrant(dispatcher.ask(createAsk('2', {requestClass: 'read'}), 5000))?.upstream, suspended?.upstream);
+	t.not(getGrant(dispatcher.requestSlot(createAsk('2', {requestClass: 'read'}), 5000))?.upstream, suspended?.upstream);
 });
 
 test('a host whose requests hang at an upstream sends elsewhere, other hosts go on', t => {
@@ -464,9 +464,9 @@
 	// Sequence: the path between a host and an upstream is cut; the host's requests there hang until their deadline.
 	// Cause: nothing is lost and nothing fails; only the age of what is under way shows it.
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 50}), createCandidate('b', {failureDomain: 'y', slots: 50})]);
-	t.is(getGrant(dispatcher.ask(createAsk('1'), 0))?.upstream, 'a');
-	t.is(getGrant(dispatcher.ask(createAsk('2'), 1000))?.upstream, 'b');
-	t.is(getGrant(dispatcher.ask(createAsk('3', {host: 'other', excluded: ['b']}), 1000))?.upstream, 'a');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('1'), 0))?.upstream, 'a');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('2'), 1000))?.upstream, 'b');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('3', {host: 'other', excluded: ['b']}), 1000))?.upstream, 'a');
 });
 
 test('with little traffic every upstream that is not suspended gets a request within two seconds', t => {
@@ -477,7 +477,7 @@
 	const dispatcher = createDispatcher(ids.map(id => createCandidate(id)));
 	const last = new Map(ids.map(id => [id, 0]));
 	for (let now = 0; now < 10_000; now += 50) {
-		const granted = getGrant(dispatcher.ask(createAsk(`${now}`), now))!;
+		const granted = getGrant(dispatcher.requestSlot(createAsk(`${now}`), now))!;
 		last.set(granted.upstream, now);
 		dispatcher.end(`${now}`, {ending: 'success', milliseconds: 40}, now + 40);
 		t.true(last.values().every(at => now - at <= 2000));
@@ -490,14 +490,14 @@
 	// Cause: only ends counted, and each request alone was not late enough to say anything.
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 50}), createCandidate('b', {failureDomain: 'y', slots: 50})]);
 	for (let ask = 0; ask < 4; ask++) {
-		t.is(getGrant(dispatcher.ask(createAsk(`slow-${ask}`, {host: `host-${ask}`, excluded: ['b']}), 0))?.upstream, 'a');
+		t.is(getGrant(dispatcher.requestSlot(createAsk(`slow-${ask}`, {host: `host-${ask}`, excluded: ['b']}), 0))?.upstream, 'a');
 	}
 
-	t.is(getGrant(dispatcher.ask(createAsk('1', {excluded: ['b']}), 200))?.upstream, 'a');
-	t.is(getGrant(dispatcher.ask(createAsk('2'), 400))?.upstream, 'b');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('1', {excluded: ['b']}), 200))?.upstream, 'a');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('2'), 400))?.upstream, 'b');
 	dispatcher.end('slow-0', {ending: 'success', milliseconds: 400}, 400);
 	dispatcher.end('slow-1', {ending: 'success', milliseconds: 400}, 400);
-	t.is(getGrant(dispatcher.ask(createAsk('3', {excluded: ['b']}), 401))?.upstream, 'a');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('3', {excluded: ['b']}), 401))?.upstream, 'a');
 });
 
 test('resends stay within the budget', t => {
@@ -506,14 +506,14 @@
 	// Cause: nobody counted resends over the fleet.
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 10_000})], {budget: {ratio: 0.2, extra: 0, windowMilliseconds: 10_000}});
 	for (let ask = 0; ask < 100; ask++) {
-		dispatcher.ask(createAsk(`first-${ask}`), 0);
+		dispatcher.requestSlot(createAsk(`first-${ask}`), 0);
 	}
 
-	const granted = Array.from({length: 100}, (_, index) => dispatcher.ask(createAsk(`again-${index}`, {isResend: true}), 1))
+	const granted = Array.from({length: 100}, (_, index) => dispatcher.requestSlot(createAsk(`again-${index}`, {isResend: true}), 1))
 		.filter(effects => getGrant(effects) !== undefined).length;
 	t.true(granted > 0 && granted <= 20);
-	t.is(getRefusal(dispatcher.ask(createAsk('last', {isResend: true}), 2))?.reason, 'budget');
-	t.truthy(getRefusal(dispatcher.ask(createAsk('later', {isResend: true}), 20_000)));
+	t.is(getRefusal(dispatcher.requestSlot(createAsk('last', {isResend: true}), 2))?.reason, 'budget');
+	t.truthy(getRefusal(dispatcher.requestSlot(createAsk('later', {isResend: true}), 20_000)));
 });
 
 test('a host that turns to another dispatcher brings the places it holds', t => {
@@ -521,16 +521,16 @@
 	const place = {
 		id: '1', host: 'host', service: SERVICE, route: 'route', upstream: 'a', ageMilliseconds: 10, remainingMilliseconds: 1000,
 	};
-	dispatcher.hold('host', SERVICE, [place], 0);
-	t.is(getGrant(dispatcher.ask(createAsk('2'), 0)), undefined);
-	t.is(getGrant(dispatcher.end('1', {ending: 'success', milliseconds: 50}, 50))?.ask.id, '2');
+	dispatcher.replaceHeldSlots('host', SERVICE, [place], 0);
+	t.is(getGrant(dispatcher.requestSlot(createAsk('2'), 0)), undefined);
+	t.is(getGrant(dispatcher.end('1', {ending: 'success', milliseconds: 50}, 50))?.request.id, '2');
 });
 
 test('the place of a host that is gone is free after its deadline', t => {
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 1})]);
-	dispatcher.ask(createAsk('1', {remainingMilliseconds: 500}), 0);
-	dispatcher.ask(createAsk('2', {host: 'other', remainingMilliseconds: 5000}), 0);
-	t.is(getGrant(dispatcher.tick(1001))?.ask.id, '2');
+	dispatcher.requestSlot(createAsk('1', {remainingMilliseconds: 500}), 0);
+	dispatcher.requestSlot(createAsk('2', {host: 'other', remainingMilliseconds: 5000}), 0);
+	t.is(getGrant(dispatcher.tick(1001))?.request.id, '2');
 });
 
 const action = fc.record({
@@ -555,11 +555,11 @@
 					continue;
 				}
 
-				t.false(answered.has(effect.ask.id), 'answered twice');
-				answered.add(effect.ask.id);
-				open.delete(effect.ask.id);
+				t.false(answered.has(effect.request.id), 'answered twice');
+				answered.add(effect.request.id);
+				open.delete(effect.request.id);
 				if (effect.kind === 'grant') {
-					held.set(effect.ask.id, effect.upstream);
+					held.set(effect.request.id, effect.upstream);
 				}
 			}
 
@@ -572,7 +572,7 @@
 			now += wait;
 			if (kind === 'ask') {
 				open.add(String(index));
-				take(dispatcher.ask(createAsk(String(index), {requestClass, remainingMilliseconds: 100_000}), now));
+				take(dispatcher.requestSlot(createAsk(String(index), {requestClass, remainingMilliseconds: 100_000}), now));
 			} else if (kind === 'end' && held.size > 0) {
 				const id = held.keys().toArray()[pick % held.size]!;
 				held.delete(id);
@@ -586,7 +586,7 @@
 			}
 		}
 
-		t.is(dispatcher.getWaiting(), open.size);
+		t.is(dispatcher.countWaiting(), open.size);
 	}));
 });
 
@@ -612,7 +612,7 @@
 		// Cause: what was told set the doubt and left the time of the next trial at the beginning of time.
 		const dispatcher = createDispatcher([createCandidate('a'), createCandidate('b')]);
 		dispatcher.setDoubt(SERVICE, 'a', 7, 0);
-		t.is(getGrant(dispatcher.ask(createAsk('1', {requestClass}), at))?.upstream, granted);
+		t.is(getGrant(dispatcher.requestSlot(createAsk('1', {requestClass}), at))?.upstream, granted);
 	});
 }
 
@@ -631,17 +631,17 @@
 		// Sequence: all slots at home are taken for the moment; the first free slot is elsewhere.
 		// Cause: the first free slot was taken wherever it was, though one at home comes free within milliseconds.
 		const dispatcher = createDispatcher([createCandidate('a', {slots: 1}), createCandidate('b', {failureDomain: 'y'})]);
-		dispatcher.ask(createAsk('1'), 0);
-		t.deepEqual(dispatcher.ask(createAsk('2', {requestClass}), 0), []);
+		dispatcher.requestSlot(createAsk('1'), 0);
+		t.deepEqual(dispatcher.requestSlot(createAsk('2', {requestClass}), 0), []);
 		t.is(getGrant(dispatcher.tick(at))?.upstream, granted);
 	});
 }
 
 test('a slot at home that comes free goes to who waits for it', t => {
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 1}), createCandidate('b', {failureDomain: 'y'})]);
-	dispatcher.ask(createAsk('1'), 0);
-	dispatcher.ask(createAsk('2'), 0);
-	t.is(getGrant(dispatcher.ask(createAsk('3', {failureDomain: 'y'}), 5))?.upstream, 'b', 'nobody stands behind it who is at home elsewhere');
+	dispatcher.requestSlot(createAsk('1'), 0);
+	dispatcher.requestSlot(createAsk('2'), 0);
+	t.is(getGrant(dispatcher.requestSlot(createAsk('3', {failureDomain: 'y'}), 5))?.upstream, 'b', 'nobody stands behind it who is at home elsewhere');
 	t.is(getGrant(dispatcher.end('1', {ending: 'success', milliseconds: 10}, 10))?.upstream, 'a');
 });
 
@@ -653,11 +653,11 @@
 	const move = {
 		requestClass: 'read', isResend: true, isMove: true, excluded: ['a'],
 	} as const;
-	dispatcher.ask(createAsk('1', {excluded: ['b']}), 0);
-	t.is(getGrant(dispatcher.ask(createAsk('2', move), 0))?.upstream, 'b');
-	dispatcher.ask(createAsk('3'), 0);
-	t.is(getRefusal(dispatcher.ask(createAsk('4', move), 0))?.reason, 'no-slot-in-time');
-	t.is(getGrant(dispatcher.end('2', {ending: 'success', milliseconds: 10}, 10))?.ask.id, '3');
+	dispatcher.requestSlot(createAsk('1', {excluded: ['b']}), 0);
+	t.is(getGrant(dispatcher.requestSlot(createAsk('2', move), 0))?.upstream, 'b');
+	dispatcher.requestSlot(createAsk('3'), 0);
+	t.is(getRefusal(dispatcher.requestSlot(createAsk('4', move), 0))?.reason, 'no-slot-in-time');
+	t.is(getGrant(dispatcher.end('2', {ending: 'success', milliseconds: 10}, 10))?.request.id, '3');
 });
 
 test('a move that is refused leaves the budget as it was', t => {
@@ -665,19 +665,19 @@
 	// Sequence: slots are taken; each overdue read asks for a move, and is refused.
 	// Cause: the budget was paid before there was a place.
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 1}), createCandidate('b', {slots: 1})], {budget: {ratio: 0, extra: 10, windowMilliseconds: 10_000}});
-	dispatcher.ask(createAsk('1', {excluded: ['b']}), 0);
-	dispatcher.ask(createAsk('2', {excluded: ['a']}), 0);
+	dispatcher.requestSlot(createAsk('1', {excluded: ['b']}), 0);
+	dispatcher.requestSlot(createAsk('2', {excluded: ['a']}), 0);
 	for (let move = 0; move < 20; move++) {
-		dispatcher.ask(createAsk(`m${move}`, {isResend: true, isMove: true, excluded: ['a']}), 0);
+		dispatcher.requestSlot(createAsk(`m${move}`, {isResend: true, isMove: true, excluded: ['a']}), 0);
 	}
 
 	dispatcher.end('2', {ending: 'success', milliseconds: 10}, 10);
-	t.is(getGrant(dispatcher.ask(createAsk('3', {isResend: true, excluded: ['a']}), 10))?.upstream, 'b');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('3', {isResend: true, excluded: ['a']}), 10))?.upstream, 'b');
 });
 
 test('an ask with little time left is tried where a slot is free', t => {
 	const dispatcher = createDispatcher([createCandidate('a')]);
-	t.is(getGrant(dispatcher.ask(createAsk('1', {remainingMilliseconds: 50}), 0))?.upstream, 'a');
+	t.is(getGrant(dispatcher.requestSlot(createAsk('1', {remainingMilliseconds: 50}), 0))?.upstream, 'a');
 });
 
 test('all who wait are served when slots come free together', t => {
@@ -686,9 +686,9 @@
 	// Cause: those who wait were gone through while the first was taken out of the list, so the next one was passed over.
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 1})]);
 	for (const id of ['1', '2', '3']) {
-		dispatcher.ask(createAsk(id), 0);
+		dispatcher.requestSlot(createAsk(id), 0);
 	}
 
 	const effects = dispatcher.setCandidates(SERVICE, [createCandidate('a', {slots: 1}), createCandidate('b', {slots: 2})], 1);
-	t.deepEqual(effects.map(effect => effect.kind === 'grant' ? effect.ask.id : effect.kind), ['2', '3']);
+	t.deepEqual(effects.map(effect => effect.kind === 'grant' ? effect.request.id : effect.kind), ['2', '3']);
 });
--- a/packages/wagtailroute-dispatch/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-dispatch/src/__tests__/unit/fixture.ts
@@ -26,7 +26,7 @@
 /**
 A first attempt that may not be repeated.
 */
-export function createAsk(id: string, changes: Partial<dispatch.Ask> = {}): dispatch.Ask {
+export function createAsk(id: string, changes: Partial<dispatch.SlotRequest> = {}): dispatch.SlotRequest {
 	return {
 		id,
 		host: 'host',
--- a/packages/wagtailroute-dispatch/src/__tests__/unit/rate-limits.test.ts
+++ b/packages/wagtailroute-dispatch/src/__tests__/unit/rate-limits.test.ts
@@ -15,7 +15,7 @@
 const LIMITED = 'limited';
 const WINDOW_MILLISECONDS = 4000;
 
-const createRead = (id: string, changes: Partial<dispatch.Ask> = {}) => createAsk(id, {requestClass: 'read', ...changes});
+const createRead = (id: string, changes: Partial<dispatch.SlotRequest> = {}) => createAsk(id, {requestClass: 'read', ...changes});
 
 const createLimitedDispatcher = (upstreams: readonly string[], settings?: Partial<dispatch.DispatcherSettings>) =>
 	createDispatcher(upstreams.map(upstream => createCandidate(upstream, {slots: 4})), settings);
@@ -35,7 +35,7 @@
 A request is granted and its answer advertises the limit.
 */
 const advertiseLimit = (dispatcher: dispatch.Dispatcher, ratePerSecond: number, now: number) => {
-	dispatcher.ask(createRead('first'), now);
+	dispatcher.requestSlot(createRead('first'), now);
 	dispatcher.recordAdvertisements('first', [{kind: 'rate-limit', ratePerSecond}], now);
 	dispatcher.end('first', {ending: 'success', milliseconds: 1}, now);
 };
@@ -62,12 +62,12 @@
 	test(`${name} ${limit === undefined ? 'lifts' : 'does not lift'} a rate limit`, t => {
 		const dispatcher = createLimitedDispatcher([LIMITED]);
 		if (isSentBefore) {
-			dispatcher.ask(createRead('later'), 0);
+			dispatcher.requestSlot(createRead('later'), 0);
 		}
 
 		advertiseLimit(dispatcher, 3, 10);
 		if (!isSentBefore) {
-			dispatcher.ask(createRead('later'), 600);
+			dispatcher.requestSlot(createRead('later'), 600);
 		}
 
 		dispatcher.end('later', {ending, milliseconds: 100}, 700);
@@ -118,23 +118,23 @@
 	// Guards against callers that wait until their deadline for a slot that a rate limit keeps idle.
 	const dispatcher = createLimitedDispatcher([LIMITED]);
 	advertiseLimit(dispatcher, 1, 0);
-	const effects = [1, 2, 3, 4].flatMap(number => dispatcher.ask(createRead(String(number), {requestClass: 'non-idempotent'}), 1));
+	const effects = [1, 2, 3, 4].flatMap(number => dispatcher.requestSlot(createRead(String(number), {requestClass: 'non-idempotent'}), 1));
 	t.true(effects.some(effect => effect.kind === 'refuse' && effect.reason === 'no-slot-in-time' && effect.retryAfterMilliseconds > 0));
 });
 
 test('an upstream that advertises a limit of zero still gets a request now and then', t => {
 	const dispatcher = createLimitedDispatcher([LIMITED]);
 	advertiseLimit(dispatcher, 0, 0);
-	t.is(dispatcher.ask(createRead('early'), 4000).find(effect => effect.kind === 'grant'), undefined);
-	t.truthy(dispatcher.ask(createRead('late'), 6000).find(effect => effect.kind === 'grant'));
+	t.is(dispatcher.requestSlot(createRead('early'), 4000).find(effect => effect.kind === 'grant'), undefined);
+	t.truthy(dispatcher.requestSlot(createRead('late'), 6000).find(effect => effect.kind === 'grant'));
 });
 
 test('a place that is not used is given back to the rate limit', t => {
 	const dispatcher = createLimitedDispatcher([LIMITED]);
 	advertiseLimit(dispatcher, 1, 0);
-	t.truthy(dispatcher.ask(createRead('unused'), 1000).find(effect => effect.kind === 'grant'));
+	t.truthy(dispatcher.requestSlot(createRead('unused'), 1000).find(effect => effect.kind === 'grant'));
 	dispatcher.end('unused', {ending: 'unused', milliseconds: 0}, 1001);
-	t.truthy(dispatcher.ask(createRead('next'), 1002).find(effect => effect.kind === 'grant'));
+	t.truthy(dispatcher.requestSlot(createRead('next'), 1002).find(effect => effect.kind === 'grant'));
 });
 
 test('a host that dispatches for few others grants their share of a rate limit only', t => {
@@ -152,9 +152,9 @@
 
 	for (let now = 0; now < 10_000; now += 50) {
 		for (const [host, dispatcher] of dispatchers.entries()) {
-			const granted = dispatcher.ask(createRead(`${host}-${now}`), now).filter(effect => effect.kind === 'grant');
+			const granted = dispatcher.requestSlot(createRead(`${host}-${now}`), now).filter(effect => effect.kind === 'grant');
 			times.push(...granted.map(() => now));
-			for (const {ask} of granted) {
+			for (const {request: ask} of granted) {
 				dispatcher.recordAdvertisements(ask.id, [{kind: 'rate-limit', ratePerSecond: limit}], now);
 				dispatcher.end(ask.id, {ending: 'success', milliseconds: 20}, now);
 			}
@@ -210,7 +210,7 @@
 			}
 
 			ends.push({
-				at: now + 40 + (random() * 300), to: by, id: effect.ask.id, isLimited,
+				at: now + 40 + (random() * 300), to: by, id: effect.request.id, isLimited,
 			});
 		}
 	};
@@ -238,7 +238,7 @@
 			const asked = random() < part ? others[utils.pickIndex(random, others.length)]! : first!;
 			const requestClass = random() < 0.5 ? 'read' : 'non-idempotent';
 			const isMove = requestClass === 'read' && random() < 0.1;
-			grant(asked, asked.ask(createRead(`${step}-${request}`, {requestClass, isResend: random() < 0.1, isMove}), now), now);
+			grant(asked, asked.requestSlot(createRead(`${step}-${request}`, {requestClass, isResend: random() < 0.1, isMove}), now), now);
 		}
 
 		for (const dispatcher of dispatchers) {
--- a/packages/wagtailroute-dispatch/src/advertisements.ts
+++ b/packages/wagtailroute-dispatch/src/advertisements.ts
@@ -5,7 +5,7 @@
 reports it to each dispatcher that it turns to.
 */
 import type * as core from 'wagtailroute-core';
-import type {Effect, UpstreamUpdate} from './asks.ts';
+import type {Effect, UpstreamUpdate} from './slot-requests.ts';
 import type {Service} from './services.ts';
 import {listBackoffs, recordBackoff, type Upstream} from './upstreams.ts';
 
--- a/packages/wagtailroute-dispatch/src/bench/dispatching.bench.ts
+++ b/packages/wagtailroute-dispatch/src/bench/dispatching.bench.ts
@@ -89,7 +89,7 @@
 			}
 
 			const isSick = Number(effect.upstream) % SICK_EVERY === 0;
-			(isSick ? resets : underWay).push({id: effect.ask.id, at: now + (isSick ? 1 : WORK_MILLISECONDS), ending: isSick ? 'reset' : 'success'});
+			(isSick ? resets : underWay).push({id: effect.request.id, at: now + (isSick ? 1 : WORK_MILLISECONDS), ending: isSick ? 'reset' : 'success'});
 		}
 	};
 
@@ -101,8 +101,8 @@
 			take(dispatcher.end(id, {ending, milliseconds: WORK_MILLISECONDS}, now));
 		}
 
-		take(dispatcher.ask(createAsk(request), now));
-		count.waitingMost = Math.max(count.waitingMost, dispatcher.getWaiting());
+		take(dispatcher.requestSlot(createAsk(request), now));
+		count.waitingMost = Math.max(count.waitingMost, dispatcher.countWaiting());
 	}
 
 	const milliseconds = performance.now() - startedAt;
@@ -132,7 +132,7 @@
 	};
 }
 
-function createAsk(request: number): dispatch.Ask {
+function createAsk(request: number): dispatch.SlotRequest {
 	return {
 		id: `host:${request}`,
 		host: `host-${request % DOMAINS}`,
--- a/packages/wagtailroute-dispatch/src/budget.ts
+++ b/packages/wagtailroute-dispatch/src/budget.ts
@@ -32,7 +32,7 @@
 	/**
 	Takes one resend out of the budget; false when there is none left.
 	*/
-	readonly takeResend: (now: number) => boolean;
+	readonly consumeResend: (now: number) => boolean;
 };
 
 /**
@@ -44,7 +44,7 @@
 		countRequest(now) {
 			counts.add('requests', now);
 		},
-		takeResend(now) {
+		consumeResend(now) {
 			const {requests, resends} = counts.sum(now);
 			if (resends + 1 > (ratio * requests * policy.resendRatioPart) + (extra * policy.fixedResendsPart)) {
 				return false;
--- a/packages/wagtailroute-dispatch/src/choosing.ts
+++ b/packages/wagtailroute-dispatch/src/choosing.ts
@@ -5,7 +5,7 @@
 repeated go first: so the end of a bad spell is found by a request that can be sent again, wherever there are such requests.
 */
 import * as core from 'wagtailroute-core';
-import type {Ask} from './asks.ts';
+import type {SlotRequest} from './slot-requests.ts';
 import type {Policy} from './policy.ts';
 import {
 	getBackoff,
@@ -13,8 +13,8 @@
 	getRisk,
 	getSlowness,
 	hasCapacity,
-	isPathBad,
-	isQuiet,
+	isPathSuspect,
+	isIdle,
 	isServing,
 	isSuspended,
 	type Upstream,
@@ -31,7 +31,7 @@
 /**
 What a choice may know.
 */
-export type ChoiceCircumstances = {
+export type ChoiceContext = {
 	readonly now: number;
 	/**
 	Uniform in [0, 1).
@@ -48,11 +48,11 @@
 	/**
 	Upstreams that get nothing are missed: requests fail, and none may be repeated.
 	*/
-	readonly isMissed: boolean;
+	readonly needsIdleUpstreams: boolean;
 	readonly policy: Policy;
 };
 
-const DOMAIN_WAITS = {
+const DOMAIN_WAIT_FIELDS = {
 	read: 'domainWaitMilliseconds',
 	idempotent: 'domainWaitMilliseconds',
 	'non-idempotent': 'unrepeatableDomainWaitMilliseconds',
@@ -64,16 +64,16 @@
 
 @param upstreams Those with a free slot that are not suspended.
 */
-export function choose(upstreams: Iterable<Upstream>, ask: Ask, circumstances: ChoiceCircumstances): Choice | undefined {
-	const {now, random, isMissed} = circumstances;
+export function choose(upstreams: Iterable<Upstream>, request: SlotRequest, context: ChoiceContext): Choice | undefined {
+	const {now, random, needsIdleUpstreams} = context;
 	let best: Upstream | undefined;
 	let bestCost = Infinity;
 	for (const upstream of upstreams) {
-		if (!isOpen(upstream, ask, now)) {
+		if (!isAvailable(upstream, request, now)) {
 			continue;
 		}
 
-		const cost = getCost(upstream, ask, {now, isMissed}) + (random() * upstream.policy.spreadCost);
+		const cost = getCost(upstream, request, {now, needsIdleUpstreams}) + (random() * upstream.policy.spreadCost);
 		if (!(cost < bestCost)) {
 			continue;
 		}
@@ -82,40 +82,40 @@
 		bestCost = cost;
 	}
 
-	const isAbroad = best !== undefined && best.candidate.failureDomain !== ask.failureDomain;
-	const findsOut = best !== undefined && (isMissed || core.isIdempotent(ask.requestClass)) && isRested(best, now);
-	return best === undefined || (isAbroad && !findsOut && waitsForHome(ask, circumstances)) ? undefined : {upstream: best, isTrial: false};
+	const isCrossing = best !== undefined && best.candidate.failureDomain !== request.failureDomain;
+	const isExploring = best !== undefined && (needsIdleUpstreams || core.isIdempotent(request.requestClass)) && isRested(best, now);
+	return best === undefined || (isCrossing && !isExploring && isWaitingForOwnDomain(request, context)) ? undefined : {upstream: best, isTrial: false};
 }
 
 /**
 Says whether an ask waits for a slot of its own failure domain. Under load a slot comes free there within milliseconds; taking the first
 one anywhere, nearly half of all requests would cross, and each leaves its slot at home to another that crosses.
 */
-function waitsForHome(ask: Ask, {now, waitedMilliseconds, known, policy}: ChoiceCircumstances): boolean {
-	const left = policy[DOMAIN_WAITS[ask.requestClass]] - waitedMilliseconds;
-	return !ask.isResend
+function isWaitingForOwnDomain(request: SlotRequest, {now, waitedMilliseconds, known, policy}: ChoiceContext): boolean {
+	const left = policy[DOMAIN_WAIT_FIELDS[request.requestClass]] - waitedMilliseconds;
+	return !request.isResend
 		&& left > 0
-		&& known.values().some(upstream => upstream.candidate.failureDomain === ask.failureDomain
+		&& known.values().some(upstream => upstream.candidate.failureDomain === request.failureDomain
 			&& !isSuspended(upstream, now)
 			&& (upstream.rateLimit?.getDelay(now) ?? 0) < left
-			&& isSuitable(upstream, ask, now)
+			&& isEligible(upstream, request, now)
 			// Where the request is likely to be lost, it had better cross.
-			&& getRisk(upstream, now) * policy.riskCost < getCrossingCost(ask, policy));
+			&& getRisk(upstream, now) * policy.riskCost < getCrossingCost(request, policy));
 }
 
-function getCrossingCost({requestClass}: Ask, {uploadDomainCost, domainCost}: Policy): number {
+function getCrossingCost({requestClass}: SlotRequest, {uploadDomainCost, domainCost}: Policy): number {
 	return requestClass === 'upload' ? uploadDomainCost : domainCost;
 }
 
 /**
 What a trial may know.
 */
-export type TrialCircumstances = {
+export type TrialContext = {
 	readonly now: number;
 	/**
 	Requests that may be repeated came lately.
 	*/
-	readonly hasRepeatable: boolean;
+	readonly hasRecentIdempotent: boolean;
 	/**
 	No upstream in use has a free slot.
 	*/
@@ -123,7 +123,7 @@
 	/**
 	Upstreams that get nothing are missed: requests fail, and none may be repeated.
 	*/
-	readonly isMissed: boolean;
+	readonly needsIdleUpstreams: boolean;
 };
 
 /**
@@ -131,15 +131,15 @@
 
 @param upstreams Suspended ones.
 */
-export function chooseTrial(upstreams: Iterable<Upstream>, ask: Ask, circumstances: TrialCircumstances): Choice | undefined {
-	const {now} = circumstances;
+export function chooseTrial(upstreams: Iterable<Upstream>, request: SlotRequest, context: TrialContext): Choice | undefined {
+	const {now} = context;
 	let trial: Upstream | undefined;
-	let trialAt = now;
+	let dueAt = now;
 	for (const upstream of upstreams) {
-		const at = getTrialTime(upstream, ask, circumstances);
-		const isNext = at <= trialAt && isOpen(upstream, ask, now) && isTriable(upstream, ask);
+		const at = getTrialDueAt(upstream, request, context);
+		const isNext = at <= dueAt && isAvailable(upstream, request, now) && isTrialAllowed(upstream, request);
 		trial = isNext ? upstream : trial;
-		trialAt = isNext ? at : trialAt;
+		dueAt = isNext ? at : dueAt;
 	}
 
 	return trial && {upstream: trial, isTrial: true};
@@ -149,12 +149,12 @@
 Chooses the suspended upstream with the least against it: for a request that would else be refused, when so many are
 suspended that the service is below its floor.
 */
-export function chooseReserve(upstreams: Iterable<Upstream>, ask: Ask, now: number): Choice | undefined {
+export function chooseFallback(upstreams: Iterable<Upstream>, request: SlotRequest, now: number): Choice | undefined {
 	let best: Upstream | undefined;
 	let bestDoubt = Infinity;
 	for (const upstream of upstreams) {
 		const doubt = getDoubt(upstream, now);
-		if (!(doubt < bestDoubt && isSuspended(upstream, now) && isOpen(upstream, ask, now))) {
+		if (!(doubt < bestDoubt && isSuspended(upstream, now) && isAvailable(upstream, request, now))) {
 			continue;
 		}
 
@@ -168,29 +168,29 @@
 /**
 Says whether an upstream could take the ask now if nothing spoke against it but doubt.
 */
-function isOpen(upstream: Upstream, ask: Ask, now: number): boolean {
+function isAvailable(upstream: Upstream, request: SlotRequest, now: number): boolean {
 	return hasCapacity(upstream, now)
 		&& upstream.closedUntil <= now
-		&& isSuitable(upstream, ask, now);
+		&& isEligible(upstream, request, now);
 }
 
 /**
 The same once it has a free slot.
 */
-function isSuitable(upstream: Upstream, ask: Ask, now: number): boolean {
+function isEligible(upstream: Upstream, request: SlotRequest, now: number): boolean {
 	const {candidate} = upstream;
 	return isServing(upstream)
 		&& candidate.slots > 0
-		&& !ask.excluded.includes(candidate.upstream)
-		&& getBackoff(upstream, ask.host, now) === 0
-		&& !isPathBad(upstream, ask.host, now);
+		&& !request.excluded.includes(candidate.upstream)
+		&& getBackoff(upstream, request.host, now) === 0
+		&& !isPathSuspect(upstream, request.host, now);
 }
 
 /**
 One trial at a time, and none by a request that has failed already.
 */
-function isTriable({candidate, places}: Upstream, ask: Ask): boolean {
-	return !ask.isResend && !candidate.isSilent && places.size === 0;
+function isTrialAllowed({candidate, heldSlots}: Upstream, request: SlotRequest): boolean {
+	return !request.isResend && !candidate.isSilent && heldSlots.size === 0;
 }
 
 /**
@@ -199,16 +199,16 @@
 trial may cost one request; the wait makes all of them late. The same where requests fail although there are free slots: spells end while the upstreams that
 take their place fall ill.
 */
-function getTrialTime(upstream: Upstream, ask: Ask, {hasRepeatable, isFull, isMissed}: TrialCircumstances): number {
-	const {candidate, trialAt, provenAt, failedAt, policy} = upstream;
-	const isHopeful = provenAt > failedAt && !hasRepeatable;
-	const isPressed = isFull && !hasRepeatable;
-	const extra = isHopeful || isPressed || core.isIdempotent(ask.requestClass) ? 0 : policy.unrepeatableTrialMilliseconds;
-	const usual = trialAt + extra + (candidate.failureDomain === ask.failureDomain ? 0 : policy.domainTrialMilliseconds);
-	return isMissed ? Math.min(usual, Math.max(trialAt, failedAt + getShortfallWait(upstream))) : usual;
+function getTrialDueAt(upstream: Upstream, request: SlotRequest, {hasRecentIdempotent, isFull, needsIdleUpstreams}: TrialContext): number {
+	const {candidate, nextTrialAt, lastSuccessAt, lastFailureAt, policy} = upstream;
+	const hasTrialSucceeded = lastSuccessAt > lastFailureAt && !hasRecentIdempotent;
+	const isOutOfSlots = isFull && !hasRecentIdempotent;
+	const extra = hasTrialSucceeded || isOutOfSlots || core.isIdempotent(request.requestClass) ? 0 : policy.unrepeatableTrialMilliseconds;
+	const dueAt = nextTrialAt + extra + (candidate.failureDomain === request.failureDomain ? 0 : policy.domainTrialMilliseconds);
+	return needsIdleUpstreams ? Math.min(dueAt, Math.max(nextTrialAt, lastFailureAt + getShortfallTrialDelay(upstream))) : dueAt;
 }
 
-function getShortfallWait({failedTrials, policy}: Upstream): number {
+function getShortfallTrialDelay({failedTrials, policy}: Upstream): number {
 	return Math.min(policy.shortfallTrialMostMilliseconds, policy.shortfallTrialLeastMilliseconds * (2 ** failedTrials));
 }
 
@@ -216,19 +216,19 @@
 Weighs what may be lost at an upstream against what it takes longer elsewhere. The risk tells by the ages of the requests under way there,
 long before the first of them ends.
 */
-function getCost(upstream: Upstream, ask: Ask, {now, isMissed}: Pick<ChoiceCircumstances, 'now' | 'isMissed'>): number {
-	const {candidate, places, policy} = upstream;
-	const load = (places.size + 1) / candidate.slots;
+function getCost(upstream: Upstream, request: SlotRequest, {now, needsIdleUpstreams}: Pick<ChoiceContext, 'now' | 'needsIdleUpstreams'>): number {
+	const {candidate, heldSlots, policy} = upstream;
+	const load = (heldSlots.size + 1) / candidate.slots;
 	return (getSlowness(upstream, now) * (1 + load))
-		+ (candidate.failureDomain === ask.failureDomain ? 0 : getCrossingCost(ask, policy))
+		+ (candidate.failureDomain === request.failureDomain ? 0 : getCrossingCost(request, policy))
 		+ (getDoubt(upstream, now) * policy.doubtCost)
 		+ (getRisk(upstream, now) * policy.riskCost)
-		- (isRested(upstream, now) ? getRestGain(upstream, ask, {now, isMissed}) : 0);
+		- (isRested(upstream, now) ? getRestGain(upstream, request, {now, needsIdleUpstreams}) : 0);
 }
 
-function getRestGain(upstream: Upstream, {requestClass}: Ask, {now, isMissed}: Pick<ChoiceCircumstances, 'now' | 'isMissed'>): number {
+function getRestGain(upstream: Upstream, {requestClass}: SlotRequest, {now, needsIdleUpstreams}: Pick<ChoiceContext, 'now' | 'needsIdleUpstreams'>): number {
 	const {restGain, repeatableRestGain, shortfallRestGain} = upstream.policy;
-	if (isMissed && now - upstream.failedAt >= getShortfallWait(upstream)) {
+	if (needsIdleUpstreams && now - upstream.lastFailureAt >= getShortfallTrialDelay(upstream)) {
 		return shortfallRestGain;
 	}
 
@@ -240,5 +240,5 @@
 the few fails.
 */
 function isRested(upstream: Upstream, now: number): boolean {
-	return isQuiet(upstream, upstream.policy.restMilliseconds, now);
+	return isIdle(upstream, upstream.policy.restMilliseconds, now);
 }
--- a/packages/wagtailroute-dispatch/src/constants.ts
+++ b/packages/wagtailroute-dispatch/src/constants.ts
@@ -5,8 +5,8 @@
 /**
 Bounds of relative slowness.
 */
-export const SLOWNESS_LEAST = 0.4;
-export const SLOWNESS_MOST = 12;
+export const MIN_SLOWNESS = 0.4;
+export const MAX_SLOWNESS = 12;
 
 /**
 Milliseconds of one slice of the budget's window.
@@ -17,7 +17,7 @@
 Asks that are looked at when a slot comes free, by turn. Those who have waited longest take a slot anywhere; with all looked at, 300 upstreams under
 overload cost a millisecond for each event.
 */
-export const LOOKED_AT_MOST = 64;
+export const MAX_QUEUE_SCAN = 64;
 
 /**
 Milliseconds in a second.
@@ -39,7 +39,7 @@
 /**
 Milliseconds without a request of a service after which a dispatcher counts as newly taking it over.
 */
-export const IDLE_MILLISECONDS = 1000;
+export const TAKEOVER_IDLE_MILLISECONDS = 1000;
 
 /**
 Milliseconds after a takeover, or after the last report of a peer, for which a dispatcher reports its grants.
@@ -49,14 +49,14 @@
 /**
 Milliseconds that a place stays taken after its deadline when its host is not heard: its answer may be under way.
 */
-export const ABANDONED_MILLISECONDS = 500;
+export const HELD_SLOT_GRACE_MILLISECONDS = 500;
 
 /**
 Bounds of the probability of a bad spell by the time since the last success alone. Far less than what a single late request says: what has
 only been quiet must stay in use.
 */
-export const LEAST_PRIOR = 0.002;
-export const MOST_PRIOR = 0.05;
+export const MIN_PRIOR = 0.002;
+export const MAX_PRIOR = 0.05;
 
 /**
 Time in milliseconds over which it is counted which part of a service's requests is not served, and its slices.
@@ -67,7 +67,7 @@
 /**
 Failed requests in that time from which on they count.
 */
-export const SHORTFALL_FAILURES_LEAST = 3;
+export const MIN_SHORTFALL_FAILURES = 3;
 
 /**
 Milliseconds without a request after which an upstream counts as getting nothing.
--- a/packages/wagtailroute-dispatch/src/dispatcher-types.ts
+++ b/packages/wagtailroute-dispatch/src/dispatcher-types.ts
@@ -3,14 +3,14 @@
 */
 import type * as core from 'wagtailroute-core';
 import type {
-	Ask,
-	AskId,
+	SlotRequest,
+	SlotRequestId,
 	Candidate,
 	Effect,
 	Ending,
-	HeldPlace,
+	HeldSlotReport,
 	UpstreamUpdate,
-} from './asks.ts';
+} from './slot-requests.ts';
 import type {BudgetSettings} from './budget.ts';
 import type {IdleUpstream} from './idle-upstreams.ts';
 import type {Policy} from './policy.ts';
@@ -63,25 +63,25 @@
 A dispatcher. Every method takes the monotonic time in milliseconds and returns what is to be done, in order.
 */
 export type Dispatcher = {
-	readonly ask: (ask: Ask, now: number) => readonly Effect[];
+	readonly requestSlot: (request: SlotRequest, now: number) => readonly Effect[];
 	/**
 	Withdraws an ask and returns it, if it waits.
 	*/
-	readonly cancel: (id: AskId) => Ask | undefined;
+	readonly cancel: (id: SlotRequestId) => SlotRequest | undefined;
 	/**
 	Returns the ask to which a place was granted, if it is held here.
 	*/
-	readonly findGranted: (id: AskId) => Ask | undefined;
+	readonly findGrantedRequest: (id: SlotRequestId) => SlotRequest | undefined;
 	/**
 	A granted request has ended.
 
 	@param milliseconds From the send to the answer's header section.
 	*/
-	readonly end: (id: AskId, outcome: {readonly ending: Ending; readonly milliseconds: number}, now: number) => readonly Effect[];
+	readonly end: (id: SlotRequestId, outcome: {readonly ending: Ending; readonly milliseconds: number}, now: number) => readonly Effect[];
 	/**
 	The answer to a granted request advertises something about its upstream.
 	*/
-	readonly recordAdvertisements: (id: AskId, advertisements: readonly core.Advertisement[], now: number) => readonly Effect[];
+	readonly recordAdvertisements: (id: SlotRequestId, advertisements: readonly core.Advertisement[], now: number) => readonly Effect[];
 	/**
 	Applies what another host has learned from answers.
 	*/
@@ -101,7 +101,7 @@
 	/**
 	A host tells the places that it holds of a service; what was counted for it before is forgotten.
 	*/
-	readonly hold: (host: core.HostId, service: core.ServiceName, held: readonly HeldPlace[], now: number) => void;
+	readonly replaceHeldSlots: (host: core.HostId, service: core.ServiceName, held: readonly HeldSlotReport[], now: number) => void;
 	readonly setCandidates: (service: core.ServiceName, candidates: readonly Candidate[], now: number) => readonly Effect[];
 	/**
 	Takes another dispatcher's belief.
@@ -120,7 +120,7 @@
 	Looks for asks that can no longer be served, trials that are due and places that were abandoned.
 	*/
 	readonly tick: (now: number) => readonly Effect[];
-	readonly getWaiting: () => number;
+	readonly countWaiting: () => number;
 	/**
 	Says whether a request waits or holds a place.
 	*/
@@ -128,10 +128,10 @@
 	/**
 	Says whether it knows any upstream of a service.
 	*/
-	readonly knows: (service: core.ServiceName) => boolean;
+	readonly hasUpstreams: (service: core.ServiceName) => boolean;
 	readonly report: (service: core.ServiceName, now: number) => readonly UpstreamReport[];
 	/**
 	Lists the upstreams of a service that get nothing although a part of its requests is not served; none while nearly all are.
 	*/
-	readonly listIdle: (service: core.ServiceName, now: number) => readonly IdleUpstream[];
+	readonly listIdleUpstreams: (service: core.ServiceName, now: number) => readonly IdleUpstream[];
 };
--- a/packages/wagtailroute-dispatch/src/dispatcher.ts
+++ b/packages/wagtailroute-dispatch/src/dispatcher.ts
@@ -15,26 +15,26 @@
 	recordAdvertisement,
 } from './advertisements.ts';
 import {
-	type Ask,
-	type AskId,
+	type SlotRequest,
+	type SlotRequestId,
 	type Candidate,
 	type Effect,
 	type Ending,
-	type HeldPlace,
+	type HeldSlotReport,
 	type RefusalReason,
 	type UpstreamUpdate,
-} from './asks.ts';
+} from './slot-requests.ts';
 import {createBudget} from './budget.ts';
 import {
 	choose,
-	chooseReserve,
+	chooseFallback,
 	chooseTrial,
 	type Choice,
-	type ChoiceCircumstances,
+	type ChoiceContext,
 } from './choosing.ts';
 import {
-	ABANDONED_MILLISECONDS,
-	LOOKED_AT_MOST,
+	HELD_SLOT_GRACE_MILLISECONDS,
+	MAX_QUEUE_SCAN,
 } from './constants.ts';
 import type {Dispatcher, DispatcherSettings, UpstreamReport} from './dispatcher-types.ts';
 import {type IdleUpstream, listIdleUpstreams} from './idle-upstreams.ts';
@@ -42,36 +42,36 @@
 import {createShortfall} from './shortfall.ts';
 import {ServiceRateLimits} from './service-rate-limits.ts';
 import {
-	countUntil,
+	countQueuedUntil,
 	countUsableSlots,
 	getBackoffDelay,
-	getTrialCircumstances,
-	getTurn,
-	getUsual,
-	hasUsableSlot,
+	createTrialContext,
+	getQueueKey,
+	getUsualMilliseconds,
+	hasUsableUpstream,
 	isBelowFloor,
-	isMissed,
+	needsIdleUpstreams,
 	isObjectiveMissed,
-	isTooLate,
-	learnUsual,
-	listDueTrials,
-	listFree,
+	isDeadlineUnreachable,
+	recordUsualMilliseconds,
+	listTrialUpstreams,
+	listFreeUpstreams,
 	type Service,
-	type Waiting,
+	type QueuedRequest,
 } from './services.ts';
 import {
-	createHeldPlace,
+	createHeldSlot,
 	createUpstream,
-	fadeDoubt,
+	decayDoubt,
 	getDoubt,
 	hasCapacity,
 	isSuspended,
 	listBackoffs,
-	type Place,
-	takeBelief,
+	type HeldSlot,
+	applyReportedDoubt,
 	type Upstream,
-	weighEnding,
-	weighTime,
+	applyEnding,
+	recordResponseTime,
 } from './upstreams.ts';
 
 /**
@@ -84,67 +84,67 @@
 class SlotDispatcher implements Dispatcher {
 	readonly #settings: DispatcherSettings;
 	readonly #services = new Map<core.ServiceName, Service>();
-	readonly #places = new Map<AskId, Place>();
-	readonly #waiting = new Map<AskId, Service>();
+	readonly #heldSlots = new Map<SlotRequestId, HeldSlot>();
+	readonly #queuedServices = new Map<SlotRequestId, Service>();
 
 	constructor(settings: DispatcherSettings) {
 		this.#settings = settings;
 	}
 
-	ask(ask: Ask, now: number): readonly Effect[] {
-		const service = this.#getService(ask.service);
-		service.rateLimits.recordAsk(now);
-		if (ask.isMove) {
-			return [this.#moveOrRefuse(service, ask, now)];
+	requestSlot(request: SlotRequest, now: number): readonly Effect[] {
+		const service = this.#getService(request.service);
+		service.rateLimits.recordRequest(now);
+		if (request.isMove) {
+			return [this.#moveOrRefuse(service, request, now)];
 		}
 
-		if (ask.isResend) {
-			if (!service.budget.takeResend(now)) {
-				return [refuse(ask, 'budget', service.policy.retryAfterLeastMilliseconds)];
+		if (request.isResend) {
+			if (!service.budget.consumeResend(now)) {
+				return [refuse(request, 'budget', service.policy.retryAfterLeastMilliseconds)];
 			}
-		} else if (ask.isAgain !== true) {
+		} else if (request.isAgain !== true) {
 			// Counted at each dispatcher that its host turned to, one request would earn several resends.
 			service.budget.countRequest(now);
-			service.shortfall.recordAsk(now);
+			service.shortfall.recordRequest(now);
 		}
 
-		service.repeatableAt = core.isIdempotent(ask.requestClass) ? now : service.repeatableAt;
-		const waiting = this.#addWaiting(service, ask, now);
-		const effects = this.#serveWaiting(service, now);
-		return this.#waiting.has(ask.id) ? [...effects, ...this.#waitOrRefuse(service, waiting, now)] : effects;
+		service.lastIdempotentAt = core.isIdempotent(request.requestClass) ? now : service.lastIdempotentAt;
+		const queued = this.#enqueue(service, request, now);
+		const effects = this.#serveQueue(service, now);
+		return this.#queuedServices.has(request.id) ? [...effects, ...this.#waitOrRefuse(service, queued, now)] : effects;
 	}
 
-	cancel(id: AskId): Ask | undefined {
-		const service = this.#waiting.get(id);
-		return service && this.#removeWaiting(service, id);
+	cancel(id: SlotRequestId): SlotRequest | undefined {
+		const service = this.#queuedServices.get(id);
+		return service && this.#dequeue(service, id);
 	}
 
-	findGranted(id: AskId): Ask | undefined {
-		return this.#places.get(id)?.ask;
+	findGrantedRequest(id: SlotRequestId): SlotRequest | undefined {
+		return this.#heldSlots.get(id)?.request;
 	}
 
-	end(id: AskId, {ending, milliseconds}: {readonly ending: Ending; readonly milliseconds: number}, now: number): readonly Effect[] {
-		const place = this.#places.get(id);
-		if (place === undefined) {
+	end(id: SlotRequestId, {ending, milliseconds}: {readonly ending: Ending; readonly milliseconds: number}, now: number): readonly Effect[] {
+		const heldSlot = this.#heldSlots.get(id);
+		if (heldSlot === undefined) {
 			return [];
 		}
 
-		const service = this.#getService(place.service);
-		const upstream = service.upstreams.get(place.upstream);
-		this.#free(place);
+		const service = this.#getService(heldSlot.service);
+		const upstream = service.upstreams.get(heldSlot.upstream);
+		this.#releaseSlot(heldSlot);
 		const effects: Effect[] = [];
 		if (upstream !== undefined) {
 			const wasSuspended = isSuspended(upstream, now);
-			weighEnding(upstream, place, ending, now);
+			applyEnding(upstream, heldSlot, ending, now);
 			// Trials that find the spell still there must not be what keeps upstreams tried.
-			if (FAILURES.has(ending) && !place.isTrial) {
+			if (FAILURE_ENDINGS.has(ending) && !heldSlot.isTrial) {
 				service.shortfall.recordFailure(now);
 			}
 
 			if (ending === 'success') {
-				weighTime(upstream, place, milliseconds, now);
-				learnUsual(service, place.route, milliseconds);
-				effects.push(...this.#liftRateLimit(service, upstream, place));
+				recordResponseTime(upstream, heldSlot, milliseconds, now);
+				recordUsualMilliseconds(service, heldSlot.route, milliseconds);
+				effects.push(...this.#liftRateLimit(service, upstream, heldSlot));
 			} else if (ending === 'unused') {
 				service.rateLimits.consume(upstream, -1, now);
 			}
@@ -153,7 +153,7 @@
 				effects.push({
 					kind: 'believe',
 					service: service.name,
-					upstream: place.upstream,
+					upstream: heldSlot.upstream,
 					doubt: upstream.doubt,
 					isSuspended: !wasSuspended,
 					cause: ending,
@@ -161,20 +161,20 @@
 			}
 		}
 
-		return [...effects, ...this.#serveWaiting(service, now)];
+		return [...effects, ...this.#serveQueue(service, now)];
 	}
 
-	recordAdvertisements(id: AskId, advertisements: readonly core.Advertisement[], now: number): readonly Effect[] {
-		const place = this.#places.get(id);
-		const service = place && this.#services.get(place.service);
-		const upstream = place && service?.upstreams.get(place.upstream);
-		if (place === undefined || service === undefined || upstream === undefined) {
+	recordAdvertisements(id: SlotRequestId, advertisements: readonly core.Advertisement[], now: number): readonly Effect[] {
+		const heldSlot = this.#heldSlots.get(id);
+		const service = heldSlot && this.#services.get(heldSlot.service);
+		const upstream = heldSlot && service?.upstreams.get(heldSlot.upstream);
+		if (heldSlot === undefined || service === undefined || upstream === undefined) {
 			return [];
 		}
 
-		const source = {upstream, host: place.host};
+		const source = {upstream, host: heldSlot.host};
 		const effects = advertisements.flatMap(advertisement => recordAdvertisement(service, source, advertisement, now));
-		return [...effects, ...this.#refuseStranded(service, advertisements, now)];
+		return [...effects, ...this.#refuseUnservable(service, advertisements, now)];
 	}
 
 	applyUpdates(name: core.ServiceName, updates: readonly UpstreamUpdate[], now: number): readonly Effect[] {
@@ -186,7 +186,7 @@
 			}
 		}
 
-		return this.#refuseStranded(service, updates, now);
+		return this.#refuseUnservable(service, updates, now);
 	}
 
 	isSharingRateLimits(service: core.ServiceName, now: number): boolean {
@@ -201,17 +201,17 @@
 		return collectUpdates(this.#services.values(), service => listUpdates(service, now));
 	}
 
-	hold(host: core.HostId, service: core.ServiceName, held: readonly HeldPlace[], now: number): void {
-		for (const place of this.#places.values().filter(present => present.host === host && present.service === service)) {
-			this.#free(place);
+	replaceHeldSlots(host: core.HostId, service: core.ServiceName, held: readonly HeldSlotReport[], now: number): void {
+		for (const heldSlot of this.#heldSlots.values().filter(present => present.host === host && present.service === service)) {
+			this.#releaseSlot(heldSlot);
 		}
 
 		const present = this.#getService(service);
 		for (const item of held) {
 			const upstream = present.upstreams.get(item.upstream);
-			const place = createHeldPlace(item, present.usual.get(item.route) ?? (item.ageMilliseconds + item.remainingMilliseconds), now);
-			this.#places.set(place.id, place);
-			upstream?.places.set(place.id, place);
+			const heldSlot = createHeldSlot(item, present.usualMillisecondsByRoute.get(item.route) ?? (item.ageMilliseconds + item.remainingMilliseconds), now);
+			this.#heldSlots.set(heldSlot.id, heldSlot);
+			upstream?.heldSlots.set(heldSlot.id, heldSlot);
 		}
 	}
 
@@ -220,7 +220,7 @@
 		const named = new Set(candidates.map(candidate => candidate.upstream));
 		for (const [id, upstream] of service.upstreams) {
 			// Its places stay counted in the table of places, so that their ends are known when they come.
-			if (!named.has(id) && upstream.places.size === 0) {
+			if (!named.has(id) && upstream.heldSlots.size === 0) {
 				service.rateLimits.remove(upstream);
 				service.upstreams.delete(id);
 			} else if (!named.has(id)) {
@@ -239,13 +239,13 @@
 			}
 		}
 
-		return this.#serveWaiting(service, now);
+		return this.#serveQueue(service, now);
 	}
 
 	setDoubt(service: core.ServiceName, upstream: core.UpstreamId, doubt: number, now: number): void {
 		const known = this.#services.get(service)?.upstreams.get(upstream);
 		if (known !== undefined) {
-			takeBelief(known, doubt, now);
+			applyReportedDoubt(known, doubt, now);
 		}
 	}
 
@@ -256,29 +256,29 @@
 		now: number,
 	): void {
 		const known = this.#services.get(service)?.upstreams.get(upstream);
-		const left = known === undefined ? 0 : fadeDoubt(known.policy, doubt, ageMilliseconds);
+		const left = known === undefined ? 0 : decayDoubt(known.policy, doubt, ageMilliseconds);
 		if (known !== undefined && left > getDoubt(known, now)) {
-			takeBelief(known, left, now);
+			applyReportedDoubt(known, left, now);
 		}
 	}
 
 	tick(now: number): readonly Effect[] {
-		for (const place of this.#places.values().filter(present => present.deadlineAt + ABANDONED_MILLISECONDS < now)) {
-			this.#free(place);
+		for (const heldSlot of this.#heldSlots.values().filter(present => present.deadlineAt + HELD_SLOT_GRACE_MILLISECONDS < now)) {
+			this.#releaseSlot(heldSlot);
 		}
 
-		return this.#services.values().flatMap(service => [...this.#serveWaiting(service, now), ...this.#refuseLate(service, now)]).toArray();
+		return this.#services.values().flatMap(service => [...this.#serveQueue(service, now), ...this.#refuseExpiring(service, now)]).toArray();
 	}
 
-	getWaiting(): number {
-		return this.#waiting.size;
+	countWaiting(): number {
+		return this.#queuedServices.size;
 	}
 
 	isBusy(): boolean {
-		return this.#waiting.size > 0 || this.#places.size > 0;
+		return this.#queuedServices.size > 0 || this.#heldSlots.size > 0;
 	}
 
-	knows(service: core.ServiceName): boolean {
+	hasUpstreams(service: core.ServiceName): boolean {
 		return (this.#services.get(service)?.upstreams.size ?? 0) > 0;
 	}
 
@@ -287,7 +287,7 @@
 		return upstreams.map(upstream => ({
 			upstream: upstream.candidate.upstream,
 			failureDomain: upstream.candidate.failureDomain,
-			taken: upstream.places.size,
+			taken: upstream.heldSlots.size,
 			slots: upstream.candidate.slots,
 			doubt: getDoubt(upstream, now),
 			isSuspended: isSuspended(upstream, now),
@@ -297,7 +297,7 @@
 		}));
 	}
 
-	listIdle(name: core.ServiceName, now: number): readonly IdleUpstream[] {
+	listIdleUpstreams(name: core.ServiceName, now: number): readonly IdleUpstream[] {
 		const service = this.#services.get(name);
 		return service === undefined ? [] : listIdleUpstreams(service, now);
 	}
@@ -306,23 +306,27 @@
 	Under load a move would take a slot from who was sent nowhere yet, and throw away what was worked so far: it never waits, and costs
 	the budget nothing when it is refused.
 	*/
-	#moveOrRefuse(service: Service, ask: Ask, now: number): Effect {
-		const choice = service.waiting.length > 0 ? undefined : choose(listFree(service, now), ask, this.#getCircumstances(service, {now, askedAt: now, isMissed: isMissed(service, now)}));
+	#moveOrRefuse(service: Service, request: SlotRequest, now: number): Effect {
+		const choice = service.queue.length > 0
+			? undefined
+			: choose(listFreeUpstreams(service, now), request, this.#createChoiceContext(service, {
+				now, queuedAt: now, needsIdleUpstreams: needsIdleUpstreams(service, now),
+			}));
 		if (choice === undefined) {
-			return refuse(ask, 'no-slot-in-time', service.policy.retryAfterLeastMilliseconds);
+			return refuse(request, 'no-slot-in-time', service.policy.retryAfterLeastMilliseconds);
 		}
 
-		return service.budget.takeResend(now)
-			? this.#grant(service, ask, choice, now)
-			: refuse(ask, 'budget', service.policy.retryAfterLeastMilliseconds);
+		return service.budget.consumeResend(now)
+			? this.#grant(service, request, choice, now)
+			: refuse(request, 'budget', service.policy.retryAfterLeastMilliseconds);
 	}
 
-	#getCircumstances(
+	#createChoiceContext(
 		{upstreams, policy}: Service,
-		{askedAt, now, ...known}: Pick<ChoiceCircumstances, 'now' | 'isMissed'> & {readonly askedAt: number},
-	): ChoiceCircumstances {
+		{queuedAt, now, ...known}: Pick<ChoiceContext, 'now' | 'needsIdleUpstreams'> & {readonly queuedAt: number},
+	): ChoiceContext {
 		return {
-			...known, now, random: this.#settings.random, waitedMilliseconds: now - askedAt, known: upstreams, policy,
+			...known, now, random: this.#settings.random, waitedMilliseconds: now - queuedAt, known: upstreams, policy,
 		};
 	}
 
@@ -330,12 +334,12 @@
 		const service: Service = this.#services.get(name) ?? {
 			name,
 			upstreams: new Map(),
-			waiting: [],
-			usual: new Map(),
+			queue: [],
+			usualMillisecondsByRoute: new Map(),
 			policy: this.#settings.policy ?? DEFAULT_POLICY,
 			shortfall: createShortfall(),
 			budget: createBudget(this.#settings.budget, this.#settings.policy ?? DEFAULT_POLICY),
-			repeatableAt: -Infinity,
+			lastIdempotentAt: -Infinity,
 			unpublishedDraining: new Set(),
 			rateLimits: new ServiceRateLimits({getShare: this.#settings.getShare ?? (() => 1), random: this.#settings.random}),
 		};
@@ -343,122 +347,122 @@
 		return service;
 	}
 
-	#grant(service: Service, ask: Ask, {upstream, isTrial}: Choice, now: number): Effect {
-		const place: Place = {
-			id: ask.id,
-			host: ask.host,
+	#grant(service: Service, request: SlotRequest, {upstream, isTrial}: Choice, now: number): Effect {
+		const heldSlot: HeldSlot = {
+			id: request.id,
+			host: request.host,
 			service: service.name,
 			upstream: upstream.candidate.upstream,
-			route: ask.route,
-			ask,
-			startedAt: now,
-			deadlineAt: now + ask.remainingMilliseconds,
-			usualMilliseconds: getUsual(service, ask),
+			route: request.route,
+			request,
+			grantedAt: now,
+			deadlineAt: now + request.remainingMilliseconds,
+			usualMilliseconds: getUsualMilliseconds(service, request),
 			isTrial,
 		};
-		this.#places.set(place.id, place);
-		upstream.places.set(place.id, place);
-		upstream.startedAt = now;
+		this.#heldSlots.set(heldSlot.id, heldSlot);
+		upstream.heldSlots.set(heldSlot.id, heldSlot);
+		upstream.lastGrantedAt = now;
 		service.rateLimits.consume(upstream, 1, now);
 		return {
-			kind: 'grant', ask, upstream: place.upstream, address: upstream.candidate.address, isTrial,
+			kind: 'grant', request, upstream: heldSlot.upstream, address: upstream.candidate.address, isTrial,
 		};
 	}
 
-	#liftRateLimit({name, rateLimits}: Service, upstream: Upstream, place: Place): readonly Effect[] {
+	#liftRateLimit({name, rateLimits}: Service, upstream: Upstream, heldSlot: HeldSlot): readonly Effect[] {
 		const ratePerSecondBefore = upstream.rateLimit?.getRatePerSecond();
-		return rateLimits.lift(upstream, place.startedAt)
+		return rateLimits.lift(upstream, heldSlot.grantedAt)
 			? [{
-				kind: 'rate-limit', service: name, upstream: place.upstream, ratePerSecondBefore,
+				kind: 'rate-limit', service: name, upstream: heldSlot.upstream, ratePerSecondBefore,
 			}]
 			: [];
 	}
 
-	#free(place: Place): void {
-		this.#places.delete(place.id);
-		const upstreams = this.#services.get(place.service)?.upstreams;
-		const upstream = upstreams?.get(place.upstream);
-		upstream?.places.delete(place.id);
+	#releaseSlot(heldSlot: HeldSlot): void {
+		this.#heldSlots.delete(heldSlot.id);
+		const upstreams = this.#services.get(heldSlot.service)?.upstreams;
+		const upstream = upstreams?.get(heldSlot.upstream);
+		upstream?.heldSlots.delete(heldSlot.id);
 	}
 
-	#waitOrRefuse(service: Service, {ask, turn}: Waiting, now: number): readonly Effect[] {
-		const slots = countUsableSlots(service, ask, now);
-		const usual = getUsual(service, ask);
+	#waitOrRefuse(service: Service, {request, queueKey}: QueuedRequest, now: number): readonly Effect[] {
+		const slots = countUsableSlots(service, request, now);
+		const usual = getUsualMilliseconds(service, request);
 		// Itself included.
-		const wait = slots === 0 ? getBackoffDelay(service, ask, now) : countUntil(service, turn) * usual / slots;
+		const wait = slots === 0 ? getBackoffDelay(service, request, now) : countQueuedUntil(service, queueKey) * usual / slots;
 		const {missedPart, objectivePart} = service.policy;
-		const counted = isObjectiveMissed(service, ask) ? missedPart : 1;
-		const isInObjective = ask.isResend || (wait + (usual * objectivePart)) * counted <= ask.objectiveMilliseconds;
-		if (isInObjective && wait + (usual * service.policy.worthwhilePart) <= ask.remainingMilliseconds) {
+		const counted = isObjectiveMissed(service, request) ? missedPart : 1;
+		const isInObjective = request.isResend || (wait + (usual * objectivePart)) * counted <= request.objectiveMilliseconds;
+		if (isInObjective && wait + (usual * service.policy.worthwhilePart) <= request.remainingMilliseconds) {
 			return [];
 		}
 
-		this.#removeWaiting(service, ask.id);
-		return this.#useReserveOrRefuse(service, ask, {now, wait, slots});
+		this.#dequeue(service, request.id);
+		return this.#useFallbackOrRefuse(service, request, {now, wait, slots});
 	}
 
 	/**
 	Ejecting must never leave less than the floor: below it, what is suspended is better than a refusal. For a first attempt that may be repeated it
 	always is: it finds out, and moves when it hangs.
 	*/
-	#useReserveOrRefuse(
+	#useFallbackOrRefuse(
 		service: Service,
-		ask: Ask,
+		request: SlotRequest,
 		{now, wait, slots}: {readonly now: number; readonly wait: number; readonly slots: number},
 	): readonly Effect[] {
-		const mayFindOut = core.isIdempotent(ask.requestClass)
-			&& !ask.isResend
-			&& ask.remainingMilliseconds >= getUsual(service, ask) * service.policy.worthwhilePart;
-		const mayTry = mayFindOut || isBelowFloor(service, this.#settings.floor, now);
-		const choice = mayTry ? chooseReserve(service.upstreams.values(), ask, now) : undefined;
+		const mayExplore = core.isIdempotent(request.requestClass)
+			&& !request.isResend
+			&& request.remainingMilliseconds >= getUsualMilliseconds(service, request) * service.policy.worthwhilePart;
+		const mayUseSuspended = mayExplore || isBelowFloor(service, this.#settings.floor, now);
+		const choice = mayUseSuspended ? chooseFallback(service.upstreams.values(), request, now) : undefined;
 		if (choice !== undefined) {
-			return [this.#grant(service, ask, choice, now)];
+			return [this.#grant(service, request, choice, now)];
 		}
 
 		service.shortfall.recordFailure(now);
-		const advice = Number.isFinite(wait) ? wait : ask.remainingMilliseconds / 4;
-		const retryAfter = Math.max(service.policy.retryAfterLeastMilliseconds, Math.min(advice, ask.remainingMilliseconds / 3));
-		return [refuse(ask, slots === 0 ? 'no-upstream' : 'no-slot-in-time', retryAfter)];
+		const advice = Number.isFinite(wait) ? wait : request.remainingMilliseconds / 4;
+		const retryAfter = Math.max(service.policy.retryAfterLeastMilliseconds, Math.min(advice, request.remainingMilliseconds / 3));
+		return [refuse(request, slots === 0 ? 'no-upstream' : 'no-slot-in-time', retryAfter)];
 	}
 
-	#addWaiting(service: Service, ask: Ask, now: number): Waiting {
-		const waiting: Waiting = {
-			ask, turn: getTurn(service, ask, now), askedAt: now, deadlineAt: now + ask.remainingMilliseconds,
+	#enqueue(service: Service, request: SlotRequest, now: number): QueuedRequest {
+		const queued: QueuedRequest = {
+			request, queueKey: getQueueKey(service, request, now), queuedAt: now, deadlineAt: now + request.remainingMilliseconds,
 		};
-		service.waiting.splice(countUntil(service, waiting.turn), 0, waiting);
-		this.#waiting.set(ask.id, service);
-		return waiting;
+		service.queue.splice(countQueuedUntil(service, queued.queueKey), 0, queued);
+		this.#queuedServices.set(request.id, service);
+		return queued;
 	}
 
-	#removeWaiting(service: Service, id: AskId): Ask | undefined {
-		this.#waiting.delete(id);
-		const place = service.waiting.findIndex(waiting => waiting.ask.id === id);
-		return place === -1 ? undefined : service.waiting.splice(place, 1)[0]!.ask;
+	#dequeue(service: Service, id: SlotRequestId): SlotRequest | undefined {
+		this.#queuedServices.delete(id);
+		const index = service.queue.findIndex(queued => queued.request.id === id);
+		return index === -1 ? undefined : service.queue.splice(index, 1)[0]!.request;
 	}
 
 	/**
 	Grants what can be granted, by turn. A trial takes no slot from those who wait, so it comes first. Under overload no slot is free, and hundreds
 	wait: so the upstreams with a free slot are listed once, and only the first of those who wait are looked at.
 	*/
-	#serveWaiting(service: Service, now: number): readonly Effect[] {
+	#serveQueue(service: Service, now: number): readonly Effect[] {
 		const effects: Effect[] = [];
-		let free = listFree(service, now);
-		let dueTrials = listDueTrials(service, now);
-		const circumstances = {now, isMissed: isMissed(service, now)};
-		for (const waiting of service.waiting.slice(0, LOOKED_AT_MOST)) {
+		let free = listFreeUpstreams(service, now);
+		let dueTrials = listTrialUpstreams(service, now);
+		const context = {now, needsIdleUpstreams: needsIdleUpstreams(service, now)};
+		for (const queued of service.queue.slice(0, MAX_QUEUE_SCAN)) {
 			if (free.length === 0 && dueTrials.length === 0) {
 				break;
 			}
 
-			const ask = {...waiting.ask, remainingMilliseconds: waiting.deadlineAt - now};
-			const choice = chooseTrial(dueTrials, ask, getTrialCircumstances(service, now, {...circumstances, isFull: free.length === 0}))
-				?? choose(free, ask, this.#getCircumstances(service, {...circumstances, askedAt: waiting.askedAt}));
+			const request = {...queued.request, remainingMilliseconds: queued.deadlineAt - now};
+			const choice = chooseTrial(dueTrials, request, createTrialContext(service, now, {...context, isFull: free.length === 0}))
+				?? choose(free, request, this.#createChoiceContext(service, {...context, queuedAt: queued.queuedAt}));
 			if (choice === undefined) {
 				continue;
 			}
 
-			this.#removeWaiting(service, ask.id);
-			effects.push(this.#grant(service, ask, choice, now));
+			this.#dequeue(service, request.id);
+			effects.push(this.#grant(service, request, choice, now));
 			free = free.filter(upstream => hasCapacity(upstream, now));
 			dueTrials = dueTrials.filter(upstream => hasCapacity(upstream, now));
 		}
@@ -469,25 +473,25 @@
 	/**
 	Refuses the asks that nothing can take any more, since upstreams leave or their host backs off.
 	*/
-	#refuseStranded(service: Service, causes: ReadonlyArray<Pick<core.Advertisement, 'kind'>>, now: number): readonly Effect[] {
+	#refuseUnservable(service: Service, causes: ReadonlyArray<Pick<core.Advertisement, 'kind'>>, now: number): readonly Effect[] {
 		if (causes.every(({kind}) => kind === 'rate-limit')) {
 			return [];
 		}
 
-		return service.waiting
-			.filter(({ask}) => !hasUsableSlot(service, ask, now))
-			.flatMap(waiting => this.#waitOrRefuse(service, {...waiting, ask: {...waiting.ask, remainingMilliseconds: waiting.deadlineAt - now}}, now));
+		return service.queue
+			.filter(({request}) => !hasUsableUpstream(service, request, now))
+			.flatMap(queued => this.#waitOrRefuse(service, {...queued, request: {...queued.request, remainingMilliseconds: queued.deadlineAt - now}}, now));
 	}
 
 	/**
 	Refuses what can no longer be answered in time.
 	*/
-	#refuseLate(service: Service, now: number): readonly Effect[] {
-		const late = service.waiting.filter(waiting => isTooLate(service, waiting, now));
-		return late.flatMap(({ask, deadlineAt}) => {
-			this.#removeWaiting(service, ask.id);
-			const remaining = {...ask, remainingMilliseconds: deadlineAt - now};
-			return this.#useReserveOrRefuse(service, remaining, {now, wait: Infinity, slots: 1});
+	#refuseExpiring(service: Service, now: number): readonly Effect[] {
+		const late = service.queue.filter(queued => isDeadlineUnreachable(service, queued, now));
+		return late.flatMap(({request, deadlineAt}) => {
+			this.#dequeue(service, request.id);
+			const remainingRequest = {...request, remainingMilliseconds: deadlineAt - now};
+			return this.#useFallbackOrRefuse(service, remainingRequest, {now, wait: Infinity, slots: 1});
 		});
 	}
 }
@@ -495,11 +499,11 @@
 /**
 Endings of a request that something may have come of, so that its caller gets no answer or a bad one.
 */
-const FAILURES: ReadonlySet<Ending> = new Set(['error', 'reset', 'timeout']);
+const FAILURE_ENDINGS: ReadonlySet<Ending> = new Set(['error', 'reset', 'timeout']);
 
-function refuse(ask: Ask, reason: RefusalReason, retryAfterMilliseconds: number): Effect {
+function refuse(request: SlotRequest, reason: RefusalReason, retryAfterMilliseconds: number): Effect {
 	return {
-		kind: 'refuse', ask, reason, retryAfterMilliseconds,
+		kind: 'refuse', request, reason, retryAfterMilliseconds,
 	};
 }
 
--- a/packages/wagtailroute-dispatch/src/idle-upstreams.ts
+++ b/packages/wagtailroute-dispatch/src/idle-upstreams.ts
@@ -3,10 +3,10 @@
 */
 import type * as core from 'wagtailroute-core';
 import {IDLE_UPSTREAM_MILLISECONDS} from './constants.ts';
-import {isShort, type Service} from './services.ts';
+import {hasShortfall, type Service} from './services.ts';
 import {
 	getDoubt,
-	isQuiet,
+	isIdle,
 	isServing,
 	isSuspended,
 	type Upstream,
@@ -35,22 +35,22 @@
 Lists them; none while nearly all requests are served.
 */
 export function listIdleUpstreams(service: Service, now: number): readonly IdleUpstream[] {
-	if (!isShort(service, now)) {
+	if (!hasShortfall(service, now)) {
 		return [];
 	}
 
 	return service.upstreams.values()
-		.filter(upstream => isServing(upstream) && isQuiet(upstream, IDLE_UPSTREAM_MILLISECONDS, now))
+		.filter(upstream => isServing(upstream) && isIdle(upstream, IDLE_UPSTREAM_MILLISECONDS, now))
 		.map((upstream): IdleUpstream => ({
 			upstream: upstream.candidate.upstream,
-			cause: findCause(upstream, now),
+			cause: getIdleCause(upstream, now),
 			doubt: getDoubt(upstream, now),
-			failedMillisecondsAgo: now - upstream.failedAt,
+			failedMillisecondsAgo: now - upstream.lastFailureAt,
 		}))
 		.toArray();
 }
 
-function findCause(upstream: Upstream, now: number): IdleCause {
+function getIdleCause(upstream: Upstream, now: number): IdleCause {
 	if (isSuspended(upstream, now)) {
 		return upstream.candidate.isSilent ? 'silent' : 'suspended';
 	}
--- a/packages/wagtailroute-dispatch/src/recent-counts.ts
+++ b/packages/wagtailroute-dispatch/src/recent-counts.ts
@@ -25,14 +25,14 @@
 	const names = Object.keys(zero) as Name[];
 	const slices: Array<{readonly startedAt: number; readonly counts: Record<Name, number>}> = [];
 
-	const forget = (now: number) => {
+	const evictExpired = (now: number) => {
 		while (slices.length > 0 && now - slices[0]!.startedAt > windowMilliseconds) {
 			slices.shift();
 		}
 	};
 
 	const getCounts = (now: number) => {
-		forget(now);
+		evictExpired(now);
 		const last = slices.at(-1);
 		if (last !== undefined && now - last.startedAt < sliceMilliseconds) {
 			return last.counts;
@@ -48,7 +48,7 @@
 			getCounts(now)[name]++;
 		},
 		sum(now) {
-			forget(now);
+			evictExpired(now);
 			const total: Record<Name, number> = {...zero};
 			for (const {counts} of slices) {
 				for (const name of names) {
--- a/packages/wagtailroute-dispatch/src/service-rate-limits.ts
+++ b/packages/wagtailroute-dispatch/src/service-rate-limits.ts
@@ -5,15 +5,15 @@
 has taken over a service, and for as long as it receives reports of another one. On its own it only reports changed rates.
 */
 import type * as core from 'wagtailroute-core';
-import type {RateLimitUpdate} from './asks.ts';
-import {IDLE_MILLISECONDS, PEER_ACTIVE_MILLISECONDS} from './constants.ts';
+import type {RateLimitUpdate} from './slot-requests.ts';
+import {TAKEOVER_IDLE_MILLISECONDS, PEER_ACTIVE_MILLISECONDS} from './constants.ts';
 import {type AdvertisedRate, UpstreamRateLimit} from './upstream-rate-limit.ts';
 import type {Upstream} from './upstreams.ts';
 
 /**
 What the rate limits of a service depend on.
 */
-export type ServiceRateLimitsPlan = {
+export type ServiceRateLimitsOptions = {
 	/**
 	Returns the share of the fleet's requests that this dispatcher handles, 0 to 1.
 	*/
@@ -28,14 +28,14 @@
 Rate limits of a service. Times are in milliseconds of a monotonic clock.
 */
 export class ServiceRateLimits {
-	readonly #plan: ServiceRateLimitsPlan;
+	readonly #options: ServiceRateLimitsOptions;
 	readonly #limits = new Map<core.UpstreamId, UpstreamRateLimit>();
-	readonly #lifted = new Set<core.UpstreamId>();
-	#lastAskAt = -Infinity;
+	readonly #unpublishedLifts = new Set<core.UpstreamId>();
+	#lastRequestAt = -Infinity;
 	#peersActiveUntil = -Infinity;
 
-	constructor(plan: ServiceRateLimitsPlan) {
-		this.#plan = plan;
+	constructor(plan: ServiceRateLimitsOptions) {
+		this.#options = plan;
 	}
 
 	/**
@@ -47,12 +47,12 @@
 			return;
 		}
 
-		const {getShare, random} = this.#plan;
+		const {getShare, random} = this.#options;
 		upstream.rateLimit = new UpstreamRateLimit({
 			advertised, burstSeconds: upstream.policy.rateBurstSeconds, share: getShare(now), random,
 		}, now);
 		this.#limits.set(upstream.candidate.upstream, upstream.rateLimit);
-		this.#lifted.delete(upstream.candidate.upstream);
+		this.#unpublishedLifts.delete(upstream.candidate.upstream);
 	}
 
 	/**
@@ -66,7 +66,7 @@
 		}
 
 		this.remove(upstream);
-		this.#lifted.add(upstream.candidate.upstream);
+		this.#unpublishedLifts.add(upstream.candidate.upstream);
 		return true;
 	}
 
@@ -85,24 +85,24 @@
 		}
 
 		this.record(upstream, {ratePerSecond, advertisedAt: now - ageMilliseconds, isPublished: true}, now);
-		upstream.rateLimit?.consumeRemote(granted, now);
+		upstream.rateLimit?.consumePeerGrants(granted, now);
 		this.#peersActiveUntil = granted > 0 ? now + PEER_ACTIVE_MILLISECONDS : this.#peersActiveUntil;
 	}
 
 	/**
 	Records that a request of the service is dispatched here.
 	*/
-	recordAsk(now: number): void {
-		if (now - this.#lastAskAt > IDLE_MILLISECONDS) {
+	recordRequest(now: number): void {
+		if (now - this.#lastRequestAt > TAKEOVER_IDLE_MILLISECONDS) {
 			this.#peersActiveUntil = now + PEER_ACTIVE_MILLISECONDS;
 		}
 
-		this.#lastAskAt = now;
+		this.#lastRequestAt = now;
 		if (this.#limits.size === 0) {
 			return;
 		}
 
-		const share = this.#plan.getShare(now);
+		const share = this.#options.getShare(now);
 		for (const limit of this.#limits.values()) {
 			limit.setShare(share, now);
 		}
@@ -133,10 +133,10 @@
 	Returns the updates since the last call.
 	*/
 	flushUpdates(now: number): readonly RateLimitUpdate[] {
-		const updates: RateLimitUpdate[] = this.#lifted.values().map((upstream): RateLimitUpdate => ({
+		const updates: RateLimitUpdate[] = this.#unpublishedLifts.values().map((upstream): RateLimitUpdate => ({
 			kind: 'rate-limit', upstream, ratePerSecond: null, ageMilliseconds: 0, granted: 0,
 		})).toArray();
-		this.#lifted.clear();
+		this.#unpublishedLifts.clear();
 		for (const [upstream, limit] of this.#limits) {
 			const {isRateChanged, granted} = limit.flushPending();
 			if (isRateChanged || granted > 0) {
--- a/packages/wagtailroute-dispatch/src/asks.ts
+++ b/packages/wagtailroute-dispatch/src/slot-requests.ts
@@ -6,13 +6,13 @@
 /**
 Names one ask over the fleet.
 */
-export type AskId = string;
+export type SlotRequestId = string;
 
 /**
 A host asks where to send a request.
 */
-export type Ask = {
-	readonly id: AskId;
+export type SlotRequest = {
+	readonly id: SlotRequestId;
 	readonly host: core.HostId;
 	readonly failureDomain: core.FailureDomain;
 	readonly service: core.ServiceName;
@@ -62,7 +62,7 @@
 /**
 Says whether nobody had the request before.
 */
-export function isFirst({isResend, isMove}: Ask): boolean {
+export function isFirstAttempt({isResend, isMove}: SlotRequest): boolean {
 	return !isResend && !isMove;
 }
 
@@ -95,14 +95,14 @@
 export type Effect =
 	| {
 		readonly kind: 'grant';
-		readonly ask: Ask;
+		readonly request: SlotRequest;
 		readonly upstream: core.UpstreamId;
 		readonly address: core.Address;
 		readonly isTrial: boolean;
 	}
 	| {
 		readonly kind: 'refuse';
-		readonly ask: Ask;
+		readonly request: SlotRequest;
 		readonly reason: RefusalReason;
 		readonly retryAfterMilliseconds: number;
 	}
@@ -193,8 +193,8 @@
 /**
 A place that a host holds at an upstream, told when it turns to another dispatcher.
 */
-export type HeldPlace = {
-	readonly id: AskId;
+export type HeldSlotReport = {
+	readonly id: SlotRequestId;
 	readonly host: core.HostId;
 	readonly service: core.ServiceName;
 	readonly route: string;
--- a/packages/wagtailroute-dispatch/src/upstream-rate-limit.ts
+++ b/packages/wagtailroute-dispatch/src/upstream-rate-limit.ts
@@ -29,7 +29,7 @@
 /**
 What a limit is created from.
 */
-export type UpstreamRateLimitPlan = {
+export type UpstreamRateLimitOptions = {
 	readonly advertised: AdvertisedRate;
 	/**
 	Capacity of the bucket, in seconds' worth of the rate.
@@ -66,7 +66,7 @@
 
 	constructor({
 		advertised, burstSeconds, share, random,
-	}: UpstreamRateLimitPlan, now: number) {
+	}: UpstreamRateLimitOptions, now: number) {
 		this.#advertisedAt = advertised.advertisedAt;
 		this.#ratePerSecond = advertised.ratePerSecond;
 		this.#share = share;
@@ -148,9 +148,9 @@
 	/**
 	Consumes tokens for requests granted by a peer. Updates that were delayed arrive together, so the debt is bounded.
 	*/
-	consumeRemote(requests: number, now: number): void {
-		const most = this.#bucket.getTokens(now) + Math.max(MAX_DEBT_REQUESTS, this.#getRate() * MAX_DEBT_SECONDS);
-		this.#bucket.takeToken(now, Math.min(requests, Math.max(0, most)));
+	consumePeerGrants(requests: number, now: number): void {
+		const maxTokens = this.#bucket.getTokens(now) + Math.max(MAX_DEBT_REQUESTS, this.#getRate() * MAX_DEBT_SECONDS);
+		this.#bucket.takeToken(now, Math.min(requests, Math.max(0, maxTokens)));
 	}
 
 	/**
--- a/packages/wagtailroute-dispatch/src/upstreams.ts
+++ b/packages/wagtailroute-dispatch/src/upstreams.ts
@@ -3,18 +3,18 @@
 */
 import type * as core from 'wagtailroute-core';
 import type {
-	Ask,
+	SlotRequest,
 	BackoffUpdate,
 	Candidate,
 	Ending,
-	HeldPlace,
-} from './asks.ts';
+	HeldSlotReport,
+} from './slot-requests.ts';
 import {
-	LEAST_PRIOR,
+	MIN_PRIOR,
 	MILLISECONDS_PER_SECOND,
-	MOST_PRIOR,
-	SLOWNESS_LEAST,
-	SLOWNESS_MOST,
+	MAX_PRIOR,
+	MIN_SLOWNESS,
+	MAX_SLOWNESS,
 } from './constants.ts';
 import type {Policy} from './policy.ts';
 import type {UpstreamRateLimit} from './upstream-rate-limit.ts';
@@ -22,7 +22,7 @@
 /**
 A place that is taken.
 */
-export type Place = {
+export type HeldSlot = {
 	readonly id: string;
 	readonly host: core.HostId;
 	readonly service: core.ServiceName;
@@ -31,8 +31,8 @@
 	/**
 	The ask that it was granted to; absent when a host told it.
 	*/
-	readonly ask?: Ask;
-	readonly startedAt: number;
+	readonly request?: SlotRequest;
+	readonly grantedAt: number;
 	readonly deadlineAt: number;
 	readonly usualMilliseconds: number;
 	readonly isTrial: boolean;
@@ -44,21 +44,21 @@
 export type Upstream = {
 	readonly policy: Policy;
 	candidate: Candidate;
-	readonly places: Map<string, Place>;
+	readonly heldSlots: Map<string, HeldSlot>;
 	readonly createdAt: number;
 	/**
 	Time of the last request that was sent there.
 	*/
-	startedAt: number;
+	lastGrantedAt: number;
 	/**
 	Read it by {@link getDoubt}: it fades.
 	*/
 	doubt: number;
-	doubtAt: number;
-	failedAt: number;
+	doubtUpdatedAt: number;
+	lastFailureAt: number;
 	slowness: number;
-	slownessAt: number;
-	provenAt: number;
+	slownessUpdatedAt: number;
+	lastSuccessAt: number;
 	/**
 	Nothing is sent before this time.
 	*/
@@ -66,12 +66,12 @@
 	/**
 	Time of the next trial while suspended.
 	*/
-	trialAt: number;
+	nextTrialAt: number;
 	failedTrials: number;
 	/**
 	Hosts whose path here is at fault, with the time until which they send nothing.
 	*/
-	readonly badPaths: Map<core.HostId, number>;
+	readonly suspectPaths: Map<core.HostId, number>;
 	/**
 	Hosts that it asked to send nothing, with the time until which they do.
 	*/
@@ -97,19 +97,19 @@
 	return {
 		policy,
 		candidate,
-		places: new Map(),
+		heldSlots: new Map(),
 		createdAt: now,
-		startedAt: -Infinity,
+		lastGrantedAt: -Infinity,
 		doubt: 0,
-		doubtAt: now,
-		failedAt: -Infinity,
+		doubtUpdatedAt: now,
+		lastFailureAt: -Infinity,
 		slowness: candidate.warmAt > now ? policy.coldSlowness : 1,
-		slownessAt: now,
-		provenAt: -Infinity,
+		slownessUpdatedAt: now,
+		lastSuccessAt: -Infinity,
 		closedUntil: -Infinity,
-		trialAt: -Infinity,
+		nextTrialAt: -Infinity,
 		failedTrials: 0,
-		badPaths: new Map(),
+		suspectPaths: new Map(),
 		backoffs: new Map(),
 		isMisdirected: false,
 		isDraining: false,
@@ -120,13 +120,13 @@
 Returns what speaks against it. Doubt fades unless the upstream is silent as well.
 */
 export function getDoubt(upstream: Upstream, now: number): number {
-	return upstream.candidate.isSilent ? upstream.doubt : fadeDoubt(upstream.policy, upstream.doubt, now - upstream.doubtAt);
+	return upstream.candidate.isSilent ? upstream.doubt : decayDoubt(upstream.policy, upstream.doubt, now - upstream.doubtUpdatedAt);
 }
 
 /**
 Returns what is left of doubt after a while.
 */
-export function fadeDoubt({fadingDoubt}: Policy, doubt: number, milliseconds: number): number {
+export function decayDoubt({fadingDoubt}: Policy, doubt: number, milliseconds: number): number {
 	return Math.max(0, doubt - (milliseconds / MILLISECONDS_PER_SECOND * fadingDoubt));
 }
 
@@ -135,23 +135,23 @@
 */
 export function setDoubt(upstream: Upstream, doubt: number, now: number): void {
 	upstream.doubt = Math.min(upstream.policy.mostDoubt, Math.max(0, doubt));
-	upstream.doubtAt = now;
+	upstream.doubtUpdatedAt = now;
 }
 
 /**
 Takes another dispatcher's word of what speaks against it. That one goes on with trials, or has just done the last one: this one waits
 longest before its first. Without the wait, every host that dispatches alone would at once send a request there that may not be repeated.
 */
-export function takeBelief(upstream: Upstream, doubt: number, now: number): void {
+export function applyReportedDoubt(upstream: Upstream, doubt: number, now: number): void {
 	setDoubt(upstream, doubt, now);
-	upstream.trialAt = now + upstream.policy.trialMostMilliseconds;
+	upstream.nextTrialAt = now + upstream.policy.trialMostMilliseconds;
 }
 
 /**
 Says whether a request more fits in.
 */
-function hasFreeSlot({places, candidate}: Upstream): boolean {
-	return places.size < candidate.slots;
+function hasFreeSlot({heldSlots, candidate}: Upstream): boolean {
+	return heldSlots.size < candidate.slots;
 }
 
 /**
@@ -180,8 +180,8 @@
 /**
 Says whether it has had no request for a while.
 */
-export function isQuiet({places, startedAt, createdAt}: Upstream, milliseconds: number, now: number): boolean {
-	return places.size === 0 && now - Math.max(startedAt, createdAt) > milliseconds;
+export function isIdle({heldSlots, lastGrantedAt, createdAt}: Upstream, milliseconds: number, now: number): boolean {
+	return heldSlots.size === 0 && now - Math.max(lastGrantedAt, createdAt) > milliseconds;
 }
 
 /**
@@ -195,7 +195,7 @@
 Returns how many times as long as usual its requests take. What was measured long ago counts for less.
 */
 export function getSlowness(upstream: Upstream, now: number): number {
-	const weight = Math.exp((upstream.slownessAt - now) / upstream.policy.slownessMilliseconds);
+	const weight = Math.exp((upstream.slownessUpdatedAt - now) / upstream.policy.slownessMilliseconds);
 	const measured = 1 + ((upstream.slowness - 1) * weight);
 	return now < upstream.candidate.warmAt ? Math.max(upstream.policy.coldSlowness, measured) : measured;
 }
@@ -206,13 +206,13 @@
 several at once more than one. What began before a later one was served says nothing: its path may be at fault.
 */
 export function getRisk(upstream: Upstream, now: number): number {
-	const {policy, provenAt, createdAt} = upstream;
-	const quiet = Math.min(1, policy.spellsPerSecond * (now - Math.max(provenAt, createdAt)) / MILLISECONDS_PER_SECOND);
-	const prior = Math.min(MOST_PRIOR, Math.max(LEAST_PRIOR, quiet));
+	const {policy, lastSuccessAt, createdAt} = upstream;
+	const quiet = Math.min(1, policy.spellsPerSecond * (now - Math.max(lastSuccessAt, createdAt)) / MILLISECONDS_PER_SECOND);
+	const prior = Math.min(MAX_PRIOR, Math.max(MIN_PRIOR, quiet));
 	let odds = prior / (1 - prior) * Math.exp(getDoubt(upstream, now));
-	for (const place of upstream.places.values()) {
-		const survival = 1 / (1 + (((now - place.startedAt) / place.usualMilliseconds) ** policy.survivalSteepness));
-		const isOvertaken = provenAt > place.startedAt + place.usualMilliseconds;
+	for (const heldSlot of upstream.heldSlots.values()) {
+		const survival = 1 / (1 + (((now - heldSlot.grantedAt) / heldSlot.usualMilliseconds) ** policy.survivalSteepness));
+		const isOvertaken = lastSuccessAt > heldSlot.grantedAt + heldSlot.usualMilliseconds;
 		odds *= isOvertaken ? 1 : (policy.harmedPart + ((1 - policy.harmedPart) * survival)) / survival;
 	}
 
@@ -222,20 +222,20 @@
 /**
 Says whether a request lasts so long that its path may be at fault.
 */
-function isOverdue({policy}: Upstream, place: Place, now: number): boolean {
-	return now - place.startedAt > Math.max(policy.overdueMilliseconds, policy.overdueRatio * place.usualMilliseconds);
+function isOverdue({policy}: Upstream, heldSlot: HeldSlot, now: number): boolean {
+	return now - heldSlot.grantedAt > Math.max(policy.overdueMilliseconds, policy.overdueRatio * heldSlot.usualMilliseconds);
 }
 
 /**
 Says whether a request of this host hangs there, or lately hung.
 */
-export function isPathBad(upstream: Upstream, host: core.HostId, now: number): boolean {
-	if ((upstream.badPaths.get(host) ?? -Infinity) > now) {
+export function isPathSuspect(upstream: Upstream, host: core.HostId, now: number): boolean {
+	if ((upstream.suspectPaths.get(host) ?? -Infinity) > now) {
 		return true;
 	}
 
-	for (const place of upstream.places.values()) {
-		if (place.host === host && isOverdue(upstream, place, now)) {
+	for (const heldSlot of upstream.heldSlots.values()) {
+		if (heldSlot.host === host && isOverdue(upstream, heldSlot, now)) {
 			return true;
 		}
 	}
@@ -277,28 +277,28 @@
 /**
 What an ending does.
 */
-type Consequence = {
+type Evidence = {
 	readonly doubt: number;
 	/**
 	It brings doubt no higher than this.
 	*/
-	readonly most?: number;
+	readonly maxDoubt?: number;
 	/**
 	The path between the host and the upstream may be at fault.
 	*/
-	readonly isOfPath?: boolean;
+	readonly isPathEvidence?: boolean;
 	readonly closedMilliseconds?: number;
 };
 
-const CONSEQUENCES: Readonly<Record<Ending, (policy: Policy) => Consequence>> = {
+const EVIDENCE_BY_ENDING: Readonly<Record<Ending, (policy: Policy) => Evidence>> = {
 	success: policy => ({doubt: -policy.successDoubt}),
 	error: policy => ({doubt: policy.errorDoubt}),
 	reset: policy => ({doubt: policy.resetDoubt}),
 	refused: policy => ({doubt: policy.refusedDoubt}),
-	unreachable: policy => ({doubt: policy.silenceDoubt, isOfPath: true}),
-	timeout: policy => ({doubt: policy.silenceDoubt, isOfPath: true}),
+	unreachable: policy => ({doubt: policy.silenceDoubt, isPathEvidence: true}),
+	timeout: policy => ({doubt: policy.silenceDoubt, isPathEvidence: true}),
 	overdue: policy => ({doubt: policy.overdueDoubt}),
-	shed: policy => ({doubt: policy.shedDoubt, most: policy.mostShedDoubt, closedMilliseconds: policy.shedMilliseconds}),
+	shed: policy => ({doubt: policy.shedDoubt, maxDoubt: policy.mostShedDoubt, closedMilliseconds: policy.shedMilliseconds}),
 	misdirected: policy => ({doubt: policy.mostDoubt}),
 	cancelled: () => ({doubt: 0}),
 	unused: () => ({doubt: 0}),
@@ -307,55 +307,55 @@
 /**
 Takes the ending of a request as evidence.
 */
-export function weighEnding(upstream: Upstream, place: Place, ending: Ending, now: number): void {
-	const {doubt, most = Infinity, isOfPath = false, closedMilliseconds = 0} = CONSEQUENCES[ending](upstream.policy);
+export function applyEnding(upstream: Upstream, heldSlot: HeldSlot, ending: Ending, now: number): void {
+	const {doubt, maxDoubt = Infinity, isPathEvidence = false, closedMilliseconds = 0} = EVIDENCE_BY_ENDING[ending](upstream.policy);
 	const wasSuspended = isSuspended(upstream, now);
 	const before = getDoubt(upstream, now);
-	const after = Math.min(most, before + doubt);
+	const after = Math.min(maxDoubt, before + doubt);
 	setDoubt(upstream, doubt > 0 ? Math.max(before, after) : after, now);
 	upstream.closedUntil = Math.max(upstream.closedUntil, now + closedMilliseconds);
 	upstream.isMisdirected ||= ending === 'misdirected';
-	if (isOfPath) {
-		upstream.badPaths.set(place.host, now + upstream.policy.pathMilliseconds);
+	if (isPathEvidence) {
+		upstream.suspectPaths.set(heldSlot.host, now + upstream.policy.pathMilliseconds);
 	}
 
 	if (ending === 'success') {
-		upstream.provenAt = now;
-		upstream.badPaths.delete(place.host);
-		upstream.trialAt = now;
+		upstream.lastSuccessAt = now;
+		upstream.suspectPaths.delete(heldSlot.host);
+		upstream.nextTrialAt = now;
 		upstream.failedTrials = 0;
 	} else if (doubt > 0) {
-		upstream.failedAt = now;
+		upstream.lastFailureAt = now;
 	}
 
 	if (doubt <= 0 || !isSuspended(upstream, now)) {
 		return;
 	}
 
-	upstream.failedTrials = wasSuspended && place.isTrial ? upstream.failedTrials + 1 : upstream.failedTrials;
-	upstream.trialAt = now + Math.min(upstream.policy.trialMostMilliseconds, upstream.policy.trialLeastMilliseconds * (2 ** upstream.failedTrials));
+	upstream.failedTrials = wasSuspended && heldSlot.isTrial ? upstream.failedTrials + 1 : upstream.failedTrials;
+	upstream.nextTrialAt = now + Math.min(upstream.policy.trialMostMilliseconds, upstream.policy.trialLeastMilliseconds * (2 ** upstream.failedTrials));
 }
 
 /**
 Takes the time of a request as a measurement of slowness.
 */
-export function weighTime(upstream: Upstream, place: Place, milliseconds: number, now: number): void {
-	const relative = Math.min(SLOWNESS_MOST, Math.max(SLOWNESS_LEAST, milliseconds / place.usualMilliseconds));
+export function recordResponseTime(upstream: Upstream, heldSlot: HeldSlot, milliseconds: number, now: number): void {
+	const relative = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, milliseconds / heldSlot.usualMilliseconds));
 	upstream.slowness = (getSlowness(upstream, now) * (1 - upstream.policy.slownessShare)) + (relative * upstream.policy.slownessShare);
-	upstream.slownessAt = now;
+	upstream.slownessUpdatedAt = now;
 }
 
 /**
 Creates the place that a host says it holds.
 */
-export function createHeldPlace(held: HeldPlace, usualMilliseconds: number, now: number): Place {
+export function createHeldSlot(held: HeldSlotReport, usualMilliseconds: number, now: number): HeldSlot {
 	return {
 		id: held.id,
 		host: held.host,
 		service: held.service,
 		upstream: held.upstream,
 		route: held.route,
-		startedAt: now - held.ageMilliseconds,
+		grantedAt: now - held.ageMilliseconds,
 		deadlineAt: now + held.remainingMilliseconds,
 		usualMilliseconds,
 		isTrial: false,
--- a/packages/wagtailroute-fleet/src/__tests__/unit/allotting.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/allotting.test.ts
@@ -60,7 +60,7 @@
 	});
 	await context.pass(FILLED_MILLISECONDS);
 	let count = 0;
-	const ask = (more: Partial<dispatch.Ask> = {}) => {
+	const ask = (more: Partial<dispatch.SlotRequest> = {}) => {
 		count++;
 		const id = `front:${count}`;
 		return {
--- a/packages/wagtailroute-fleet/src/__tests__/unit/held-places.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/held-places.test.ts
@@ -6,7 +6,7 @@
 import {createHeldPlaces} from '../../held-places.ts';
 import * as fixture from './fixture.ts';
 
-const ASK: dispatch.Ask = {
+const ASK: dispatch.SlotRequest = {
 	...fixture.ASK_DRAFT, id: 'h:1', host: 'h', failureDomain: 'x',
 };
 
--- a/packages/wagtailroute-fleet/src/allotting.ts
+++ b/packages/wagtailroute-fleet/src/allotting.ts
@@ -21,11 +21,11 @@
 	/**
 	Takes an ask from its organisation's allotment; a refusal when there is nothing left.
 	*/
-	readonly admit: (ask: dispatch.Ask) => DecidedAnswer | undefined;
+	readonly admit: (ask: dispatch.SlotRequest) => DecidedAnswer | undefined;
 	/**
 	Gives back what was taken for an ask that was granted no place.
 	*/
-	readonly giveBack: (ask: dispatch.Ask) => void;
+	readonly giveBack: (ask: dispatch.SlotRequest) => void;
 	/**
 	Takes all that an entry host was admitted by other dispatchers in the last window, before it asks here for the first time.
 	*/
@@ -131,7 +131,7 @@
 /**
 An organisation that floods is refused hundreds of times a second: each refusal is counted, one in a while is logged and tells how many there were.
 */
-function createRefusalLog(context: FleetContext): (ask: dispatch.Ask, refused: Refused) => void {
+function createRefusalLog(context: FleetContext): (ask: dispatch.SlotRequest, refused: Refused) => void {
 	const log = context.logs('allotment');
 	const labels = new Set<string>();
 	const quiet = new Map<core.Organisation, {readonly loggedAt: number; refusals: number}>();
--- a/packages/wagtailroute-fleet/src/ask-methods.ts
+++ b/packages/wagtailroute-fleet/src/ask-methods.ts
@@ -47,7 +47,7 @@
 		return asker;
 	};
 
-	const restore = (ask: ShortAsk, from: link.Link): dispatch.Ask => {
+	const restore = (ask: ShortAsk, from: link.Link): dispatch.SlotRequest => {
 		const {id, failureDomain} = getAsker(from);
 		const [, origin] = ask;
 		const [routeNumber, organisationNumber] = typeof origin === 'number' ? [origin, undefined] : origin;
--- a/packages/wagtailroute-fleet/src/ask-wire.ts
+++ b/packages/wagtailroute-fleet/src/ask-wire.ts
@@ -14,7 +14,7 @@
 /**
 What all asks of a route have in common.
 */
-export type AskedRoute = Pick<dispatch.Ask, 'service' | 'route' | 'requestClass' | 'priority' | 'objectiveMilliseconds'>;
+export type AskedRoute = Pick<dispatch.SlotRequest, 'service' | 'route' | 'requestClass' | 'priority' | 'objectiveMilliseconds'>;
 
 /**
 A route told to a dispatcher: its number on this link, and what it stands for.
@@ -59,14 +59,14 @@
 /**
 Returns the fleet's name of an ask.
 */
-export function createAskId(host: core.HostId, ask: number): dispatch.AskId {
+export function createAskId(host: core.HostId, ask: number): dispatch.SlotRequestId {
 	return `${host}:${ask}`;
 }
 
 /**
 Returns the number that an ask has on its host.
 */
-export function getAskNumber(id: dispatch.AskId): number {
+export function getAskNumber(id: dispatch.SlotRequestId): number {
 	return Number(id.slice(id.lastIndexOf(':') + 1));
 }
 
@@ -117,7 +117,7 @@
 /**
 Returns the part of an ask that all of its route have in common.
 */
-export function getAskedRoute({service, route, requestClass, priority, objectiveMilliseconds}: dispatch.Ask): AskedRoute {
+export function getAskedRoute({service, route, requestClass, priority, objectiveMilliseconds}: dispatch.SlotRequest): AskedRoute {
 	return {
 		service, route, requestClass, priority, objectiveMilliseconds,
 	};
@@ -126,7 +126,7 @@
 /**
 Shortens an ask.
 */
-export function shortenAsk(ask: dispatch.Ask, origin: AskOrigin): ShortAsk {
+export function shortenAsk(ask: dispatch.SlotRequest, origin: AskOrigin): ShortAsk {
 	const remaining = Math.floor(ask.remainingMilliseconds);
 	const waited = Math.floor(ask.waitedMilliseconds);
 	const short = [getAskNumber(ask.id), origin, remaining] as const;
@@ -142,9 +142,9 @@
 */
 export function restoreAsk(
 	[ask, , remainingMilliseconds, excluded = [], isResend = false, isMove = false, waitedMilliseconds = 0, isAgain]: ShortAsk,
-	from: Pick<dispatch.Ask, 'host' | 'failureDomain' | 'organisation'>,
+	from: Pick<dispatch.SlotRequest, 'host' | 'failureDomain' | 'organisation'>,
 	route: AskedRoute,
-): dispatch.Ask {
+): dispatch.SlotRequest {
 	return {
 		...route, ...from, id: createAskId(from.host, ask), remainingMilliseconds, excluded, isResend, isMove, waitedMilliseconds, ...isAgain === true && {isAgain},
 	};
--- a/packages/wagtailroute-fleet/src/asking.ts
+++ b/packages/wagtailroute-fleet/src/asking.ts
@@ -50,7 +50,7 @@
 		/**
 		Names the place, for its end.
 		*/
-		readonly id: dispatch.AskId;
+		readonly id: dispatch.SlotRequestId;
 	})
 	| Extract<AskAnswer, {kind: 'refuse'}>;
 
@@ -68,7 +68,7 @@
 /**
 An ask before it has its name and its host.
 */
-export type AskDraft = Omit<dispatch.Ask, 'id' | 'host' | 'failureDomain'>;
+export type AskDraft = Omit<dispatch.SlotRequest, 'id' | 'host' | 'failureDomain'>;
 
 /**
 Asks for upstreams.
@@ -78,11 +78,11 @@
 	/**
 	A granted request has ended.
 	*/
-	readonly end: (id: dispatch.AskId, ending: dispatch.Ending, milliseconds: number) => void;
+	readonly end: (id: dispatch.SlotRequestId, ending: dispatch.Ending, milliseconds: number) => void;
 	/**
 	The answer to a granted request advertises something about its upstream.
 	*/
-	readonly recordAdvertisements: (id: dispatch.AskId, advertisements: readonly core.Advertisement[]) => void;
+	readonly recordAdvertisements: (id: dispatch.SlotRequestId, advertisements: readonly core.Advertisement[]) => void;
 	/**
 	Says whether this host sends nothing to an upstream now, by what the upstream's answers told it.
 	*/
@@ -121,7 +121,7 @@
 };
 
 type Pending = {
-	ask: dispatch.Ask;
+	ask: dispatch.SlotRequest;
 	askedAt: number;
 	/**
 	Dispatchers that did not answer.
@@ -148,7 +148,7 @@
 class HostAsking implements Asking {
 	readonly #context: FleetContext;
 	readonly #plan: AskingPlan;
-	readonly #pending = new Map<dispatch.AskId, Pending>();
+	readonly #pending = new Map<dispatch.SlotRequestId, Pending>();
 	readonly #held: HeldPlaces;
 	readonly #advertisements: Advertisements;
 	readonly #recentUses: RecentUses;
@@ -178,7 +178,7 @@
 
 	ask(draft: AskDraft): Asked {
 		const {hostId, failureDomain} = this.#plan.settings;
-		const ask: dispatch.Ask = {
+		const ask: dispatch.SlotRequest = {
 			...draft, id: this.#createId(), host: hostId, failureDomain,
 		};
 		const {promise, resolve} = Promise.withResolvers<FinalAnswer>();
@@ -195,7 +195,7 @@
 		};
 	}
 
-	end(id: dispatch.AskId, ending: dispatch.Ending, milliseconds: number): void {
+	end(id: dispatch.SlotRequestId, ending: dispatch.Ending, milliseconds: number): void {
 		const held = this.#held.take(id);
 		if (held === undefined) {
 			return;
@@ -208,7 +208,7 @@
 		this.#tellEnd(held, ending, milliseconds);
 	}
 
-	recordAdvertisements(id: dispatch.AskId, advertisements: readonly core.Advertisement[]): void {
+	recordAdvertisements(id: dispatch.SlotRequestId, advertisements: readonly core.Advertisement[]): void {
 		const held = this.#held.find(id);
 		if (held === undefined) {
 			return;
@@ -248,16 +248,16 @@
 		this.#askElsewhere(left);
 	}
 
-	#createId(): dispatch.AskId {
+	#createId(): dispatch.SlotRequestId {
 		this.#count++;
 		return createAskId(this.#plan.settings.hostId, this.#count);
 	}
 
-	#shorten(over: link.Link, ask: dispatch.Ask): ShortAsk {
+	#shorten(over: link.Link, ask: dispatch.SlotRequest): ShortAsk {
 		return shortenAsk(ask, this.#tellOrigin(over, ask));
 	}
 
-	#tellOrigin(over: link.Link, ask: dispatch.Ask): AskOrigin {
+	#tellOrigin(over: link.Link, ask: dispatch.SlotRequest): AskOrigin {
 		const route = getAskedRoute(ask);
 		const {number, isNew} = this.#routeNumbers.number(over, route);
 		if (isNew) {
@@ -439,7 +439,7 @@
 	*/
 	#recordUse({ask, dispatcher}: Held): void {
 		const {service, organisation} = ask;
-		if (organisation !== undefined && dispatch.isFirst(ask)) {
+		if (organisation !== undefined && dispatch.isFirstAttempt(ask)) {
 			this.#recentUses.record({service, organisation, by: dispatcher?.link ?? this.#plan.own});
 		}
 	}
@@ -501,7 +501,7 @@
 /**
 Tells a dispatcher that an ask is given up, wherever it is: waiting, or granted on its way back.
 */
-function notifyGivenUp(over: link.Link, ask: dispatch.Ask): void {
+function notifyGivenUp(over: link.Link, ask: dispatch.SlotRequest): void {
 	over.notify(METHODS.cancel, [getAskNumber(ask.id)]);
 	over.notify(METHODS.end, [getAskNumber(ask.id), 'unused', 0] satisfies ShortEnd);
 }
--- a/packages/wagtailroute-fleet/src/dispatching.ts
+++ b/packages/wagtailroute-fleet/src/dispatching.ts
@@ -34,13 +34,13 @@
 A dispatcher that answers other hosts.
 */
 export type Dispatching = {
-	readonly ask: (ask: dispatch.Ask) => AskAnswer;
-	readonly cancel: (id: dispatch.AskId) => void;
+	readonly ask: (ask: dispatch.SlotRequest) => AskAnswer;
+	readonly cancel: (id: dispatch.SlotRequestId) => void;
 	readonly end: (end: GrantEnd) => void;
 	/**
 	The answer to a granted request advertises something about its upstream.
 	*/
-	readonly recordAdvertisements: (id: dispatch.AskId, advertisements: readonly core.Advertisement[]) => void;
+	readonly recordAdvertisements: (id: dispatch.SlotRequestId, advertisements: readonly core.Advertisement[]) => void;
 	/**
 	Applies what another host has learned from answers.
 	*/
@@ -137,16 +137,16 @@
 	const peers = createPeerUpdates(context, {...plan, dispatcher, listAskers});
 
 	const tell = (effect: Decision) => {
-		plan.notify(effect.ask.host, METHODS.answer, [getAskNumber(effect.ask.id), shortenAnswer(toAnswer(effect))]);
+		plan.notify(effect.request.host, METHODS.answer, [getAskNumber(effect.request.id), shortenAnswer(toAnswer(effect))]);
 	};
 
 	const effects: Effects = {
 		grant(effect) {
-			peers.onGranted(effect.ask.service);
+			peers.onGranted(effect.request.service);
 			tell(effect);
 		},
 		refuse(effect) {
-			giveBack(effect.ask);
+			giveBack(effect.request);
 			logRefusal(effect);
 			tell(effect);
 		},
@@ -188,7 +188,7 @@
 		}
 
 		loggedIdleAt.set(service, now());
-		const idle = dispatcher.listIdle(service, now());
+		const idle = dispatcher.listIdleUpstreams(service, now());
 		if (idle.length === 0) {
 			return;
 		}
@@ -203,7 +203,7 @@
 		});
 	};
 
-	const logRefusal = ({ask, reason, retryAfterMilliseconds}: Extract<dispatch.Effect, {kind: 'refuse'}>) => {
+	const logRefusal = ({request: ask, reason, retryAfterMilliseconds}: Extract<dispatch.Effect, {kind: 'refuse'}>) => {
 		const upstreams = dispatcher.report(ask.service, now());
 		metrics.count('refusals', {service: ask.service, reason});
 		log.warn('Ask refused.', {
@@ -212,7 +212,7 @@
 			reason,
 			remainingMilliseconds: Math.round(ask.remainingMilliseconds),
 			retryAfterMilliseconds: Math.round(retryAfterMilliseconds),
-			waiting: dispatcher.getWaiting(),
+			waiting: dispatcher.countWaiting(),
 			upstreams: upstreams.length,
 			suspended: upstreams.filter(upstream => upstream.isSuspended).length,
 			rateLimited: upstreams.filter(upstream => upstream.rateLimit !== undefined).length,
@@ -226,13 +226,13 @@
 	What an ask took from its organisation's allotment comes back when it is granted nothing, or a place that is not used: a host that turns from one
 	dispatcher to the next asks at both. A resend took nothing.
 	*/
-	const giveBack = (ask: dispatch.Ask) => {
-		if (dispatch.isFirst(ask)) {
+	const giveBack = (ask: dispatch.SlotRequest) => {
+		if (dispatch.isFirstAttempt(ask)) {
 			plan.allotting?.giveBack(ask);
 		}
 	};
 
-	const noteAsker = ({service, host}: dispatch.Ask) => {
+	const noteAsker = ({service, host}: dispatch.SlotRequest) => {
 		requestShare.record(host, now());
 		const hosts = askers.get(service) ?? createRecentAskers(ASKER_MILLISECONDS);
 		askers.set(service, hosts);
@@ -292,23 +292,23 @@
 		.filter(({doubt}) => doubt > 0)
 		.map(({upstream, doubt}): Belief => ({service, upstream, doubt}))).toArray();
 
-	metrics.registerGauge('asks_waiting', () => dispatcher.getWaiting());
+	metrics.registerGauge('asks_waiting', () => dispatcher.countWaiting());
 	return {
 		ask(ask) {
 			learn(ask.service);
 			noteAsker(ask);
-			if (!dispatcher.knows(ask.service)) {
+			if (!dispatcher.hasUpstreams(ask.service)) {
 				log.warn('Ask sent elsewhere.', {id: ask.id, service: ask.service});
 				return {kind: 'elsewhere'};
 			}
 
-			const overdrawn = dispatch.isFirst(ask) ? plan.allotting?.admit(ask) : undefined;
+			const overdrawn = dispatch.isFirstAttempt(ask) ? plan.allotting?.admit(ask) : undefined;
 			if (overdrawn !== undefined) {
 				return overdrawn;
 			}
 
-			const list = dispatcher.ask(ask, now());
-			const own = list.find(effect => isDecision(effect) && effect.ask.id === ask.id);
+			const list = dispatcher.requestSlot(ask, now());
+			const own = list.find(effect => isDecision(effect) && effect.request.id === ask.id);
 			carryOut(list.filter(effect => effect !== own));
 			tickWhileBusy();
 			if (own === undefined || !isDecision(own)) {
@@ -332,12 +332,12 @@
 		},
 		end({id, ending, milliseconds}) {
 			metrics.count('ends', {ending});
-			const unused = ending === 'unused' ? dispatcher.findGranted(id) : undefined;
+			const unused = ending === 'unused' ? dispatcher.findGrantedRequest(id) : undefined;
 			if (unused !== undefined) {
 				giveBack(unused);
 			}
 
-			const service = dispatcher.findGranted(id)?.service;
+			const service = dispatcher.findGrantedRequest(id)?.service;
 			carryOut(dispatcher.end(id, {ending, milliseconds}, now()));
 			if (service !== undefined && ending !== 'success') {
 				logIdle(service);
@@ -358,7 +358,7 @@
 				plan.allotting?.takeOver(host, uses);
 			}
 
-			dispatcher.hold(host, service, places, now());
+			dispatcher.replaceHeldSlots(host, service, places, now());
 			applyUpdates({service, updates});
 			tickWhileBusy();
 		},
--- a/packages/wagtailroute-fleet/src/held-places.ts
+++ b/packages/wagtailroute-fleet/src/held-places.ts
@@ -15,7 +15,7 @@
 A place that was granted.
 */
 export type Held = {
-	readonly ask: dispatch.Ask;
+	readonly ask: dispatch.SlotRequest;
 	readonly upstream: core.UpstreamId;
 	/**
 	Monotonic time in milliseconds.
@@ -35,11 +35,11 @@
 	/**
 	Removes a place and returns it, if it is held.
 	*/
-	readonly take: (id: dispatch.AskId) => Held | undefined;
+	readonly take: (id: dispatch.SlotRequestId) => Held | undefined;
 	/**
 	Returns a place, if it is held.
 	*/
-	readonly find: (id: dispatch.AskId) => Held | undefined;
+	readonly find: (id: dispatch.SlotRequestId) => Held | undefined;
 	readonly count: () => number;
 	/**
 	Tells a dispatcher the places of a service, what its upstreams advertised and what callers were admitted, if the last ask for it went elsewhere.
@@ -65,10 +65,10 @@
 @param now Monotonic time in milliseconds.
 */
 export function createHeldPlaces(now: () => number, {advertisements, recentUses, countEntryHosts}: HeldPlacesPlan): HeldPlaces {
-	const places = new Map<dispatch.AskId, Held>();
+	const places = new Map<dispatch.SlotRequestId, Held>();
 	const lastLinks = new Map<core.ServiceName, link.Link>();
 
-	const describe = ({ask, upstream, grantedAt}: Held): dispatch.HeldPlace => ({
+	const describe = ({ask, upstream, grantedAt}: Held): dispatch.HeldSlotReport => ({
 		id: ask.id,
 		host: ask.host,
 		service: ask.service,
--- a/packages/wagtailroute-fleet/src/messages.ts
+++ b/packages/wagtailroute-fleet/src/messages.ts
@@ -154,7 +154,7 @@
 The end of a granted request.
 */
 export type GrantEnd = {
-	readonly id: dispatch.AskId;
+	readonly id: dispatch.SlotRequestId;
 	readonly ending: dispatch.Ending;
 	readonly milliseconds: number;
 };
@@ -164,7 +164,7 @@
 */
 export type Holding = {
 	readonly service: core.ServiceName;
-	readonly places: readonly dispatch.HeldPlace[];
+	readonly places: readonly dispatch.HeldSlotReport[];
 	/**
 	What answers to the host advertised; absent: nothing.
 	*/
--- a/packages/wagtailroute-fleet/src/routing.ts
+++ b/packages/wagtailroute-fleet/src/routing.ts
@@ -112,7 +112,7 @@
 		route, service, bodyBytes, usualTimes, waitedMilliseconds, caller: {organisation, priority},
 	}: RouteContext & {readonly usualTimes: UsualTimes},
 ): proxy.ServicePort {
-	const granted = new Map<proxy.Target, dispatch.AskId>();
+	const granted = new Map<proxy.Target, dispatch.SlotRequestId>();
 
 	const createAsk = (choice: proxy.ChoiceRequest): AskDraft => ({
 		service: service.name,
--- a/packages/wagtailroute-fleet/src/usual-times.ts
+++ b/packages/wagtailroute-fleet/src/usual-times.ts
@@ -23,9 +23,9 @@
 export function createUsualTimes(): UsualTimes {
 	const usual = new Map<string, number>();
 	return {
-		get: route => dispatch.guessUsual(usual.get(route.name), route.objectiveMilliseconds),
+		get: route => dispatch.estimateUsualMilliseconds(usual.get(route.name), route.objectiveMilliseconds),
 		learn(route, milliseconds) {
-			utils.setBounded(usual, route.name, dispatch.mixUsual(usual.get(route.name), milliseconds), ROUTES_MEASURED);
+			utils.setBounded(usual, route.name, dispatch.averageUsualMilliseconds(usual.get(route.name), milliseconds), ROUTES_MEASURED);
 		},
 	};
 }
