--- a/packages/wagtailroute-dispatch/src/choosing.ts
+++ b/packages/wagtailroute-dispatch/src/choosing.ts
@@ -134,12 +134,12 @@
 export function chooseTrial(upstreams: Iterable<Upstream>, request: SlotRequest, context: TrialContext): Choice | undefined {
 	const {now} = context;
 	let trial: Upstream | undefined;
-	let dueAt = now;
+	let earliestDueAt = now;
 	for (const upstream of upstreams) {
 		const at = getTrialDueAt(upstream, request, context);
-		const isNext = at <= dueAt && isAvailable(upstream, request, now) && isTrialAllowed(upstream, request);
+		const isNext = at <= earliestDueAt && isAvailable(upstream, request, now) && isTrialAllowed(upstream, request);
 		trial = isNext ? upstream : trial;
-		dueAt = isNext ? at : dueAt;
+		earliestDueAt = isNext ? at : earliestDueAt;
 	}
 
 	return trial && {upstream: trial, isTrial: true};
