--- a/packages/wagtailroute-dispatch/src/advertisements.ts
+++ b/packages/wagtailroute-dispatch/src/advertisements.ts
@@ -1,8 +1,8 @@
 /**
-What the upstreams of a service advertise in their answers, as a dispatcher keeps it, and the updates that other hosts need.
+What upstreams advertise in their answers: recording it, and the updates that other hosts need.
 
-A rate limit and that an upstream leaves hold for all hosts, so they are reported to peers. A backoff holds for the host that got the answer alone: that host
-reports it to each dispatcher that it turns to.
+A rate limit and draining apply to all entry hosts, so they are reported to peer dispatchers. A backoff applies only to the entry host that received
+the answer, which reports it to each dispatcher that it turns to.
 */
 import type * as core from 'wagtailroute-core';
 import type {Effect, UpstreamUpdate} from './slot-requests.ts';
@@ -10,7 +10,7 @@
 import {listBackoffs, recordBackoff, type Upstream} from './upstreams.ts';
 
 /**
-Whose answer advertised something, and the host that got it.
+The upstream whose answer advertised something, and the entry host that received it.
 */
 export type AnswerSource = {
 	readonly upstream: Upstream;
@@ -57,7 +57,7 @@
 };
 
 /**
-Records what an answer advertised.
+Records what an answer advertised. Returns an effect if it is new.
 */
 export function recordAdvertisement(service: Service, source: AnswerSource, advertisement: core.Advertisement, now: number): readonly Effect[] {
 	return RECORDERS[advertisement.kind](service, source, advertisement as never, now);
@@ -85,14 +85,14 @@
 };
 
 /**
-Applies what another host has learned.
+Applies what another host reported.
 */
 export function applyUpdate(service: Service, upstream: Upstream, update: UpstreamUpdate, now: number): void {
 	APPLIERS[update.kind](service, upstream, update as never, now);
 }
 
 /**
-Lists everything in force.
+Lists everything that is in force.
 */
 export function listUpdates({rateLimits, upstreams}: Service, now: number): readonly UpstreamUpdate[] {
 	const draining = upstreams.values().filter(({isDraining}) => isDraining).map(({candidate}) => createDrainingUpdate(candidate.upstream)).toArray();
--- a/packages/wagtailroute-dispatch/src/budget.ts
+++ b/packages/wagtailroute-dispatch/src/budget.ts
@@ -1,42 +1,42 @@
 /**
-The budget of resends to one service, over all hosts that ask this dispatcher: in any window, resends stay below a part of the
-requests and a fixed number more.
+Retry budget of a service over all entry hosts that use this dispatcher: in any window, resends stay below a ratio of the requests plus a fixed
+number.
 
-What goes wrong without it: an upstream slows down, its requests are sent again, the others slow down under the added load,
-and resends multiply until nothing is served.
+Without it, retries amplify an overload: when an upstream slows down, its requests are sent again, the added load slows the others down, and resends
+multiply until nothing is served.
 */
 import {BUDGET_SLICE_MILLISECONDS} from './constants.ts';
 import type {Policy} from './policy.ts';
 import {createRecentCounts} from './recent-counts.ts';
 
 /**
-Bounds of the budget.
+Settings of a retry budget.
 */
 export type BudgetSettings = {
 	/**
-	Resends for each request.
+	Allowed resends per request.
 	*/
 	readonly ratio: number;
 	/**
-	Resends in a window beyond that.
+	Allowed resends per window in addition.
 	*/
 	readonly extra: number;
 	readonly windowMilliseconds: number;
 };
 
 /**
-The budget of a service.
+Retry budget of a service.
 */
 export type Budget = {
 	readonly countRequest: (now: number) => void;
 	/**
-	Takes one resend out of the budget; false when there is none left.
+	Consumes one resend from the budget; returns false when none is left.
 	*/
 	readonly consumeResend: (now: number) => boolean;
 };
 
 /**
-Creates a full budget.
+Creates a budget without requests or resends.
 */
 export function createBudget({ratio, extra, windowMilliseconds}: BudgetSettings, policy: Policy): Budget {
 	const counts = createRecentCounts({requests: 0, resends: 0}, {windowMilliseconds, sliceMilliseconds: BUDGET_SLICE_MILLISECONDS});
--- a/packages/wagtailroute-dispatch/src/choosing.ts
+++ b/packages/wagtailroute-dispatch/src/choosing.ts
@@ -1,8 +1,8 @@
 /**
-The choice of an upstream for one ask.
+Choice of an upstream for a slot request.
 
-Each request goes where the least is to be lost, be it time or the request. Only to an upstream that is suspended, requests that may be
-repeated go first: so the end of a bad spell is found by a request that can be sent again, wherever there are such requests.
+A request goes to the upstream with the lowest cost: expected delay, crossing of failure domains, doubt and risk. To suspended upstreams idempotent
+requests go first, where there are any: they find the end of a failure period and can be sent again when it has not ended.
 */
 import * as core from 'wagtailroute-core';
 import type {SlotRequest} from './slot-requests.ts';
@@ -29,7 +29,7 @@
 };
 
 /**
-What a choice may know.
+State on which the choice depends.
 */
 export type ChoiceContext = {
 	readonly now: number;
@@ -38,15 +38,15 @@
 	*/
 	readonly random: () => number;
 	/**
-	Milliseconds that the ask has waited.
+	Milliseconds that the request has been queued here.
 	*/
 	readonly waitedMilliseconds: number;
 	/**
-	All upstreams of the service, free or not.
+	All upstreams of the service, with or without a free slot.
 	*/
 	readonly known: ReadonlyMap<core.UpstreamId, Upstream>;
 	/**
-	Upstreams that get nothing are missed: requests fail, and none may be repeated.
+	Whether idle upstreams are tried sooner, since requests fail and none of them is idempotent.
 	*/
 	readonly needsIdleUpstreams: boolean;
 	readonly policy: Policy;
@@ -60,9 +60,10 @@
 } as const satisfies Record<core.RequestClass, keyof Policy>;
 
 /**
-Chooses an upstream with nothing serious against it, or none.
+Returns the available upstream with the lowest cost; undefined when there is none, or when the request should wait for a slot in its own failure
+domain.
 
-@param upstreams Those with a free slot that are not suspended.
+@param upstreams Upstreams that are not suspended and have a free slot.
 */
 export function choose(upstreams: Iterable<Upstream>, request: SlotRequest, context: ChoiceContext): Choice | undefined {
 	const {now, random, needsIdleUpstreams} = context;
@@ -88,8 +89,8 @@
 }
 
 /**
-Says whether an ask waits for a slot of its own failure domain. Under load a slot comes free there within milliseconds; taking the first
-one anywhere, nearly half of all requests would cross, and each leaves its slot at home to another that crosses.
+Returns whether a request should wait for a slot in its own failure domain. Under load one becomes free there within milliseconds. If each request
+took the first free slot of any domain, nearly half of all requests would cross, each leaving a slot in its own domain to another that crosses.
 */
 function isWaitingForOwnDomain(request: SlotRequest, {now, waitedMilliseconds, known, policy}: ChoiceContext): boolean {
 	const left = policy[DOMAIN_WAIT_FIELDS[request.requestClass]] - waitedMilliseconds;
@@ -99,7 +100,7 @@
 			&& !isSuspended(upstream, now)
 			&& (upstream.rateLimit?.getDelay(now) ?? 0) < left
 			&& isEligible(upstream, request, now)
-			// Where the request is likely to be lost, it had better cross.
+			// Crossing is better than an upstream at which the request is likely to fail.
 			&& getRisk(upstream, now) * policy.riskCost < getCrossingCost(request, policy));
 }
 
@@ -108,28 +109,28 @@
 }
 
 /**
-What a trial may know.
+State on which the choice of a trial depends.
 */
 export type TrialContext = {
 	readonly now: number;
 	/**
-	Requests that may be repeated came lately.
+	Whether idempotent requests came recently.
 	*/
 	readonly hasRecentIdempotent: boolean;
 	/**
-	No upstream in use has a free slot.
+	Whether no upstream that is not suspended has a free slot.
 	*/
 	readonly isFull: boolean;
 	/**
-	Upstreams that get nothing are missed: requests fail, and none may be repeated.
+	Whether idle upstreams are tried sooner, since requests fail and none of them is idempotent.
 	*/
 	readonly needsIdleUpstreams: boolean;
 };
 
 /**
-Chooses a suspended upstream whose trial is due, or none: for an ask that would wait behind others.
+Returns the suspended upstream whose trial has been due for longest, or undefined. A trial uses a request that would otherwise wait in the queue.
 
-@param upstreams Suspended ones.
+@param upstreams Suspended upstreams.
 */
 export function chooseTrial(upstreams: Iterable<Upstream>, request: SlotRequest, context: TrialContext): Choice | undefined {
 	const {now} = context;
@@ -146,8 +147,7 @@
 }
 
 /**
-Chooses the suspended upstream with the least against it: for a request that would else be refused, when so many are
-suspended that the service is below its floor.
+Returns the suspended upstream with the least doubt, or undefined. It serves a request that would otherwise be refused.
 */
 export function chooseFallback(upstreams: Iterable<Upstream>, request: SlotRequest, now: number): Choice | undefined {
 	let best: Upstream | undefined;
@@ -166,7 +166,7 @@
 }
 
 /**
-Says whether an upstream could take the ask now if nothing spoke against it but doubt.
+Returns whether an upstream can take the request now, whether or not it is suspended.
 */
 function isAvailable(upstream: Upstream, request: SlotRequest, now: number): boolean {
 	return hasCapacity(upstream, now)
@@ -175,7 +175,7 @@
 }
 
 /**
-The same once it has a free slot.
+Returns whether an upstream can take the request as soon as it has capacity.
 */
 function isEligible(upstream: Upstream, request: SlotRequest, now: number): boolean {
 	const {candidate} = upstream;
@@ -187,17 +187,19 @@
 }
 
 /**
-One trial at a time, and none by a request that has failed already.
+Returns whether the request may be a trial: one trial at a time, none of a silent upstream, and none with a resend, which has failed already.
 */
 function isTrialAllowed({candidate, heldSlots}: Upstream, request: SlotRequest): boolean {
 	return !request.isResend && !candidate.isSilent && heldSlots.size === 0;
 }
 
 /**
-One success is no proof yet: where requests that may be repeated come at all, further trials are left to them. Where none come and no upstream in use has a
-free slot, nothing is waited for: half of a small pool may be suspended for seconds after its spells have passed, and everybody waits for the other half. A
-trial may cost one request; the wait makes all of them late. The same where requests fail although there are free slots: spells end while the upstreams that
-take their place fall ill.
+Returns the time from which the request may be a trial of the upstream.
+
+One success does not prove that a failure period has ended, so further trials are left to idempotent requests where there are any. Where there are
+none and no upstream has a free slot, non-idempotent requests are not delayed: half of a small pool may stay suspended for seconds after its failure
+periods have ended, while all requests wait for the other half. A trial may lose one request; the delay makes all of them late. The same applies when
+requests fail although slots are free: suspended upstreams recover while those that replace them fail.
 */
 function getTrialDueAt(upstream: Upstream, request: SlotRequest, {hasRecentIdempotent, isFull, needsIdleUpstreams}: TrialContext): number {
 	const {candidate, nextTrialAt, lastSuccessAt, lastFailureAt, policy} = upstream;
@@ -213,8 +215,7 @@
 }
 
 /**
-Weighs what may be lost at an upstream against what it takes longer elsewhere. The risk tells by the ages of the requests under way there,
-long before the first of them ends.
+Returns the cost of an upstream for a request. The risk rises with the ages of the requests in progress there, long before the first of them ends.
 */
 function getCost(upstream: Upstream, request: SlotRequest, {now, needsIdleUpstreams}: Pick<ChoiceContext, 'now' | 'needsIdleUpstreams'>): number {
 	const {candidate, heldSlots, policy} = upstream;
@@ -236,8 +237,8 @@
 }
 
 /**
-With little traffic, those proved last would get all of it, and the others, quiet for ever longer, nothing: they would be missing when one of
-the few fails.
+Returns whether an upstream has had no request for a while. With little traffic, the upstreams with the latest successes would otherwise get all
+requests, and the others none: they would be unavailable as replacements when one of the few fails.
 */
 function isRested(upstream: Upstream, now: number): boolean {
 	return isIdle(upstream, upstream.policy.restMilliseconds, now);
--- a/packages/wagtailroute-dispatch/src/dispatcher-types.ts
+++ b/packages/wagtailroute-dispatch/src/dispatcher-types.ts
@@ -1,5 +1,5 @@
 /**
-A dispatcher as its host sees it: what it is started with, what it is asked and told, what it reports.
+Interface of a dispatcher: its settings, its methods and its reports.
 */
 import type * as core from 'wagtailroute-core';
 import type {
@@ -21,7 +21,7 @@
 export type DispatcherSettings = {
 	readonly budget: BudgetSettings;
 	/**
-	Part of a service's upstreams, 0 to 1, that stay in use whatever speaks against them.
+	Fraction of a service's upstreams, 0 to 1. While fewer are not suspended, suspended ones serve requests that would be refused.
 	*/
 	readonly floor: number;
 	/**
@@ -29,7 +29,7 @@
 	*/
 	readonly random: () => number;
 	/**
-	The default policy when absent.
+	{@link DEFAULT_POLICY} when absent.
 	*/
 	readonly policy?: Policy;
 	/**
@@ -39,7 +39,7 @@
 };
 
 /**
-What a dispatcher knows of an upstream, for reports.
+State of an upstream, for status pages and logs.
 */
 export type UpstreamReport = {
 	readonly upstream: core.UpstreamId;
@@ -50,44 +50,44 @@
 	readonly isSuspended: boolean;
 	readonly isDraining: boolean;
 	/**
-	Hosts that it asked to send nothing for now.
+	Entry hosts that the upstream asked to send no requests for now.
 	*/
 	readonly hostsBackingOff: readonly core.HostId[];
 	/**
-	Requests a second that its answers advertise; absent when they advertise no limit.
+	Requests per second that its answers advertise; absent without a limit.
 	*/
 	readonly rateLimit?: number;
 };
 
 /**
-A dispatcher. Every method takes the monotonic time in milliseconds and returns what is to be done, in order.
+A dispatcher. `now` is always monotonic time in milliseconds. Effects have to be carried out in their order.
 */
 export type Dispatcher = {
 	readonly requestSlot: (request: SlotRequest, now: number) => readonly Effect[];
 	/**
-	Withdraws an ask and returns it, if it waits.
+	Removes a queued slot request and returns it; undefined when it is not in the queue.
 	*/
 	readonly cancel: (id: SlotRequestId) => SlotRequest | undefined;
 	/**
-	Returns the ask to which a place was granted, if it is held here.
+	Returns the slot request for which a slot is held; undefined when this dispatcher has not granted it or it has ended.
 	*/
 	readonly findGrantedRequest: (id: SlotRequestId) => SlotRequest | undefined;
 	/**
-	A granted request has ended.
+	Releases the slot of a granted request and applies its ending to the upstream.
 
 	@param milliseconds From the send to the answer's header section.
 	*/
 	readonly end: (id: SlotRequestId, outcome: {readonly ending: Ending; readonly milliseconds: number}, now: number) => readonly Effect[];
 	/**
-	The answer to a granted request advertises something about its upstream.
+	Records what the answer to a granted request advertised about its upstream.
 	*/
 	readonly recordAdvertisements: (id: SlotRequestId, advertisements: readonly core.Advertisement[], now: number) => readonly Effect[];
 	/**
-	Applies what another host has learned from answers.
+	Applies what another host reported from its answers.
 	*/
 	readonly applyUpdates: (service: core.ServiceName, updates: readonly UpstreamUpdate[], now: number) => readonly Effect[];
 	/**
-	Says whether grants at the rate-limited upstreams of a service have to be reported to other dispatchers.
+	Returns whether grants at the rate-limited upstreams of a service have to be reported to other dispatchers.
 	*/
 	readonly isSharingRateLimits: (service: core.ServiceName, now: number) => boolean;
 	/**
@@ -95,43 +95,44 @@
 	*/
 	readonly flushUpdates: (now: number) => ReadonlyMap<core.ServiceName, readonly UpstreamUpdate[]>;
 	/**
-	Returns all that upstreams advertise and that is in force, by service.
+	Returns everything that upstreams have advertised and that is in force, by service.
 	*/
 	readonly listUpdates: (now: number) => ReadonlyMap<core.ServiceName, readonly UpstreamUpdate[]>;
 	/**
-	A host tells the places that it holds of a service; what was counted for it before is forgotten.
+	Replaces the slots of a service that are recorded as held by an entry host with those that the host reports.
 	*/
 	readonly replaceHeldSlots: (host: core.HostId, service: core.ServiceName, held: readonly HeldSlotReport[], now: number) => void;
 	readonly setCandidates: (service: core.ServiceName, candidates: readonly Candidate[], now: number) => readonly Effect[];
 	/**
-	Takes another dispatcher's belief.
+	Sets the doubt of an upstream to the value of another dispatcher.
 	*/
 	readonly setDoubt: (service: core.ServiceName, upstream: core.UpstreamId, doubt: number, now: number) => void;
 	/**
-	Takes what another dispatcher held against an upstream some milliseconds ago, if more is left of it than what this one holds.
+	Raises the doubt of an upstream to what is left of a value that another dispatcher had some milliseconds ago, if that is higher.
 	*/
 	readonly raiseDoubt: (
 		service: core.ServiceName,
 		upstream: core.UpstreamId,
-		told: {readonly doubt: number; readonly ageMilliseconds: number},
+		reported: {readonly doubt: number; readonly ageMilliseconds: number},
 		now: number,
 	) => void;
 	/**
-	Looks for asks that can no longer be served, trials that are due and places that were abandoned.
+	Has to be called regularly while the dispatcher is busy: grants due trials, refuses requests that can no longer be answered in time, and releases
+	slots whose entry host did not report an ending.
 	*/
 	readonly tick: (now: number) => readonly Effect[];
 	readonly countWaiting: () => number;
 	/**
-	Says whether a request waits or holds a place.
+	Returns whether a request is queued or holds a slot.
 	*/
 	readonly isBusy: () => boolean;
 	/**
-	Says whether it knows any upstream of a service.
+	Returns whether any upstream of a service is known.
 	*/
 	readonly hasUpstreams: (service: core.ServiceName) => boolean;
 	readonly report: (service: core.ServiceName, now: number) => readonly UpstreamReport[];
 	/**
-	Lists the upstreams of a service that get nothing although a part of its requests is not served; none while nearly all are.
+	Lists the upstreams of a service that get no requests although a noticeable fraction of its requests fails; none while nearly all succeed.
 	*/
 	readonly listIdleUpstreams: (service: core.ServiceName, now: number) => readonly IdleUpstream[];
 };
--- a/packages/wagtailroute-dispatch/src/dispatcher.ts
+++ b/packages/wagtailroute-dispatch/src/dispatcher.ts
@@ -1,11 +1,11 @@
 /**
-Gives out the slots of backend servers, one request at a time, for all hosts that ask.
+Dispatcher: grants the slots of backend servers to requests, one at a time, for all entry hosts that ask it.
 
-A host that carries a few requests a second can neither find the free slot among hundreds nor tell a sick upstream from a
-well one. Here all requests of a service come together: each gets a slot that is free, waits for the next one, or is
-refused at once when none can come in time; and what becomes of one request is known before the next one is placed.
+An entry host with a few requests per second can neither find the free slot among hundreds nor distinguish a failing upstream from a healthy one. Here
+all requests of a service come together: each is granted a free slot, is queued for the next one, or is refused at once when none can become free in
+time. The ending of one request is known before the next one is placed.
 
-It holds no promise of its own: lost, it is replaced by another host's, which is told what is under way.
+A dispatcher keeps no durable state. When it fails, another host's dispatcher replaces it, to which the entry hosts report the requests in progress.
 */
 import * as core from 'wagtailroute-core';
 import {
@@ -75,7 +75,7 @@
 } from './upstreams.ts';
 
 /**
-Creates a dispatcher that knows no upstream.
+Creates a dispatcher without services or upstreams.
 */
 export function createDispatcher(settings: DispatcherSettings): Dispatcher {
 	return new SlotDispatcher(settings);
@@ -103,7 +103,7 @@
 				return [refuse(request, 'budget', service.policy.retryAfterLeastMilliseconds)];
 			}
 		} else if (request.isAgain !== true) {
-			// Counted at each dispatcher that its host turned to, one request would earn several resends.
+			// Counted at each dispatcher that its entry host turned to, one request would earn several resends.
 			service.budget.countRequest(now);
 			service.shortfall.recordRequest(now);
 		}
@@ -136,7 +136,7 @@
 		if (upstream !== undefined) {
 			const wasSuspended = isSuspended(upstream, now);
 			applyEnding(upstream, heldSlot, ending, now);
-			// Trials that find the spell still there must not be what keeps upstreams tried.
+			// Failed trials must not count as a shortfall: they would cause more trials.
 			if (FAILURE_ENDINGS.has(ending) && !heldSlot.isTrial) {
 				service.shortfall.recordFailure(now);
 			}
@@ -219,7 +219,7 @@
 		const service = this.#getService(name);
 		const named = new Set(candidates.map(candidate => candidate.upstream));
 		for (const [id, upstream] of service.upstreams) {
-			// Its places stay counted in the table of places, so that their ends are known when they come.
+			// Its held slots are kept, so that the endings of their requests are still recorded.
 			if (!named.has(id) && upstream.heldSlots.size === 0) {
 				service.rateLimits.remove(upstream);
 				service.upstreams.delete(id);
@@ -233,7 +233,7 @@
 			if (present === undefined) {
 				service.upstreams.set(candidate.upstream, createUpstream(candidate, service.policy, now));
 			} else {
-				// A heartbeat that is newer than the answer of another instance says that the address is its own again.
+				// A heartbeat with a new address, after the answer of another instance, means that the upstream has an address of its own again.
 				present.isMisdirected &&= core.formatAddress(present.candidate.address) === core.formatAddress(candidate.address);
 				present.candidate = candidate;
 			}
@@ -303,8 +303,8 @@
 	}
 
 	/**
-	Under load a move would take a slot from who was sent nowhere yet, and throw away what was worked so far: it never waits, and costs
-	the budget nothing when it is refused.
+	Grants a free slot to a request that is in progress elsewhere, or refuses it. It is never queued: under load it would take a slot from a request
+	that was not sent yet, and discard the work done so far. A refusal uses none of the retry budget.
 	*/
 	#moveOrRefuse(service: Service, request: SlotRequest, now: number): Effect {
 		const choice = service.queue.length > 0
@@ -388,11 +388,11 @@
 	#waitOrRefuse(service: Service, {request, queueKey}: QueuedRequest, now: number): readonly Effect[] {
 		const slots = countUsableSlots(service, request, now);
 		const usual = getUsualMilliseconds(service, request);
-		// Itself included.
+		// The count includes the request itself.
 		const wait = slots === 0 ? getBackoffDelay(service, request, now) : countQueuedUntil(service, queueKey) * usual / slots;
 		const {missedPart, objectivePart} = service.policy;
-		const counted = isObjectiveMissed(service, request) ? missedPart : 1;
-		const isInObjective = request.isResend || (wait + (usual * objectivePart)) * counted <= request.objectiveMilliseconds;
+		const objectiveWeight = isObjectiveMissed(service, request) ? missedPart : 1;
+		const isInObjective = request.isResend || (wait + (usual * objectivePart)) * objectiveWeight <= request.objectiveMilliseconds;
 		if (isInObjective && wait + (usual * service.policy.worthwhilePart) <= request.remainingMilliseconds) {
 			return [];
 		}
@@ -402,8 +402,8 @@
 	}
 
 	/**
-	Ejecting must never leave less than the floor: below it, what is suspended is better than a refusal. For a first attempt that may be repeated it
-	always is: it finds out, and moves when it hangs.
+	Grants a slot of a suspended upstream, or refuses the request. Below the floor, a suspended upstream is better than a refusal. For a first attempt
+	of an idempotent request it always is: the request finds out the state of the upstream, and is moved if it hangs.
 	*/
 	#useFallbackOrRefuse(
 		service: Service,
@@ -441,8 +441,9 @@
 	}
 
 	/**
-	Grants what can be granted, by turn. A trial takes no slot from those who wait, so it comes first. Under overload no slot is free, and hundreds
-	wait: so the upstreams with a free slot are listed once, and only the first of those who wait are looked at.
+	Grants slots to queued requests in the order of the queue. Trials come first, since they take no slot that queued requests could use. Under
+	overload no slot is free and hundreds of requests are queued, so the upstreams with a free slot are listed once, and only the head of the queue is
+	examined.
 	*/
 	#serveQueue(service: Service, now: number): readonly Effect[] {
 		const effects: Effect[] = [];
@@ -471,7 +472,7 @@
 	}
 
 	/**
-	Refuses the asks that nothing can take any more, since upstreams leave or their host backs off.
+	Refuses the queued requests for which no upstream is usable any more, after upstreams started to drain or asked their entry host to back off.
 	*/
 	#refuseUnservable(service: Service, causes: ReadonlyArray<Pick<core.Advertisement, 'kind'>>, now: number): readonly Effect[] {
 		if (causes.every(({kind}) => kind === 'rate-limit')) {
@@ -484,7 +485,7 @@
 	}
 
 	/**
-	Refuses what can no longer be answered in time.
+	Refuses the queued requests that can no longer be answered before their deadline.
 	*/
 	#refuseExpiring(service: Service, now: number): readonly Effect[] {
 		const late = service.queue.filter(queued => isDeadlineUnreachable(service, queued, now));
@@ -497,7 +498,7 @@
 }
 
 /**
-Endings of a request that something may have come of, so that its caller gets no answer or a bad one.
+Endings after which the request may have run and its caller gets no answer or an error.
 */
 const FAILURE_ENDINGS: ReadonlySet<Ending> = new Set(['error', 'reset', 'timeout']);
 
--- a/packages/wagtailroute-dispatch/src/idle-upstreams.ts
+++ b/packages/wagtailroute-dispatch/src/idle-upstreams.ts
@@ -1,5 +1,5 @@
 /**
-Upstreams that get no requests although a part of the service's requests is not served, and what keeps requests from them.
+Idle upstreams, which get no requests although a noticeable fraction of the service's requests fails, and the causes.
 */
 import type * as core from 'wagtailroute-core';
 import {IDLE_UPSTREAM_MILLISECONDS} from './constants.ts';
@@ -13,26 +13,27 @@
 } from './upstreams.ts';
 
 /**
-Why an upstream gets nothing. `silent`: it is suspended, and its heartbeats are not heard. `suspended`: its next trial is not due, or no request that may try it has come.
-`doubt`: it failed lately, and others are preferred. `unchosen`: nothing speaks against it.
+Why an upstream is idle. `silent`: it is suspended and its heartbeats are missing. `suspended`: its next trial is not due, or no request that may be
+the trial has come. `rate-limited`: its rate limit allows no request. `doubt`: it failed recently, and others are preferred. `unchosen`: there is no
+evidence against it.
 */
 export type IdleCause = 'silent' | 'suspended' | 'rate-limited' | 'doubt' | 'unchosen';
 
 /**
-An upstream that gets nothing.
+An idle upstream.
 */
 export type IdleUpstream = {
 	readonly upstream: core.UpstreamId;
 	readonly cause: IdleCause;
 	readonly doubt: number;
 	/**
-	Milliseconds since its last failure; Infinity when none is known.
+	Milliseconds since its last failure; Infinity without one.
 	*/
 	readonly failedMillisecondsAgo: number;
 };
 
 /**
-Lists them; none while nearly all requests are served.
+Lists the idle upstreams of a service; none while nearly all requests succeed.
 */
 export function listIdleUpstreams(service: Service, now: number): readonly IdleUpstream[] {
 	if (!hasShortfall(service, now)) {
--- a/packages/wagtailroute-dispatch/src/index.ts
+++ b/packages/wagtailroute-dispatch/src/index.ts
@@ -1,5 +1,5 @@
 /**
-Slots of backend servers, given out one request at a time.
+Dispatcher: grants the slots of backend servers to requests, one at a time. Pure decision logic without input or output.
 */
 export {isFirstAttempt} from './slot-requests.ts';
 export type {
--- a/packages/wagtailroute-dispatch/src/policy.ts
+++ b/packages/wagtailroute-dispatch/src/policy.ts
@@ -1,98 +1,98 @@
 /**
-Weights, times and bounds by which a dispatcher decides. Doubt is measured in natural log-odds that an upstream is in a bad spell.
+Weights, times and bounds by which a dispatcher decides.
 
-They are one record, so that an experiment can change each by its name and everything else stays as it is.
+Doubt is the evidence that an upstream is in a failure period, in which it temporarily fails most requests, measured in natural log-odds. Costs and
+gains have the unit "load of a full upstream": an upstream without a free slot costs 1 more than an empty one. The policy is one record, so that an
+experiment can change a single value by its name.
 */
 /**
-What holds unless an experiment says otherwise.
+Default values; experiments and the command line may change single ones.
 */
 export const DEFAULT_POLICY = {
 	/**
-	Doubt from which on an upstream gets no request that must not run twice: odds of 20 to 1 against an upstream that fails
-	every 80th request when well.
+	Doubt from which on an upstream is suspended: it gets only trials. 3 means odds of 20 to 1 for a failure period of an upstream that fails every
+	80th request when healthy.
 	*/
 	suspendedDoubt: 3,
 	/**
-	Most doubt that is kept: an upstream that failed a hundred times must be able to prove itself by a few successes.
+	Upper bound of doubt: an upstream that has failed a hundred times must be able to recover with a few successes.
 	*/
 	mostDoubt: 7.5,
 	/**
-	Doubt that a success takes away: ln(0.99 / 0.22), where a bad spell lets about every fifth request through.
+	Doubt that a success subtracts: ln(0.99 / 0.22), since about every fifth request succeeds in a failure period.
 	*/
 	successDoubt: 1.5,
 	/**
-	Doubt of an answer with an error status: ln(0.55 / 0.012), a bad spell against an upstream that is well, less what one of a
-	hundred upstreams in such a spell takes from it. One error alone must suspend nobody: upstreams that are well give one in a
-	hundred answers.
+	Doubt that an answer with an error status adds: ln(0.55 / 0.012) for a failure period against a healthy upstream, reduced since only one in
+	a hundred upstreams is in a failure period. One error alone must not suspend an upstream: healthy ones return an error for one in a hundred
+	requests.
 	*/
 	errorDoubt: 2.6,
 	/**
-	Doubt that passes in a second without evidence: bad spells end by themselves within 10 to 20 s.
+	Doubt that decays per second without evidence: failure periods end by themselves within 10 to 20 s.
 	*/
 	fadingDoubt: 0.3,
 	/**
-	Cost of one unit of doubt, as a part of a full upstream: what has just failed is left alone where there are others, beyond what the
-	risk says.
+	Cost of one unit of doubt. It makes requests avoid an upstream that has just failed where there are others, in addition to the cost of the risk.
 	*/
 	doubtCost: 0.25,
 	/**
-	Milliseconds by which a request of the next lower rank stands behind one that comes at the same time. Not more: under lasting
-	overload the lowest rank would get nothing.
+	Milliseconds by which a request is queued later for each step of lower priority. A larger value would leave the lowest priority without slots under lasting overload.
 	*/
 	rankMilliseconds: 150,
 	/**
-	Milliseconds by which a resend stands before requests that come at the same time: it has waited already.
+	Milliseconds by which a resend is queued ahead of new requests, since it has waited already.
 	*/
 	resendMilliseconds: 1000,
 	/**
-	Milliseconds by which a request that can not be answered within its objective any more stands behind others that can: enough that a crowd
-	that comes back does not make all who come later late, and not so much that it is only served when nobody else is left.
+	Milliseconds by which a request that can no longer meet its latency objective is queued behind those that can. It is large enough that a crowd of
+	retries after an outage doesn't make all later requests late, and small enough that late requests are served before the queue is empty.
 	*/
 	lateMilliseconds: 1000,
 	/**
-	Usual times that must fit into the latency objective behind the wait for a slot. Under overload as many requests are served
-	whatever the wait; with a short one they are served in time.
+	Number of usual response times that must fit into the latency objective after the wait for a slot. Under overload the number of served requests is
+	the same for any wait; with a short wait they are served in time.
 	*/
 	objectivePart: 1.3,
 	/**
-	Part of this rule that holds for a request whose objective is missed already: with 1 it is refused like others, with 0 only its deadline
-	counts. A late answer is worth more to its caller than a refusal, and it stands behind those who can be in time.
+	Weight of the rule of `objectivePart` for a request that has missed its objective already: with 1 it is refused like others, with 0 only its
+	deadline counts. A late answer is worth more to its caller than a refusal, and the request is queued behind those that can still be in time.
 	*/
 	missedPart: 0,
 	/**
-	Doubt of a connection that was reset or an answer that was cut: upstreams that are well hardly ever do it.
+	Doubt that a connection reset or a truncated answer adds: healthy upstreams hardly ever cause either.
 	*/
 	resetDoubt: 6,
 	/**
-	Doubt of a refused connection: nobody listens.
+	Doubt that a refused connection adds: no process listens at the address.
 	*/
 	refusedDoubt: 7.5,
 	/**
-	Doubt of an upstream that cannot be reached by one host, or does not answer it in time: the path of this host may be at fault,
-	a second host's word counts as proof.
+	Doubt that a connection timeout or an answer timeout adds. The network path of one entry host may be the cause, so a single report does not
+	suspend; a second entry host's report does.
 	*/
 	silenceDoubt: 2,
 	/**
-	Doubt of a request that was moved because its answer was overdue. One in a hundred is on an upstream that is well, more under load: half of
-	what a success takes away, so that it takes four in a row to suspend.
+	Doubt that a request adds that was moved because its answer was overdue. At a healthy upstream that happens to one in a hundred requests, and more
+	often under load. The value is half of what a success subtracts, so it takes four in a row to suspend.
 	*/
 	overdueDoubt: 0.75,
 	/**
-	Doubt of a shed request while this dispatcher counts a free slot. A shed costs a resend, not the request: less than what a success
-	takes away, so that upstreams which all shed a part are used on.
+	Doubt that a shed request adds although this dispatcher counts a free slot. Load shedding costs a resend and loses no request, so the value is
+	lower than what a success subtracts: upstreams that all shed a part of their requests stay in use.
 	*/
 	shedDoubt: 1.2,
 	/**
-	Doubt up to which sheds alone can bring an upstream: below suspension. What was shed has not run, so trying costs little; but when all upstreams of
-	a service shed half of what they get, suspending them all leaves next to nothing of it.
+	Doubt up to which shed requests alone can bring an upstream; it lies below suspension. A shed request has not run, so sending it costs little, and
+	when all upstreams of a service shed half of their requests, suspending them all would leave almost no capacity.
 	*/
 	mostShedDoubt: 2.5,
 	/**
-	Milliseconds for which a host sends nothing more to an upstream that left its request unanswered.
+	Milliseconds for which an entry host sends no more requests to an upstream that has left one of its requests unanswered.
 	*/
 	pathMilliseconds: 3000,
 	/**
-	Milliseconds without a new request after an upstream has shed one: its queue needs a moment.
+	Milliseconds without a new request after an upstream has shed one: its queue needs time to drain.
 	*/
 	shedMilliseconds: 150,
 	/**
@@ -100,139 +100,141 @@
 	*/
 	trialLeastMilliseconds: 300,
 	/**
-	Longest wait in milliseconds before a trial.
+	Upper bound of that delay.
 	*/
 	trialMostMilliseconds: 2400,
 	/**
-	Milliseconds that a trial waits in addition for a request that may be repeated, before one that may not is taken: bad spells
-	of 5 to 10 s pass meanwhile, and each such trial may cost a caller its request.
+	Additional milliseconds before a trial may use a non-idempotent request: failure periods of 5 to 10 s end in that time, and each such trial may
+	lose its request.
 	*/
 	unrepeatableTrialMilliseconds: 6000,
 	/**
-	Part of a service's requests that is not served from which on upstreams that get nothing are tried sooner.
+	Fraction of failed requests of a service (its shortfall) from which on idle upstreams are tried sooner.
 	*/
 	shortfallPart: 0.05,
 	/**
-	Milliseconds after its last failure from which on an upstream is tried then, whatever its next trial waits for; doubled with each failed trial.
+	Milliseconds after an upstream's last failure from which on it is tried during a shortfall, whatever its next trial waits for; doubled with each
+	failed trial.
 	*/
 	shortfallTrialLeastMilliseconds: 1500,
 	/**
-	The same at most.
+	Upper bound of that delay.
 	*/
 	shortfallTrialMostMilliseconds: 4000,
 	/**
-	Gain of an upstream that is not suspended and has rested, then: more than any risk costs.
+	Gain of a rested upstream during a shortfall: more than any risk costs.
 	*/
 	shortfallRestGain: 30,
 	/**
-	Milliseconds for which one request that may be repeated lets others be expected.
+	Milliseconds after an idempotent request in which further ones are expected.
 	*/
 	repeatableMilliseconds: 3000,
 	/**
-	A request that lasts longer than this many usual times counts against the path between its host and its upstream.
+	Multiple of the usual response time from which on a request in progress counts against the network path between its entry host and its upstream.
 	*/
 	overdueRatio: 2.2,
 	/**
-	Least age in milliseconds at which a request counts as overdue.
+	Minimum age in milliseconds of a request that counts as overdue.
 	*/
 	overdueMilliseconds: 550,
 	/**
-	Share of a new measurement in an upstream's relative slowness.
+	Weight of a new measurement in the moving average of an upstream's slowness, which is its response time as a multiple of the usual one.
 	*/
 	slownessShare: 0.25,
 	/**
-	Milliseconds in which what is known of an upstream's slowness loses two thirds of its weight.
+	Time constant in milliseconds with which a measured slowness decays to 1.
 	*/
 	slownessMilliseconds: 6000,
 	/**
-	Relative slowness that a starting upstream is taken to have.
+	Slowness that is assumed of an upstream that is warming up.
 	*/
 	coldSlowness: 2,
 	/**
-	Share of a new measurement in the usual time of a route.
+	Weight of a new measurement in the moving average that is a route's usual response time.
 	*/
 	usualShare: 0.05,
 	/**
-	Usual time of a route that was not measured yet, as a part of its latency objective.
+	Usual response time of a route without measurements, as a fraction of its latency objective.
 	*/
 	usualPart: 0.25,
 	/**
-	Cost of leaving the failure domain, as a part of a full upstream: more than a full one against an empty one, so that requests stay
-	while there is a free slot of an upstream that is well and not half as fast as the others. Bytes between failure domains can cost
-	as much as the request is worth.
+	Cost of an upstream in another failure domain: more than the difference between a full and an empty one, so that requests stay in their failure
+	domain while it has a free slot at a healthy upstream that is not twice as slow as the others. Traffic between failure domains can cost as much as
+	the request is worth.
 	*/
 	domainCost: 1.2,
 	/**
-	The same for an upload, whose bytes cross too.
+	The same for an upload, whose body crosses failure domains too.
 	*/
 	uploadDomainCost: 2.5,
 	/**
-	Milliseconds that a request waits for a slot of its own failure domain while there are upstreams in use, by class: the more bytes
-	would cross, the longer. With 40 slots of 0.4 s each one comes free every 10 ms.
+	Milliseconds that a request waits for a slot in its own failure domain while usable upstreams there are full, by request class: the more bytes
+	would cross, the longer. With 40 slots of 0.4 s each, one becomes free every 10 ms.
 	*/
 	domainWaitMilliseconds: 20,
 	unrepeatableDomainWaitMilliseconds: 60,
 	uploadDomainWaitMilliseconds: 250,
 	/**
-	Milliseconds by which a trial that crosses failure domains stands behind one that does not.
+	Additional milliseconds before a request from another failure domain may be a trial.
 	*/
 	domainTrialMilliseconds: 1000,
 	/**
-	Spread of the costs, so that equal upstreams take turns.
+	Range of the random cost that makes equal upstreams take turns.
 	*/
 	spreadCost: 0.04,
 	/**
-	Part of a route's usual time that must be left to the deadline for a request to be sent at all.
+	Fraction of a route's usual response time that must be left until the deadline for a request to be granted.
 	*/
 	worthwhilePart: 0.9,
 	/**
-	Milliseconds that a resend of a refused request waits at least.
+	Minimum delay in milliseconds that a refusal asks for before the request is sent again.
 	*/
 	retryAfterLeastMilliseconds: 100,
 	/**
-	Part of the resends for each request that is used, so that what other hosts send while they cannot reach this dispatcher fits in.
+	Fraction of the budgeted resends per request that is used. The rest covers what other hosts send while they cannot reach this dispatcher.
 	*/
 	resendRatioPart: 0.92,
 	/**
-	Part of the fixed number of resends that is used: three dispatchers one after the other must not spend more than there is.
+	Fraction of the fixed number of budgeted resends that is used: three dispatchers in succession must not exceed the budget together.
 	*/
 	fixedResendsPart: 0.3,
 	/**
-	Bad spells of an upstream in a second, as far as nothing is known: one in half a minute.
+	Rate of failure periods per second of an upstream without other information: one in half a minute.
 	*/
 	spellsPerSecond: 0.03,
 	/**
-	Part of the requests that a bad spell harms.
+	Fraction of the requests that a failure period harms.
 	*/
 	harmedPart: 0.75,
 	/**
-	How steeply the share of requests that are still at work falls with their age: at twice the usual time a twelfth is left.
+	Exponent of the fraction of requests that are still in progress, by their age: at twice the usual response time a twelfth is left.
 	*/
 	survivalSteepness: 3.5,
 	/**
-	Milliseconds without a request after which an upstream that is not suspended comes first.
+	Milliseconds without a request after which an upstream that is not suspended counts as rested, and is preferred.
 	*/
 	restMilliseconds: 1000,
 	/**
-	Gain of it, as a part of a full upstream: more than all that load and quiet can cost, less than leaving the failure domain.
+	Gain of a rested upstream for a non-idempotent request: more than load and the risk after idle time can cost, less than leaving the failure
+	domain.
 	*/
 	restGain: 1,
 	/**
-	The same for a request that may be repeated: more than leaving the failure domain. What nobody was sent to may have fallen ill or become well unnoticed, and
-	is found out by a request that can be sent again.
+	Gain of a rested upstream for an idempotent request: more than leaving the failure domain. An upstream without requests may have failed or
+	recovered unnoticed, and an idempotent request finds out without harm, since it can be sent again.
 	*/
 	repeatableRestGain: 3,
 	/**
-	Burst of an upstream's rate limit, in seconds' worth of the rate.
+	Burst of an upstream's rate limit, in seconds of its rate.
 	*/
 	rateBurstSeconds: 0.5,
 	/**
-	Cost of a certain bad spell, as a part of a full upstream: where one is likely, a request that must not run twice had better wait or cross.
+	Cost of a risk of 1, a certain failure period: where a failure is likely, a non-idempotent request had better wait or cross failure domains.
 	*/
 	riskCost: 20,
 } as const;
 
 /**
-A policy.
+Policy of a dispatcher: the values of {@link DEFAULT_POLICY}, each of which may be replaced.
 */
 export type Policy = {readonly [Name in keyof typeof DEFAULT_POLICY]: number};
--- a/packages/wagtailroute-dispatch/src/recent-counts.ts
+++ b/packages/wagtailroute-dispatch/src/recent-counts.ts
@@ -1,9 +1,9 @@
 /**
-Counts of what happened lately, in slices of time: a window costs the same memory at any rate.
+Counts of recent events, kept in slices of time, so that memory does not depend on the rate of events.
 */
 
 /**
-Counts of a sliding window. Times are in milliseconds of a monotonic clock.
+Counts over a sliding window. Times are monotonic, in milliseconds.
 */
 export type RecentCounts<Name extends string> = {
 	readonly add: (name: Name, now: number) => void;
@@ -16,7 +16,7 @@
 /**
 Creates counts that are all 0.
 
-@param zero Each count by its name, 0.
+@param zero The names of the counts, each with the value 0.
 */
 export function createRecentCounts<Name extends string>(
 	zero: Readonly<Record<Name, number>>,
--- a/packages/wagtailroute-dispatch/src/service-rate-limits.ts
+++ b/packages/wagtailroute-dispatch/src/service-rate-limits.ts
@@ -1,8 +1,8 @@
 /**
-The rate limits that the upstreams of one service advertise, and the updates that peer dispatchers need.
+Rate limits that the upstreams of one service advertise, and the updates that peer dispatchers need.
 
-Two dispatchers may serve a service at the same time, since some hosts consider one of them lost. So a dispatcher reports its grants to its peers after it
-has taken over a service, and for as long as it receives reports of another one. On its own it only reports changed rates.
+Two dispatchers may serve a service at the same time when some hosts consider one of them lost. So a dispatcher reports its grants to its peers after
+it has taken over a service, and as long as it receives reports of another dispatcher. Otherwise it reports only changed rates.
 */
 import type * as core from 'wagtailroute-core';
 import type {RateLimitUpdate} from './slot-requests.ts';
@@ -11,7 +11,7 @@
 import type {Upstream} from './upstreams.ts';
 
 /**
-What the rate limits of a service depend on.
+Sources on which the rate limits of a service depend.
 */
 export type ServiceRateLimitsOptions = {
 	/**
@@ -25,7 +25,7 @@
 };
 
 /**
-Rate limits of a service. Times are in milliseconds of a monotonic clock.
+Rate limits of a service. Times are monotonic, in milliseconds.
 */
 export class ServiceRateLimits {
 	readonly #options: ServiceRateLimitsOptions;
@@ -76,7 +76,7 @@
 	}
 
 	/**
-	Applies an update of another host.
+	Applies the update of another host.
 	*/
 	apply(upstream: Upstream, {ratePerSecond, ageMilliseconds, granted}: RateLimitUpdate, now: number): void {
 		if (ratePerSecond === null) {
@@ -90,7 +90,7 @@
 	}
 
 	/**
-	Records that a request of the service is dispatched here.
+	Records a request of the service, and applies the present share to the limits.
 	*/
 	recordRequest(now: number): void {
 		if (now - this.#lastRequestAt > TAKEOVER_IDLE_MILLISECONDS) {
@@ -109,14 +109,14 @@
 	}
 
 	/**
-	Consumes tokens for requests granted to an upstream; a negative number returns them.
+	Consumes tokens for requests granted to an upstream; a negative number returns tokens.
 	*/
 	consume({rateLimit}: Upstream, requests: number, now: number): void {
 		rateLimit?.consume(requests, this.#arePeersActive(now), now);
 	}
 
 	/**
-	Says whether grants have to be reported to peers.
+	Returns whether grants have to be reported to peers.
 	*/
 	isShared(now: number): boolean {
 		return this.#limits.size > 0 && this.#arePeersActive(now);
--- a/packages/wagtailroute-dispatch/src/services.ts
+++ b/packages/wagtailroute-dispatch/src/services.ts
@@ -1,5 +1,5 @@
 /**
-What a dispatcher knows of one service: its upstreams, who waits, how long its requests take, and what follows from that.
+State of one service at a dispatcher: its upstreams, the queue of requests, the usual response times, and the conditions that follow from them.
 */
 import type * as core from 'wagtailroute-core';
 import type {SlotRequest} from './slot-requests.ts';
@@ -18,12 +18,12 @@
 } from './upstreams.ts';
 
 /**
-An ask that waits.
+A slot request in the queue.
 */
 export type QueuedRequest = {
 	readonly request: SlotRequest;
 	/**
-	Those with a lower one come first.
+	Sort key: requests with a lower key are served first. A time in milliseconds, see {@link getQueueKey}.
 	*/
 	readonly queueKey: number;
 	readonly queuedAt: number;
@@ -31,105 +31,106 @@
 };
 
 /**
-A service, changed in place by its dispatcher only.
+A service. It is changed in place, only by its dispatcher and the functions of this package.
 */
 export type Service = {
 	readonly name: core.ServiceName;
 	readonly policy: Policy;
 	readonly upstreams: Map<core.UpstreamId, Upstream>;
 	/**
-	By turn.
+	Sorted by `queueKey`.
 	*/
 	readonly queue: QueuedRequest[];
 	/**
-	Usual milliseconds by route.
+	Moving averages of the response times in milliseconds, by name of the route.
 	*/
 	readonly usualMillisecondsByRoute: Map<string, number>;
 	readonly budget: Budget;
 	readonly shortfall: Shortfall;
 	/**
-	Time of the last request that may be repeated.
+	Time of the last idempotent request.
 	*/
 	lastIdempotentAt: number;
 	readonly rateLimits: ServiceRateLimits;
 	/**
-	Upstreams that leave, and that peers were not told of.
+	Upstreams that are draining and have not been reported to the peers.
 	*/
 	readonly unpublishedDraining: Set<core.UpstreamId>;
 };
 
 /**
-Returns the usual milliseconds of requests of the ask's route.
+Returns the usual response time of the request's route in milliseconds.
 */
 export function getUsualMilliseconds(service: Service, request: SlotRequest): number {
 	return estimateUsualMilliseconds(service.usualMillisecondsByRoute.get(request.route), request.objectiveMilliseconds);
 }
 
 /**
-Returns the usual milliseconds of a route: a part of its latency objective while it was not measured.
+Returns the usual response time of a route in milliseconds: the measured one, or without measurements a fraction of the latency objective.
 */
 export function estimateUsualMilliseconds(known: number | undefined, objectiveMilliseconds: number): number {
 	return known ?? (objectiveMilliseconds * DEFAULT_POLICY.usualPart);
 }
 
 /**
-Takes a time as a measurement of what is usual on a route.
+Updates the usual response time of a route with a measurement.
 */
 export function recordUsualMilliseconds({usualMillisecondsByRoute}: Service, route: string, milliseconds: number): void {
 	usualMillisecondsByRoute.set(route, averageUsualMilliseconds(usualMillisecondsByRoute.get(route), milliseconds));
 }
 
 /**
-Returns what is usual after one more measurement.
+Returns the moving average after one more measurement.
 */
 export function averageUsualMilliseconds(known: number | undefined, milliseconds: number): number {
 	return known === undefined ? milliseconds : (known * (1 - DEFAULT_POLICY.usualShare)) + (milliseconds * DEFAULT_POLICY.usualShare);
 }
 
 /**
-Returns what the choice of a trial may know.
+Returns the state on which the choice of a trial depends.
 */
 export function createTrialContext(
 	service: Service,
 	now: number,
-	{isFull, needsIdleUpstreams: isIdleMissed}: Pick<TrialContext, 'isFull' | 'needsIdleUpstreams'>,
+	{isFull, needsIdleUpstreams: areIdleNeeded}: Pick<TrialContext, 'isFull' | 'needsIdleUpstreams'>,
 ): TrialContext {
 	return {
-		now, hasRecentIdempotent: hasRecentIdempotent(service, now), isFull, needsIdleUpstreams: isIdleMissed,
+		now, hasRecentIdempotent: hasRecentIdempotent(service, now), isFull, needsIdleUpstreams: areIdleNeeded,
 	};
 }
 
 /**
-Says whether requests that may be repeated came lately.
+Returns whether idempotent requests came recently, so that more are expected.
 */
 function hasRecentIdempotent({lastIdempotentAt, policy}: Service, now: number): boolean {
 	return now - lastIdempotentAt < policy.repeatableMilliseconds;
 }
 
 /**
-Says whether upstreams that get nothing are missed: a noticeable part of the requests is not served, and none comes that could find out without harm which of them are well.
+Returns whether idle upstreams should be tried sooner: a noticeable fraction of the requests fails, and there are no idempotent requests that could
+find out without harm which upstreams are healthy.
 */
 export function needsIdleUpstreams(service: Service, now: number): boolean {
 	return !hasRecentIdempotent(service, now) && hasShortfall(service, now);
 }
 
 /**
-Says whether a noticeable part of the requests is not served.
+Returns whether a noticeable fraction of the requests fails.
 */
 export function hasShortfall({shortfall, policy}: Service, now: number): boolean {
 	return shortfall.getFailedPart(now) >= policy.shortfallPart;
 }
 
 /**
-Says whether the caller has waited for so long that even an upstream that is free now can not answer within the objective.
+Returns whether the caller has waited for so long that a slot granted now would not meet the latency objective.
 */
 export function isObjectiveMissed(service: Service, request: SlotRequest): boolean {
 	return request.waitedMilliseconds + getUsualMilliseconds(service, request) > request.objectiveMilliseconds;
 }
 
 /**
-The place of an ask among those that wait, as a time. Who can be answered within the objective comes before who can not any more: otherwise a
-crowd that comes back after an outage makes all who come later late as well.
+Returns the sort key of a request in the queue, as a time in milliseconds. Requests that can meet their objective come before those that no longer
+can: otherwise a crowd of retries after an outage makes all later requests late as well.
 */
 export function getQueueKey(service: Service, request: SlotRequest, now: number): number {
 	const {policy} = service;
@@ -137,7 +138,7 @@
 }
 
 /**
-Counts the asks up to one with this turn, itself included: they are kept by turn, so half of them are ruled out at each look.
+Counts the queued requests with this sort key or a lower one, by binary search.
 */
 export function countQueuedUntil({queue}: Service, queueKey: number): number {
 	let from = 0;
@@ -151,14 +152,14 @@
 }
 
 /**
-Says whether an ask that waits could not be answered before its deadline any more.
+Returns whether a queued request could no longer be answered before its deadline.
 */
 export function isDeadlineUnreachable(service: Service, {request, deadlineAt}: QueuedRequest, now: number): boolean {
 	return deadlineAt - now < getUsualMilliseconds(service, request) * service.policy.worthwhilePart;
 }
 
 /**
-Lists the upstreams that could take a request as far as this is the same for all.
+Lists the upstreams that are in service, not suspended, and have capacity for another request. Conditions that differ by request are not checked.
 */
 export function listFreeUpstreams({upstreams}: Service, now: number): readonly Upstream[] {
 	return upstreams.values().filter(upstream => hasCapacity(upstream, now) && isServing(upstream) && !isSuspended(upstream, now)).toArray();
@@ -172,7 +173,7 @@
 }
 
 /**
-Counts the slots, free or not, of the upstreams that could take the ask, as far as rate limits let them be used.
+Counts the slots, free or not, of the upstreams that are usable for the request, as far as rate limits allow their use.
 */
 export function countUsableSlots(service: Service, request: SlotRequest, now: number): number {
 	const usual = getUsualMilliseconds(service, request);
@@ -185,14 +186,14 @@
 }
 
 /**
-Says whether any upstream that could take the ask takes requests of its host.
+Returns whether any upstream is usable for the request now.
 */
 export function hasUsableUpstream({upstreams}: Service, request: SlotRequest, now: number): boolean {
 	return upstreams.values().some(upstream => isUsableNow(upstream, request, now));
 }
 
 /**
-Returns the milliseconds until an upstream that could take the ask takes requests of its host again; Infinity when there is none.
+Returns the milliseconds until the backoff of the request's entry host ends at a usable upstream; Infinity when no upstream is usable.
 */
 export function getBackoffDelay({upstreams}: Service, request: SlotRequest, now: number): number {
 	const delays = upstreams.values().filter(upstream => isUsable(upstream, request, now)).map(upstream => getBackoff(upstream, request.host, now));
@@ -204,14 +205,14 @@
 }
 
 /**
-Says whether an upstream could take the ask, were its host not to back off.
+Returns whether an upstream is usable for the request, apart from backoffs of its entry host.
 */
 function isUsable(upstream: Upstream, {excluded}: SlotRequest, now: number): boolean {
 	return isServing(upstream) && !isSuspended(upstream, now) && !excluded.includes(upstream.candidate.upstream);
 }
 
 /**
-Says whether fewer upstreams than the floor's part are free of suspicion.
+Returns whether the fraction of upstreams that are not suspended is below the floor.
 */
 export function isBelowFloor(service: Service, floor: number, now: number): boolean {
 	let all = 0;
--- a/packages/wagtailroute-dispatch/src/shortfall.ts
+++ b/packages/wagtailroute-dispatch/src/shortfall.ts
@@ -1,28 +1,28 @@
 /**
-Whether a noticeable part of a service's requests is not served.
+Shortfall: the fraction of a service's requests that fails.
 
-An upstream that is left alone costs nothing while the others serve what comes. While they fail, it may be what is missing, so it is tried sooner.
+Leaving an upstream idle costs nothing while the others serve all requests. While they fail, its capacity may be needed, so it is tried sooner.
 */
 import {MIN_SHORTFALL_FAILURES, SHORTFALL_SLICE_MILLISECONDS, SHORTFALL_WINDOW_MILLISECONDS} from './constants.ts';
 import {createRecentCounts} from './recent-counts.ts';
 
 /**
-Requests of the last while, and those of them that were not served.
+Recent requests of a service, and how many of them failed.
 */
 export type Shortfall = {
 	readonly recordRequest: (now: number) => void;
 	/**
-	A request was refused, or its upstream failed it.
+	Records that a request was refused, or failed at its upstream.
 	*/
 	readonly recordFailure: (now: number) => void;
 	/**
-	Returns the part of the requests that was not served, 0 to 1; 0 while so few failed that it may be chance.
+	Returns the fraction of the requests that failed, 0 to 1; 0 while so few failed that it may be chance.
 	*/
 	readonly getFailedPart: (now: number) => number;
 };
 
 /**
-Starts without requests.
+Creates a shortfall without requests.
 */
 export function createShortfall(): Shortfall {
 	const counts = createRecentCounts({asks: 0, failures: 0}, {windowMilliseconds: SHORTFALL_WINDOW_MILLISECONDS, sliceMilliseconds: SHORTFALL_SLICE_MILLISECONDS});
--- a/packages/wagtailroute-dispatch/src/slot-requests.ts
+++ b/packages/wagtailroute-dispatch/src/slot-requests.ts
@@ -1,15 +1,18 @@
 /**
-What is asked of a dispatcher, and what it answers.
+Input and output of a dispatcher: requests for slots, how granted requests ended, the decisions that follow, and what dispatchers report to each
+other.
+
+Types that are marked as messages are sent between hosts as they are: their fields are part of the wire protocol.
 */
 import type * as core from 'wagtailroute-core';
 
 /**
-Names one ask over the fleet.
+Unique in the fleet.
 */
 export type SlotRequestId = string;
 
 /**
-A host asks where to send a request.
+Request of an entry host for a slot of any upstream of a service, for one request of a caller. Named `ask` on the wire; part of messages.
 */
 export type SlotRequest = {
 	readonly id: SlotRequestId;
@@ -17,20 +20,20 @@
 	readonly failureDomain: core.FailureDomain;
 	readonly service: core.ServiceName;
 	/**
-	Who calls; absent where the catalogue has no organisations, or the route needs no key.
+	Caller's organisation; absent where the catalogue has no organisations or the route requires no API key.
 	*/
 	readonly organisation?: core.Organisation;
 	/**
-	Name of the route: requests of one route take alike long.
+	Name of the route. Response times are averaged by route, since requests of one route take similar times.
 	*/
 	readonly route: string;
 	readonly requestClass: core.RequestClass;
 	/**
-	Rank, 0 is the highest.
+	Priority, 0 is the highest.
 	*/
 	readonly priority: number;
 	/**
-	Milliseconds until the deadline.
+	Milliseconds until the deadline of the request.
 	*/
 	readonly remainingMilliseconds: number;
 	/**
@@ -38,43 +41,45 @@
 	*/
 	readonly objectiveMilliseconds: number;
 	/**
-	Milliseconds that its caller has waited before, as far as the host knows: 0 for one that has just come.
+	Milliseconds that the caller has waited in earlier attempts, as far as the entry host knows; 0 for a new request.
 	*/
 	readonly waitedMilliseconds: number;
 	/**
-	Upstreams that are not to be chosen: they had the request already.
+	Upstreams that have received the request already and must not be chosen.
 	*/
 	readonly excluded: readonly core.UpstreamId[];
 	/**
-	Another upstream had the request before.
+	Whether the request was sent to another upstream before, and this one is a resend.
 	*/
 	readonly isResend: boolean;
 	/**
-	The request is under way at another upstream, whose answer is overdue: it moves only to a slot that nobody waits for.
+	Whether the request is in progress at another upstream whose answer is overdue. It is moved only to a slot that no queued request waits for.
 	*/
 	readonly isMove: boolean;
 	/**
-	Another dispatcher was asked for the same before, and has counted the request. Absent: none was.
+	Whether another dispatcher has received this slot request before and has counted it for its retry budget. Absent means false.
 	*/
 	readonly isAgain?: boolean;
 };
 
 /**
-Says whether nobody had the request before.
+Returns whether no upstream has received the request yet.
 */
 export function isFirstAttempt({isResend, isMove}: SlotRequest): boolean {
 	return !isResend && !isMove;
 }
 
 /**
-Why an ask was refused. `allotment`: its organisation has used what it may.
+Why a slot request was refused. `no-upstream`: no upstream is usable. `no-slot-in-time`: none has a free slot before the objective or the deadline.
+`budget`: the retry budget is used up. `allotment`: the organisation has used up its allotment.
 */
 export type RefusalReason = 'no-upstream' | 'no-slot-in-time' | 'budget' | 'allotment';
 
 /**
-How a granted request ended, as evidence about its upstream. `refused`: no connection, nobody listens. `unreachable`: no
-connection in time. `overdue`: it took so long that the request moved elsewhere. `reset`: the connection or the answer broke. `misdirected`: another instance has the address. `cancelled`:
-says nothing. `unused`: the same, and nothing was sent, for the host had turned elsewhere when the place came.
+How a granted request ended, as evidence about its upstream. `refused`: connection refused. `unreachable`: connection timed out. `overdue`: the answer
+took so long that the request was moved to another upstream. `reset`: the connection or the answer broke off. `misdirected`: another instance uses the
+address. `cancelled`: no evidence. `unused`: no evidence, and nothing was sent, because the entry host had turned to another dispatcher before the
+grant arrived.
 */
 export type Ending =
 	| 'success'
@@ -90,7 +95,7 @@
 	| 'unused';
 
 /**
-What a dispatcher asks to be done.
+Action that the caller of a dispatcher has to carry out. `grant` and `refuse` answer a slot request.
 */
 export type Effect =
 	| {
@@ -118,7 +123,7 @@
 		readonly cause: Ending;
 	}
 	/**
-	An upstream asked a host to send nothing for a while.
+	An upstream asked an entry host to send no requests for some time.
 	*/
 	| {
 		readonly kind: 'backoff';
@@ -128,7 +133,7 @@
 		readonly milliseconds: number;
 	}
 	/**
-	An upstream told a host that it leaves.
+	An answer to an entry host announced that the upstream is draining.
 	*/
 	| {
 		readonly kind: 'draining';
@@ -137,7 +142,7 @@
 		readonly host: core.HostId;
 	}
 	/**
-	The rate limit of an upstream is new, changed or, without a rate, lifted.
+	The rate limit of an upstream is new or has changed; without `ratePerSecond` it was lifted.
 	*/
 	| {
 		readonly kind: 'rate-limit';
@@ -148,32 +153,32 @@
 	};
 
 /**
-What an upstream advertised, as hosts report it to each other.
+What an upstream advertised in its answers, as hosts report it to each other. A message.
 */
 export type UpstreamUpdate = RateLimitUpdate | BackoffUpdate | DrainingUpdate;
 
 /**
-The rate limit of an upstream.
+Rate limit of an upstream.
 */
 export type RateLimitUpdate = {
 	readonly kind: 'rate-limit';
 	readonly upstream: core.UpstreamId;
 	/**
-	Requests a second that it takes from all hosts together; null once the limit is lifted.
+	Requests per second that the upstream accepts from all hosts together; null when the limit was lifted.
 	*/
 	readonly ratePerSecond: number | null;
 	/**
-	Milliseconds since an answer advertised it.
+	Milliseconds since an answer advertised the limit.
 	*/
 	readonly ageMilliseconds: number;
 	/**
-	Requests that the reporting dispatcher granted since its last report.
+	Requests that the reporting dispatcher has granted since its last report.
 	*/
 	readonly granted: number;
 };
 
 /**
-A host that is to send nothing to an upstream for a while.
+Entry host that must send no requests to an upstream for some time.
 */
 export type BackoffUpdate = {
 	readonly kind: 'backoff';
@@ -183,7 +188,7 @@
 };
 
 /**
-An upstream that leaves, though its heartbeats may not tell.
+Upstream that is draining, although its heartbeats may not say so.
 */
 export type DrainingUpdate = {
 	readonly kind: 'draining';
@@ -191,7 +196,7 @@
 };
 
 /**
-A place that a host holds at an upstream, told when it turns to another dispatcher.
+Slot that an entry host holds, reported when the host turns to another dispatcher. A message; the field that lists them is named `places`.
 */
 export type HeldSlotReport = {
 	readonly id: SlotRequestId;
@@ -200,17 +205,17 @@
 	readonly route: string;
 	readonly upstream: core.UpstreamId;
 	/**
-	Milliseconds since it was granted.
+	Milliseconds since the slot was granted.
 	*/
 	readonly ageMilliseconds: number;
 	/**
-	Milliseconds until its deadline.
+	Milliseconds until the deadline of its request.
 	*/
 	readonly remainingMilliseconds: number;
 };
 
 /**
-An upstream as its heartbeats tell.
+Upstream as its heartbeats describe it.
 */
 export type Candidate = {
 	readonly upstream: core.UpstreamId;
@@ -219,11 +224,11 @@
 	readonly slots: number;
 	readonly isDraining: boolean;
 	/**
-	It was not heard for several heartbeats: no reason against it by itself, but none to try it again once it has failed.
+	Whether several heartbeats are missing. That alone is no reason to avoid the upstream, but a silent upstream gets no trial once it has failed.
 	*/
 	readonly isSilent: boolean;
 	/**
-	Monotonic time until which it is slow from its start.
+	Monotonic time in milliseconds until which the upstream is warming up, and slow.
 	*/
 	readonly warmAt: number;
 };
--- a/packages/wagtailroute-dispatch/src/upstream-rate-limit.ts
+++ b/packages/wagtailroute-dispatch/src/upstream-rate-limit.ts
@@ -1,7 +1,8 @@
 /**
-The rate limit that one upstream advertises in its answers, as a token bucket at one dispatcher.
+Token bucket at one dispatcher for the rate limit that an upstream advertises in its answers.
 
-Several dispatchers may grant requests to the same upstream for a while. Each reports its grants to its peers and takes theirs from its own bucket.
+Several dispatchers may grant requests to the same upstream for some time. Each reports its grants to its peers and subtracts theirs from its own
+bucket.
 */
 import * as admission from 'wagtailroute-admission';
 import {
@@ -16,23 +17,23 @@
 */
 export type AdvertisedRate = {
 	/**
-	Requests a second that the upstream takes from all hosts together.
+	Requests per second that the upstream accepts from all hosts together.
 	*/
 	readonly ratePerSecond: number;
 	readonly advertisedAt: number;
 	/**
-	It was received from another host, so the peers have it as well.
+	Whether another host reported the rate, so that the peers know it as well.
 	*/
 	readonly isPublished: boolean;
 };
 
 /**
-What a limit is created from.
+Initial values of a limit.
 */
 export type UpstreamRateLimitOptions = {
 	readonly advertised: AdvertisedRate;
 	/**
-	Capacity of the bucket, in seconds' worth of the rate.
+	Capacity of the bucket, in seconds of the rate.
 	*/
 	readonly burstSeconds: number;
 	/**
@@ -46,7 +47,7 @@
 };
 
 /**
-Grants and a changed rate that the peers have not received.
+What the peers have not received yet: grants, and whether the rate changed.
 */
 export type PendingUpdate = {
 	readonly isRateChanged: boolean;
@@ -54,7 +55,7 @@
 };
 
 /**
-A rate limit. Times are in milliseconds of a monotonic clock.
+A rate limit. Times are monotonic, in milliseconds.
 */
 export class UpstreamRateLimit {
 	#advertisedAt: number;
@@ -72,13 +73,13 @@
 		this.#share = share;
 		this.#pending = {isRateChanged: !advertised.isPublished, granted: 0};
 		this.#burstSeconds = burstSeconds;
-		// Hosts with a small share each would otherwise all get their first token at the same time.
+		// Otherwise all hosts that dispatch with a small share would get their first token at the same time.
 		const tokens = share < 1 ? random() : 0;
 		this.#bucket = admission.createRateLimit(this.#getRate(), now, {capacity: this.#getCapacity(), tokens});
 	}
 
 	/**
-	Returns the rate as the upstream advertised it.
+	Returns the rate that the upstream advertised, in requests per second.
 	*/
 	getRatePerSecond(): number {
 		return this.#ratePerSecond;
@@ -92,7 +93,7 @@
 	}
 
 	/**
-	Takes a newly advertised rate; one that is older than the last is ignored.
+	Applies a newly advertised rate, unless it is older than the present one.
 	*/
 	update({ratePerSecond, advertisedAt, isPublished}: AdvertisedRate, now: number): void {
 		if (advertisedAt < this.#advertisedAt) {
@@ -136,9 +137,9 @@
 	}
 
 	/**
-	Consumes tokens for requests granted here; a negative number returns them.
+	Consumes tokens for requests granted here; a negative number returns tokens.
 
-	@param isShared Peers grant at the same time and need to know.
+	@param isShared Whether peers grant at the same time, so that the grants have to be reported to them.
 	*/
 	consume(requests: number, isShared: boolean, now: number): void {
 		this.#bucket.takeToken(now, requests);
@@ -146,7 +147,7 @@
 	}
 
 	/**
-	Consumes tokens for requests granted by a peer. Updates that were delayed arrive together, so the debt is bounded.
+	Consumes tokens for requests granted by a peer. Delayed updates arrive together, so the debt is bounded.
 	*/
 	consumePeerGrants(requests: number, now: number): void {
 		const maxTokens = this.#bucket.getTokens(now) + Math.max(MAX_DEBT_REQUESTS, this.#getRate() * MAX_DEBT_SECONDS);
@@ -154,7 +155,7 @@
 	}
 
 	/**
-	Returns what the peers have not received, and marks it as sent.
+	Returns what the peers have not received yet, and marks it as sent.
 	*/
 	flushPending(): PendingUpdate {
 		const pending = this.#pending;
--- a/packages/wagtailroute-dispatch/src/upstreams.ts
+++ b/packages/wagtailroute-dispatch/src/upstreams.ts
@@ -1,5 +1,5 @@
 /**
-What a dispatcher knows of one upstream: its places taken, how slow it is, and how much speaks against it.
+State of one upstream at a dispatcher: the slots held, its slowness, the doubt against it, and the risk that follows from them.
 */
 import type * as core from 'wagtailroute-core';
 import type {
@@ -20,7 +20,7 @@
 import type {UpstreamRateLimit} from './upstream-rate-limit.ts';
 
 /**
-A place that is taken.
+A slot that a granted request holds until its end.
 */
 export type HeldSlot = {
 	readonly id: string;
@@ -29,7 +29,7 @@
 	readonly upstream: core.UpstreamId;
 	readonly route: string;
 	/**
-	The ask that it was granted to; absent when a host told it.
+	The granted slot request; absent when the slot was reported by its entry host.
 	*/
 	readonly request?: SlotRequest;
 	readonly grantedAt: number;
@@ -39,7 +39,7 @@
 };
 
 /**
-An upstream, changed in place by the functions of this module only.
+An upstream. It is changed in place, only by the dispatcher and the functions of this package.
 */
 export type Upstream = {
 	readonly policy: Policy;
@@ -47,11 +47,11 @@
 	readonly heldSlots: Map<string, HeldSlot>;
 	readonly createdAt: number;
 	/**
-	Time of the last request that was sent there.
+	Time of the last grant.
 	*/
 	lastGrantedAt: number;
 	/**
-	Read it by {@link getDoubt}: it fades.
+	Value at `doubtUpdatedAt`; {@link getDoubt} returns the present value, which decays.
 	*/
 	doubt: number;
 	doubtUpdatedAt: number;
@@ -60,7 +60,7 @@
 	slownessUpdatedAt: number;
 	lastSuccessAt: number;
 	/**
-	Nothing is sent before this time.
+	No request is granted before this time.
 	*/
 	closedUntil: number;
 	/**
@@ -69,29 +69,29 @@
 	nextTrialAt: number;
 	failedTrials: number;
 	/**
-	Hosts whose path here is at fault, with the time until which they send nothing.
+	Entry hosts whose network path to the upstream may be broken, with the time until which they send no requests.
 	*/
 	readonly suspectPaths: Map<core.HostId, number>;
 	/**
-	Hosts that it asked to send nothing, with the time until which they do.
+	Entry hosts that the upstream asked to send no requests, with the time until which they comply.
 	*/
 	readonly backoffs: Map<core.HostId, number>;
 	/**
-	Another instance answered at its address.
+	Whether another instance answered at its address.
 	*/
 	isMisdirected: boolean;
 	/**
-	Its answers say so, whatever its heartbeats say.
+	Whether its answers announced draining; its heartbeats may not say so.
 	*/
 	isDraining: boolean;
 	/**
-	Absent when its answers advertise none.
+	Absent while its answers advertise none.
 	*/
 	rateLimit?: UpstreamRateLimit;
 };
 
 /**
-Creates the record of an upstream that nothing speaks against.
+Creates an upstream without any evidence against it.
 */
 export function createUpstream(candidate: Candidate, policy: Policy, now: number): Upstream {
 	return {
@@ -117,21 +117,21 @@
 }
 
 /**
-Returns what speaks against it. Doubt fades unless the upstream is silent as well.
+Returns the doubt. It decays, unless the upstream's heartbeats are missing.
 */
 export function getDoubt(upstream: Upstream, now: number): number {
 	return upstream.candidate.isSilent ? upstream.doubt : decayDoubt(upstream.policy, upstream.doubt, now - upstream.doubtUpdatedAt);
 }
 
 /**
-Returns what is left of doubt after a while.
+Returns what is left of a doubt after some milliseconds.
 */
 export function decayDoubt({fadingDoubt}: Policy, doubt: number, milliseconds: number): number {
 	return Math.max(0, doubt - (milliseconds / MILLISECONDS_PER_SECOND * fadingDoubt));
 }
 
 /**
-Sets what speaks against it.
+Sets the doubt, limited to the bounds of the policy.
 */
 export function setDoubt(upstream: Upstream, doubt: number, now: number): void {
 	upstream.doubt = Math.min(upstream.policy.mostDoubt, Math.max(0, doubt));
@@ -139,60 +139,57 @@
 }
 
 /**
-Takes another dispatcher's word of what speaks against it. That one goes on with trials, or has just done the last one: this one waits
-longest before its first. Without the wait, every host that dispatches alone would at once send a request there that may not be repeated.
+Sets the doubt to the value of another dispatcher, and the next trial to the latest time. The other dispatcher continues its trials or has just done
+the last one. Without the delay, every host that dispatches alone would immediately send a trial, which may be a non-idempotent request.
 */
 export function applyReportedDoubt(upstream: Upstream, doubt: number, now: number): void {
 	setDoubt(upstream, doubt, now);
 	upstream.nextTrialAt = now + upstream.policy.trialMostMilliseconds;
 }
 
-/**
-Says whether a request more fits in.
-*/
 function hasFreeSlot({heldSlots, candidate}: Upstream): boolean {
 	return heldSlots.size < candidate.slots;
 }
 
 /**
-Says whether another request may be sent now: a slot is free and the rate limit has a token.
+Returns whether another request may be sent now: a slot is free and the rate limit allows it.
 */
 export function hasCapacity(upstream: Upstream, now: number): boolean {
 	return hasFreeSlot(upstream) && upstream.rateLimit?.hasToken(now) !== false;
 }
 
 /**
-Returns the average number of slots that can be in use; a rate limit may leave some of them idle.
+Returns the average number of slots that can be in use. A rate limit may leave some of them unused.
 
-@param usualMilliseconds Duration of a request.
+@param usualMilliseconds Usual duration of a request.
 */
 export function countSlots({candidate, rateLimit}: Upstream, usualMilliseconds: number): number {
 	return Math.min(candidate.slots, rateLimit?.getConcurrency(usualMilliseconds) ?? Infinity);
 }
 
 /**
-Says whether it serves at all: it does not leave, and its address is its own.
+Returns whether the upstream is in service: it is not draining, and no other instance uses its address.
 */
 export function isServing({candidate, isMisdirected, isDraining}: Upstream): boolean {
 	return !candidate.isDraining && !isDraining && !isMisdirected;
 }
 
 /**
-Says whether it has had no request for a while.
+Returns whether the upstream holds no request and got none for more than some milliseconds.
 */
 export function isIdle({heldSlots, lastGrantedAt, createdAt}: Upstream, milliseconds: number, now: number): boolean {
 	return heldSlots.size === 0 && now - Math.max(lastGrantedAt, createdAt) > milliseconds;
 }
 
 /**
-Says whether it gets trials only.
+Returns whether the upstream gets trials only.
 */
 export function isSuspended(upstream: Upstream, now: number): boolean {
 	return getDoubt(upstream, now) >= upstream.policy.suspendedDoubt;
 }
 
 /**
-Returns how many times as long as usual its requests take. What was measured long ago counts for less.
+Returns the slowness: the response time as a multiple of the usual one. Older measurements have less weight.
 */
 export function getSlowness(upstream: Upstream, now: number): number {
 	const weight = Math.exp((upstream.slownessUpdatedAt - now) / upstream.policy.slownessMilliseconds);
@@ -201,9 +198,9 @@
 }
 
 /**
-Returns the probability that the upstream is in a bad spell, 0 to 1: from what was seen of ended requests, the time since the last one that was
-served, and the age of each that is under way. A request that lasts twice as long as usual says more than one that has just begun, and
-several at once more than one. What began before a later one was served says nothing: its path may be at fault.
+Returns the risk, the probability that the upstream is in a failure period, 0 to 1. It follows from the doubt, the time since the last success, and
+the age of each request in progress. A request in progress for twice the usual time counts more than one that has just begun, and several count more
+than one. A request that became late before a later success doesn't count: its network path may be the cause.
 */
 export function getRisk(upstream: Upstream, now: number): number {
 	const {policy, lastSuccessAt, createdAt} = upstream;
@@ -220,14 +217,14 @@
 }
 
 /**
-Says whether a request lasts so long that its path may be at fault.
+Returns whether a request has been in progress for so long that its network path may be broken.
 */
 function isOverdue({policy}: Upstream, heldSlot: HeldSlot, now: number): boolean {
 	return now - heldSlot.grantedAt > Math.max(policy.overdueMilliseconds, policy.overdueRatio * heldSlot.usualMilliseconds);
 }
 
 /**
-Says whether a request of this host hangs there, or lately hung.
+Returns whether the network path from an entry host may be broken: one of its requests is overdue, or was not answered a short time ago.
 */
 export function isPathSuspect(upstream: Upstream, host: core.HostId, now: number): boolean {
 	if ((upstream.suspectPaths.get(host) ?? -Infinity) > now) {
@@ -244,7 +241,7 @@
 }
 
 /**
-Records until when a host sends nothing to the upstream. Returns whether the host sent until now.
+Records until when an entry host sends no requests to the upstream. Returns whether no backoff of the entry host was in force before.
 */
 export function recordBackoff({backoffs}: Upstream, host: core.HostId, until: number, now: number): boolean {
 	for (const [other, time] of backoffs) {
@@ -259,14 +256,14 @@
 }
 
 /**
-Returns the milliseconds for which a host sends nothing more to the upstream.
+Returns the milliseconds for which an entry host must send no more requests to the upstream; 0 without a backoff.
 */
 export function getBackoff({backoffs}: Upstream, host: core.HostId, now: number): number {
 	return Math.max(0, (backoffs.get(host) ?? now) - now);
 }
 
 /**
-Lists the hosts that send nothing, as updates.
+Lists the backoffs in force as updates for other dispatchers.
 */
 export function listBackoffs({backoffs, candidate: {upstream}}: Upstream, now: number): readonly BackoffUpdate[] {
 	return backoffs.entries().filter(([, until]) => until > now).map(([host, until]): BackoffUpdate => ({
@@ -275,16 +272,16 @@
 }
 
 /**
-What an ending does.
+What an ending says about its upstream.
 */
 type Evidence = {
 	readonly doubt: number;
 	/**
-	It brings doubt no higher than this.
+	Upper bound of the doubt that this ending can bring the upstream to.
 	*/
 	readonly maxDoubt?: number;
 	/**
-	The path between the host and the upstream may be at fault.
+	Whether the ending counts against the network path between the entry host and the upstream.
 	*/
 	readonly isPathEvidence?: boolean;
 	readonly closedMilliseconds?: number;
@@ -305,7 +302,7 @@
 };
 
 /**
-Takes the ending of a request as evidence.
+Applies the ending of a request to the doubt, the trials and the suspect paths of its upstream.
 */
 export function applyEnding(upstream: Upstream, heldSlot: HeldSlot, ending: Ending, now: number): void {
 	const {doubt, maxDoubt = Infinity, isPathEvidence = false, closedMilliseconds = 0} = EVIDENCE_BY_ENDING[ending](upstream.policy);
@@ -337,7 +334,7 @@
 }
 
 /**
-Takes the time of a request as a measurement of slowness.
+Updates the slowness with the response time of a request.
 */
 export function recordResponseTime(upstream: Upstream, heldSlot: HeldSlot, milliseconds: number, now: number): void {
 	const relative = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, milliseconds / heldSlot.usualMilliseconds));
@@ -346,7 +343,7 @@
 }
 
 /**
-Creates the place that a host says it holds.
+Creates the slot that an entry host reports as held.
 */
 export function createHeldSlot(held: HeldSlotReport, usualMilliseconds: number, now: number): HeldSlot {
 	return {
