--- a/packages/wagtailroute-dispatch/src/choosing.ts
+++ b/packages/wagtailroute-dispatch/src/choosing.ts
@@ -44,7 +44,7 @@
 	/**
 	All upstreams of the service, with or without a free slot.
 	*/
-	readonly known: ReadonlyMap<core.UpstreamId, Upstream>;
+	readonly allUpstreams: ReadonlyMap<core.UpstreamId, Upstream>;
 	/**
 	Whether idle upstreams are tried sooner, since requests fail and none of them is idempotent.
 	*/
@@ -92,13 +92,13 @@
 Returns whether a request should wait for a slot in its own failure domain. Under load one becomes free there within milliseconds. If each request
 took the first free slot of any domain, nearly half of all requests would cross, each leaving a slot in its own domain to another that crosses.
 */
-function isWaitingForOwnDomain(request: SlotRequest, {now, waitedMilliseconds, known, policy}: ChoiceContext): boolean {
-	const left = policy[DOMAIN_WAIT_FIELDS[request.requestClass]] - waitedMilliseconds;
+function isWaitingForOwnDomain(request: SlotRequest, {now, waitedMilliseconds, allUpstreams, policy}: ChoiceContext): boolean {
+	const remainingWait = policy[DOMAIN_WAIT_FIELDS[request.requestClass]] - waitedMilliseconds;
 	return !request.isResend
-		&& left > 0
-		&& known.values().some(upstream => upstream.candidate.failureDomain === request.failureDomain
+		&& remainingWait > 0
+		&& allUpstreams.values().some(upstream => upstream.candidate.failureDomain === request.failureDomain
 			&& !isSuspended(upstream, now)
-			&& (upstream.rateLimit?.getDelay(now) ?? 0) < left
+			&& (upstream.rateLimit?.getDelay(now) ?? 0) < remainingWait
 			&& isEligible(upstream, request, now)
 			// Crossing is better than an upstream at which the request is likely to fail.
 			&& getRisk(upstream, now) * policy.riskCost < getCrossingCost(request, policy));
--- a/packages/wagtailroute-dispatch/src/dispatcher.ts
+++ b/packages/wagtailroute-dispatch/src/dispatcher.ts
@@ -85,7 +85,10 @@
 	readonly #settings: DispatcherSettings;
 	readonly #services = new Map<core.ServiceName, Service>();
 	readonly #heldSlots = new Map<SlotRequestId, HeldSlot>();
-	readonly #queuedServices = new Map<SlotRequestId, Service>();
+	/**
+	Services of the queued requests, by id of the request.
+	*/
+	readonly #servicesByQueuedId = new Map<SlotRequestId, Service>();
 
 	constructor(settings: DispatcherSettings) {
 		this.#settings = settings;
@@ -111,11 +114,11 @@
 		service.lastIdempotentAt = core.isIdempotent(request.requestClass) ? now : service.lastIdempotentAt;
 		const queued = this.#enqueue(service, request, now);
 		const effects = this.#serveQueue(service, now);
-		return this.#queuedServices.has(request.id) ? [...effects, ...this.#waitOrRefuse(service, queued, now)] : effects;
+		return this.#servicesByQueuedId.has(request.id) ? [...effects, ...this.#waitOrRefuse(service, queued, now)] : effects;
 	}
 
 	cancel(id: SlotRequestId): SlotRequest | undefined {
-		const service = this.#queuedServices.get(id);
+		const service = this.#servicesByQueuedId.get(id);
 		return service && this.#dequeue(service, id);
 	}
 
@@ -201,15 +204,15 @@
 		return collectUpdates(this.#services.values(), service => listUpdates(service, now));
 	}
 
-	replaceHeldSlots(host: core.HostId, service: core.ServiceName, held: readonly HeldSlotReport[], now: number): void {
-		for (const heldSlot of this.#heldSlots.values().filter(present => present.host === host && present.service === service)) {
+	replaceHeldSlots(host: core.HostId, service: core.ServiceName, reports: readonly HeldSlotReport[], now: number): void {
+		for (const heldSlot of this.#heldSlots.values().filter(other => other.host === host && other.service === service)) {
 			this.#releaseSlot(heldSlot);
 		}
 
-		const present = this.#getService(service);
-		for (const item of held) {
-			const upstream = present.upstreams.get(item.upstream);
-			const heldSlot = createHeldSlot(item, present.usualMillisecondsByRoute.get(item.route) ?? (item.ageMilliseconds + item.remainingMilliseconds), now);
+		const knownService = this.#getService(service);
+		for (const report of reports) {
+			const upstream = knownService.upstreams.get(report.upstream);
+			const heldSlot = createHeldSlot(report, knownService.usualMillisecondsByRoute.get(report.route) ?? (report.ageMilliseconds + report.remainingMilliseconds), now);
 			this.#heldSlots.set(heldSlot.id, heldSlot);
 			upstream?.heldSlots.set(heldSlot.id, heldSlot);
 		}
@@ -217,25 +220,25 @@
 
 	setCandidates(name: core.ServiceName, candidates: readonly Candidate[], now: number): readonly Effect[] {
 		const service = this.#getService(name);
-		const named = new Set(candidates.map(candidate => candidate.upstream));
+		const candidateIds = new Set(candidates.map(candidate => candidate.upstream));
 		for (const [id, upstream] of service.upstreams) {
 			// Its held slots are kept, so that the endings of their requests are still recorded.
-			if (!named.has(id) && upstream.heldSlots.size === 0) {
+			if (!candidateIds.has(id) && upstream.heldSlots.size === 0) {
 				service.rateLimits.remove(upstream);
 				service.upstreams.delete(id);
-			} else if (!named.has(id)) {
+			} else if (!candidateIds.has(id)) {
 				upstream.candidate = {...upstream.candidate, isDraining: true};
 			}
 		}
 
 		for (const candidate of candidates) {
-			const present = service.upstreams.get(candidate.upstream);
-			if (present === undefined) {
+			const existing = service.upstreams.get(candidate.upstream);
+			if (existing === undefined) {
 				service.upstreams.set(candidate.upstream, createUpstream(candidate, service.policy, now));
 			} else {
 				// A heartbeat with a new address, after the answer of another instance, means that the upstream has an address of its own again.
-				present.isMisdirected &&= core.formatAddress(present.candidate.address) === core.formatAddress(candidate.address);
-				present.candidate = candidate;
+				existing.isMisdirected &&= core.formatAddress(existing.candidate.address) === core.formatAddress(candidate.address);
+				existing.candidate = candidate;
 			}
 		}
 
@@ -256,14 +259,14 @@
 		now: number,
 	): void {
 		const known = this.#services.get(service)?.upstreams.get(upstream);
-		const left = known === undefined ? 0 : decayDoubt(known.policy, doubt, ageMilliseconds);
-		if (known !== undefined && left > getDoubt(known, now)) {
-			applyReportedDoubt(known, left, now);
+		const remainingDoubt = known === undefined ? 0 : decayDoubt(known.policy, doubt, ageMilliseconds);
+		if (known !== undefined && remainingDoubt > getDoubt(known, now)) {
+			applyReportedDoubt(known, remainingDoubt, now);
 		}
 	}
 
 	tick(now: number): readonly Effect[] {
-		for (const heldSlot of this.#heldSlots.values().filter(present => present.deadlineAt + HELD_SLOT_GRACE_MILLISECONDS < now)) {
+		for (const heldSlot of this.#heldSlots.values().filter(other => other.deadlineAt + HELD_SLOT_GRACE_MILLISECONDS < now)) {
 			this.#releaseSlot(heldSlot);
 		}
 
@@ -271,11 +274,11 @@
 	}
 
 	countWaiting(): number {
-		return this.#queuedServices.size;
+		return this.#servicesByQueuedId.size;
 	}
 
 	isBusy(): boolean {
-		return this.#queuedServices.size > 0 || this.#heldSlots.size > 0;
+		return this.#servicesByQueuedId.size > 0 || this.#heldSlots.size > 0;
 	}
 
 	hasUpstreams(service: core.ServiceName): boolean {
@@ -326,7 +329,7 @@
 		{queuedAt, now, ...known}: Pick<ChoiceContext, 'now' | 'needsIdleUpstreams'> & {readonly queuedAt: number},
 	): ChoiceContext {
 		return {
-			...known, now, random: this.#settings.random, waitedMilliseconds: now - queuedAt, known: upstreams, policy,
+			...known, now, random: this.#settings.random, waitedMilliseconds: now - queuedAt, allUpstreams: upstreams, policy,
 		};
 	}
 
@@ -420,8 +423,8 @@
 		}
 
 		service.shortfall.recordFailure(now);
-		const advice = Number.isFinite(wait) ? wait : request.remainingMilliseconds / 4;
-		const retryAfter = Math.max(service.policy.retryAfterLeastMilliseconds, Math.min(advice, request.remainingMilliseconds / 3));
+		const expectedWait = Number.isFinite(wait) ? wait : request.remainingMilliseconds / 4;
+		const retryAfter = Math.max(service.policy.retryAfterLeastMilliseconds, Math.min(expectedWait, request.remainingMilliseconds / 3));
 		return [refuse(request, slots === 0 ? 'no-upstream' : 'no-slot-in-time', retryAfter)];
 	}
 
@@ -430,12 +433,12 @@
 			request, queueKey: getQueueKey(service, request, now), queuedAt: now, deadlineAt: now + request.remainingMilliseconds,
 		};
 		service.queue.splice(countQueuedUntil(service, queued.queueKey), 0, queued);
-		this.#queuedServices.set(request.id, service);
+		this.#servicesByQueuedId.set(request.id, service);
 		return queued;
 	}
 
 	#dequeue(service: Service, id: SlotRequestId): SlotRequest | undefined {
-		this.#queuedServices.delete(id);
+		this.#servicesByQueuedId.delete(id);
 		const index = service.queue.findIndex(queued => queued.request.id === id);
 		return index === -1 ? undefined : service.queue.splice(index, 1)[0]!.request;
 	}
@@ -447,25 +450,25 @@
 	*/
 	#serveQueue(service: Service, now: number): readonly Effect[] {
 		const effects: Effect[] = [];
-		let free = listFreeUpstreams(service, now);
-		let dueTrials = listTrialUpstreams(service, now);
+		let freeUpstreams = listFreeUpstreams(service, now);
+		let trialUpstreams = listTrialUpstreams(service, now);
 		const context = {now, needsIdleUpstreams: needsIdleUpstreams(service, now)};
 		for (const queued of service.queue.slice(0, MAX_QUEUE_SCAN)) {
-			if (free.length === 0 && dueTrials.length === 0) {
+			if (freeUpstreams.length === 0 && trialUpstreams.length === 0) {
 				break;
 			}
 
 			const request = {...queued.request, remainingMilliseconds: queued.deadlineAt - now};
-			const choice = chooseTrial(dueTrials, request, createTrialContext(service, now, {...context, isFull: free.length === 0}))
-				?? choose(free, request, this.#createChoiceContext(service, {...context, queuedAt: queued.queuedAt}));
+			const choice = chooseTrial(trialUpstreams, request, createTrialContext(service, now, {...context, isFull: freeUpstreams.length === 0}))
+				?? choose(freeUpstreams, request, this.#createChoiceContext(service, {...context, queuedAt: queued.queuedAt}));
 			if (choice === undefined) {
 				continue;
 			}
 
 			this.#dequeue(service, request.id);
 			effects.push(this.#grant(service, request, choice, now));
-			free = free.filter(upstream => hasCapacity(upstream, now));
-			dueTrials = dueTrials.filter(upstream => hasCapacity(upstream, now));
+			freeUpstreams = freeUpstreams.filter(upstream => hasCapacity(upstream, now));
+			trialUpstreams = trialUpstreams.filter(upstream => hasCapacity(upstream, now));
 		}
 
 		return effects;
@@ -488,8 +491,8 @@
 	Refuses the queued requests that can no longer be answered before their deadline.
 	*/
 	#refuseExpiring(service: Service, now: number): readonly Effect[] {
-		const late = service.queue.filter(queued => isDeadlineUnreachable(service, queued, now));
-		return late.flatMap(({request, deadlineAt}) => {
+		const expiring = service.queue.filter(queued => isDeadlineUnreachable(service, queued, now));
+		return expiring.flatMap(({request, deadlineAt}) => {
 			this.#dequeue(service, request.id);
 			const remainingRequest = {...request, remainingMilliseconds: deadlineAt - now};
 			return this.#useFallbackOrRefuse(service, remainingRequest, {now, wait: Infinity, slots: 1});
--- a/packages/wagtailroute-dispatch/src/idle-upstreams.ts
+++ b/packages/wagtailroute-dispatch/src/idle-upstreams.ts
@@ -20,7 +20,7 @@
 export type IdleCause = 'silent' | 'suspended' | 'rate-limited' | 'doubt' | 'unchosen';
 
 /**
-An idle upstream.
+An upstream in service that has had no request for {@link IDLE_UPSTREAM_MILLISECONDS}.
 */
 export type IdleUpstream = {
 	readonly upstream: core.UpstreamId;
--- a/packages/wagtailroute-dispatch/src/services.ts
+++ b/packages/wagtailroute-dispatch/src/services.ts
@@ -215,13 +215,13 @@
 Returns whether the fraction of upstreams that are not suspended is below the floor.
 */
 export function isBelowFloor(service: Service, floor: number, now: number): boolean {
-	let all = 0;
+	let serving = 0;
 	let suspended = 0;
 	for (const upstream of service.upstreams.values()) {
-		const counts = isServing(upstream);
-		all += counts ? 1 : 0;
-		suspended += counts && isSuspended(upstream, now) ? 1 : 0;
+		const isCounted = isServing(upstream);
+		serving += isCounted ? 1 : 0;
+		suspended += isCounted && isSuspended(upstream, now) ? 1 : 0;
 	}
 
-	return all - suspended < Math.ceil(all * floor);
+	return serving - suspended < Math.ceil(serving * floor);
 }
--- a/packages/wagtailroute-dispatch/src/upstreams.ts
+++ b/packages/wagtailroute-dispatch/src/upstreams.ts
@@ -204,11 +204,12 @@
 */
 export function getRisk(upstream: Upstream, now: number): number {
 	const {policy, lastSuccessAt, createdAt} = upstream;
-	const quiet = Math.min(1, policy.spellsPerSecond * (now - Math.max(lastSuccessAt, createdAt)) / MILLISECONDS_PER_SECOND);
-	const prior = Math.min(MAX_PRIOR, Math.max(MIN_PRIOR, quiet));
+	const idleRisk = Math.min(1, policy.spellsPerSecond * (now - Math.max(lastSuccessAt, createdAt)) / MILLISECONDS_PER_SECOND);
+	const prior = Math.min(MAX_PRIOR, Math.max(MIN_PRIOR, idleRisk));
 	let odds = prior / (1 - prior) * Math.exp(getDoubt(upstream, now));
 	for (const heldSlot of upstream.heldSlots.values()) {
 		const survival = 1 / (1 + (((now - heldSlot.grantedAt) / heldSlot.usualMilliseconds) ** policy.survivalSteepness));
+		// The ratio of the likelihoods that it is still in progress, with and without a failure period.
 		const isOvertaken = lastSuccessAt > heldSlot.grantedAt + heldSlot.usualMilliseconds;
 		odds *= isOvertaken ? 1 : (policy.harmedPart + ((1 - policy.harmedPart) * survival)) / survival;
 	}
@@ -337,8 +338,8 @@
 Updates the slowness with the response time of a request.
 */
 export function recordResponseTime(upstream: Upstream, heldSlot: HeldSlot, milliseconds: number, now: number): void {
-	const relative = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, milliseconds / heldSlot.usualMilliseconds));
-	upstream.slowness = (getSlowness(upstream, now) * (1 - upstream.policy.slownessShare)) + (relative * upstream.policy.slownessShare);
+	const measuredSlowness = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, milliseconds / heldSlot.usualMilliseconds));
+	upstream.slowness = (getSlowness(upstream, now) * (1 - upstream.policy.slownessShare)) + (measuredSlowness * upstream.policy.slownessShare);
 	upstream.slownessUpdatedAt = now;
 }
 
