--- a/packages/wagtailroute-dispatch/src/__tests__/unit/advertisements.test.ts
+++ b/packages/wagtailroute-dispatch/src/__tests__/unit/advertisements.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of upstreams that ask a host to back off, or that leave: what is granted meanwhile, what waits, and what other dispatchers receive.
+Tests of upstreams that ask an entry host to back off, or that are draining: which requests are granted or queued, and what other dispatchers receive.
 */
 import test from 'ava';
 import * as fc from 'fast-check';
@@ -7,7 +7,7 @@
 import * as utils from 'wagtailroute-utils';
 import type * as dispatch from '../../index.ts';
 import {
-	createAsk,
+	createSlotRequest,
 	createCandidate,
 	createDispatcher,
 	SERVICE,
@@ -17,14 +17,14 @@
 const DRAINING: core.Advertisement = {kind: 'draining'};
 
 const listGranted = (effects: readonly dispatch.Effect[]) => effects.filter(effect => effect.kind === 'grant').map(({upstream}) => upstream);
-const listRefused = (effects: readonly dispatch.Effect[]) => effects.filter(effect => effect.kind === 'refuse').map(({request: ask, reason}) => [ask.id, reason]);
+const listRefused = (effects: readonly dispatch.Effect[]) => effects.filter(effect => effect.kind === 'refuse').map(({request, reason}) => [request.id, reason]);
 
 /**
-A host's request is shed, and the answer advertises something.
+Grants a request of an entry host that the upstream sheds with an answer that advertises something.
 */
 function advertise(dispatcher: dispatch.Dispatcher, host: core.HostId, advertisement: core.Advertisement, now: number): readonly dispatch.Effect[] {
 	const id = `${host}-told`;
-	const granted = dispatcher.requestSlot(createAsk(id, {host}), now);
+	const granted = dispatcher.requestSlot(createSlotRequest(id, {host}), now);
 	const recorded = dispatcher.recordAdvertisements(id, [advertisement], now);
 	return [...granted, ...recorded, ...dispatcher.end(id, {ending: 'shed', milliseconds: 1}, now)];
 }
@@ -39,62 +39,62 @@
 
 const CASES: readonly Case[] = [
 	{
-		name: 'a backoff closes the upstream to its host', advertisement: BACKOFF, host: 'a', now: 1500, isGranted: false,
+		name: 'a backoff closes the upstream to its entry host', advertisement: BACKOFF, host: 'a', now: 1500, isGranted: false,
 	},
 	{
 		name: 'a backoff ends', advertisement: BACKOFF, host: 'a', now: 2000, isGranted: true,
 	},
 	{
-		name: 'a backoff leaves the upstream open to other hosts', advertisement: BACKOFF, host: 'b', now: 1000, isGranted: true,
+		name: 'a backoff leaves the upstream open to other entry hosts', advertisement: BACKOFF, host: 'b', now: 1000, isGranted: true,
 	},
 	{
-		name: 'an upstream that leaves is closed to its host', advertisement: DRAINING, host: 'a', now: 60_000, isGranted: false,
+		name: 'a draining upstream is closed to the entry host that received the answer', advertisement: DRAINING, host: 'a', now: 60_000, isGranted: false,
 	},
 	{
-		name: 'an upstream that leaves is closed to other hosts', advertisement: DRAINING, host: 'b', now: 1000, isGranted: false,
+		name: 'a draining upstream is closed to other entry hosts', advertisement: DRAINING, host: 'b', now: 1000, isGranted: false,
 	},
 ];
 
 for (const {name, advertisement, host, now, isGranted} of CASES) {
 	for (const isReported of [false, true]) {
-		test(`${name}${isReported ? ', reported by the host to another dispatcher' : ''}`, t => {
+		test(`${name}${isReported ? ', reported to another dispatcher' : ''}`, t => {
 			const first = createDispatcher([createCandidate('u')]);
 			advertise(first, 'a', advertisement, 0);
 			const second = createDispatcher([createCandidate('u')]);
 			second.applyUpdates(SERVICE, first.listUpdates(0).get(SERVICE) ?? [], 0);
-			const asked = isReported ? second : first;
-			const effects = asked.requestSlot(createAsk('next', {host, remainingMilliseconds: 1000, objectiveMilliseconds: 100}), now);
+			const receiver = isReported ? second : first;
+			const effects = receiver.requestSlot(createSlotRequest('next', {host, remainingMilliseconds: 1000, objectiveMilliseconds: 100}), now);
 			t.deepEqual(listGranted(effects), isGranted ? ['u'] : []);
-			t.is(listRefused(effects).length, isGranted ? 0 : 1, 'what is not granted is refused at once');
+			t.is(listRefused(effects).length, isGranted ? 0 : 1, 'a request that is not granted is refused at once');
 		});
 	}
 }
 
-test('an upstream that leaves stays closed when its heartbeats go on', t => {
+test('a draining upstream stays closed when its heartbeats continue', t => {
 	const dispatcher = createDispatcher([createCandidate('u')]);
 	advertise(dispatcher, 'a', DRAINING, 0);
 	dispatcher.setCandidates(SERVICE, [createCandidate('u', {slots: 4})], 1000);
-	t.deepEqual(listGranted(dispatcher.requestSlot(createAsk('next'), 1000)), []);
+	t.deepEqual(listGranted(dispatcher.requestSlot(createSlotRequest('next'), 1000)), []);
 	t.true(dispatcher.report(SERVICE, 1000)[0]?.isDraining);
 });
 
-test('a success of a request that was sent before does not end a backoff', t => {
+test('a success of a request that was sent earlier does not end a backoff', t => {
 	const dispatcher = createDispatcher([createCandidate('u')]);
-	dispatcher.requestSlot(createAsk('early', {host: 'a'}), 0);
+	dispatcher.requestSlot(createSlotRequest('early', {host: 'a'}), 0);
 	advertise(dispatcher, 'a', BACKOFF, 10);
 	dispatcher.end('early', {ending: 'success', milliseconds: 100}, 110);
-	t.deepEqual(listGranted(dispatcher.requestSlot(createAsk('next', {host: 'a'}), 1000)), []);
+	t.deepEqual(listGranted(dispatcher.requestSlot(createSlotRequest('next', {host: 'a'}), 1000)), []);
 });
 
 test('a second answer never shortens a backoff', t => {
 	const dispatcher = createDispatcher([createCandidate('u')]);
-	dispatcher.requestSlot(createAsk('other', {host: 'a'}), 0);
+	dispatcher.requestSlot(createSlotRequest('other', {host: 'a'}), 0);
 	advertise(dispatcher, 'a', BACKOFF, 0);
 	dispatcher.recordAdvertisements('other', [{kind: 'backoff', milliseconds: 500}], 100);
-	t.deepEqual(listGranted(dispatcher.requestSlot(createAsk('next', {host: 'a'}), 1900)), []);
+	t.deepEqual(listGranted(dispatcher.requestSlot(createSlotRequest('next', {host: 'a'}), 1900)), []);
 });
 
-test('peers receive once that an upstream leaves, and nothing of backoffs', t => {
+test('peers receive once that an upstream is draining, and receive no backoffs', t => {
 	const dispatcher = createDispatcher([createCandidate('u'), createCandidate('v')]);
 	advertise(dispatcher, 'a', BACKOFF, 0);
 	advertise(dispatcher, 'b', DRAINING, 0);
@@ -105,17 +105,17 @@
 });
 
 const WAITS = [
-	{name: 'is refused once all upstreams leave', advertisement: DRAINING, isRefused: true},
-	{name: 'is refused once its host backs off from all upstreams', advertisement: BACKOFF, isRefused: true},
+	{name: 'is refused once all upstreams are draining', advertisement: DRAINING, isRefused: true},
+	{name: 'is refused once its entry host backs off from all upstreams', advertisement: BACKOFF, isRefused: true},
 	{name: 'waits for a backoff that ends within its objective', advertisement: {kind: 'backoff', milliseconds: 300}, isRefused: false},
 ] as const;
 
 for (const {name, advertisement, isRefused} of WAITS) {
-	test(`a request that waits ${name}`, t => {
-		// Guards against callers that wait until their deadline for upstreams that take nothing more.
+	test(`a queued request ${name}`, t => {
+		// Guards against callers that wait until their deadline for upstreams that accept no more requests.
 		const dispatcher = createDispatcher([createCandidate('u', {slots: 1})]);
-		dispatcher.requestSlot(createAsk('held', {host: 'a'}), 0);
-		t.deepEqual(dispatcher.requestSlot(createAsk('waiting', {host: 'a'}), 1), []);
+		dispatcher.requestSlot(createSlotRequest('held', {host: 'a'}), 0);
+		t.deepEqual(dispatcher.requestSlot(createSlotRequest('waiting', {host: 'a'}), 1), []);
 		const effects = dispatcher.recordAdvertisements('held', [advertisement], 2);
 		t.deepEqual(listRefused(effects), isRefused ? [['waiting', 'no-upstream']] : []);
 		dispatcher.end('held', {ending: 'shed', milliseconds: 1}, 2);
@@ -130,7 +130,7 @@
 
 const history = fc.record({
 	/**
-	Part of the answers that advertise something, and the part of these that tell of draining.
+	Fraction of the answers that advertise something, and the fraction of these that announce draining.
 	*/
 	part: fc.double({min: 0.05, max: 1, noNaN: true}),
 	drainingPart: fc.double({min: 0, max: 0.2, noNaN: true}),
@@ -142,16 +142,16 @@
 type History = typeof history extends fc.Arbitrary<infer Value> ? Value : never;
 
 /**
-Plays requests of all kinds from several hosts. Returns the grants at an upstream that was closed to the host.
+Simulates requests of all kinds from several entry hosts. Returns the grants at upstreams that had told the entry host to send nothing.
 */
-function playHistory({
+function simulateHistory({
 	part, drainingPart, backoffMilliseconds, requests, seed,
 }: History): readonly string[] {
 	const random = utils.createRandom(seed);
 	const dispatcher = createDispatcher(UPSTREAMS.map(upstream => createCandidate(upstream, {slots: 3})), {random});
 	const closedUntil = new Map<string, number>();
 	const ends: Array<{readonly at: number; readonly id: string; readonly host: string; readonly upstream: string}> = [];
-	const broken: string[] = [];
+	const violations: string[] = [];
 
 	const grant = (effects: readonly dispatch.Effect[], now: number) => {
 		for (const effect of effects) {
@@ -160,7 +160,7 @@
 			}
 
 			const {request: {id, host}, upstream} = effect;
-			broken.push(...(closedUntil.get(`${host} ${upstream}`) ?? 0) > now ? [`${id} at ${upstream}`] : []);
+			violations.push(...(closedUntil.get(`${host} ${upstream}`) ?? 0) > now ? [`${id} at ${upstream}`] : []);
 			ends.push({
 				at: now + 10 + (random() * 200), id, host, upstream,
 			});
@@ -194,21 +194,21 @@
 			const requestClass = random() < 0.5 ? 'read' : 'non-idempotent';
 			const isMove = requestClass === 'read' && random() < 0.1;
 			const host = HOSTS[utils.pickIndex(random, HOSTS.length)]!;
-			const ask = createAsk(`${step}-${request}`, {
+			const slotRequest = createSlotRequest(`${step}-${request}`, {
 				host, requestClass, isResend: isMove || random() < 0.2, isMove,
 			});
-			grant(dispatcher.requestSlot(ask, now), now);
+			grant(dispatcher.requestSlot(slotRequest, now), now);
 		}
 
 		grant(dispatcher.tick(now), now);
 	}
 
-	return broken;
+	return violations;
 }
 
-test('over any history no host is granted an upstream that told it to send nothing', t => {
-	// Guards against resends, moves, trials, reserves and waiting requests that bypass what an upstream advertised.
+test('over any history no entry host is granted a slot of an upstream that told it to send nothing', t => {
+	// Guards against resends, moves, trials, fallbacks and queued requests that bypass what an upstream advertised.
 	t.notThrows(() => {
-		fc.assert(fc.property(history, drawn => playHistory(drawn).length === 0), {numRuns: 200});
+		fc.assert(fc.property(history, generated => simulateHistory(generated).length === 0), {numRuns: 200});
 	});
 });
--- a/packages/wagtailroute-dispatch/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-dispatch/src/__tests__/unit/fixture.ts
@@ -1,5 +1,5 @@
 /**
-Candidates, asks and dispatchers with the usual values.
+Candidates, slot requests and dispatchers with default values for the tests.
 */
 import * as utils from 'wagtailroute-utils';
 import * as dispatch from '../../index.ts';
@@ -8,7 +8,7 @@
 const BUDGET = {ratio: 0.2, extra: 60, windowMilliseconds: 10_000};
 
 /**
-An upstream with two slots.
+A healthy upstream with two slots.
 */
 export function createCandidate(upstream: string, changes: Partial<dispatch.Candidate> = {}): dispatch.Candidate {
 	return {
@@ -24,9 +24,9 @@
 }
 
 /**
-A first attempt that may not be repeated.
+A first attempt of a non-idempotent request.
 */
-export function createAsk(id: string, changes: Partial<dispatch.SlotRequest> = {}): dispatch.SlotRequest {
+export function createSlotRequest(id: string, changes: Partial<dispatch.SlotRequest> = {}): dispatch.SlotRequest {
 	return {
 		id,
 		host: 'host',
--- a/packages/wagtailroute-dispatch/src/__tests__/unit/rate-limits.test.ts
+++ b/packages/wagtailroute-dispatch/src/__tests__/unit/rate-limits.test.ts
@@ -1,12 +1,12 @@
 /**
-Tests of rate limits that upstreams advertise: what is granted within them, what lifts them, and what peers receive.
+Tests of rate limits that upstreams advertise: how many requests are granted, what lifts a limit, and what peers receive.
 */
 import test from 'ava';
 import * as fc from 'fast-check';
 import * as utils from 'wagtailroute-utils';
 import type * as dispatch from '../../index.ts';
 import {
-	createAsk,
+	createSlotRequest,
 	createCandidate,
 	createDispatcher,
 	SERVICE,
@@ -15,7 +15,7 @@
 const LIMITED = 'limited';
 const WINDOW_MILLISECONDS = 4000;
 
-const createRead = (id: string, changes: Partial<dispatch.SlotRequest> = {}) => createAsk(id, {requestClass: 'read', ...changes});
+const createRead = (id: string, changes: Partial<dispatch.SlotRequest> = {}) => createSlotRequest(id, {requestClass: 'read', ...changes});
 
 const createLimitedDispatcher = (upstreams: readonly string[], settings?: Partial<dispatch.DispatcherSettings>) =>
 	createDispatcher(upstreams.map(upstream => createCandidate(upstream, {slots: 4})), settings);
@@ -24,15 +24,15 @@
 	dispatcher.report(SERVICE, now).find(({upstream}) => upstream === LIMITED)?.rateLimit;
 
 /**
-Requests that the platform allows in a window.
+Number of requests that the platform allows in a window.
 */
-const getMost = (ratePerSecond: number) => (1.5 * ratePerSecond * WINDOW_MILLISECONDS / 1000) + 5;
+const getMaxRequests = (ratePerSecond: number) => (1.5 * ratePerSecond * WINDOW_MILLISECONDS / 1000) + 5;
 
-const countMost = (times: readonly number[]) =>
+const countMaxInWindow = (times: readonly number[]) =>
 	Math.max(0, ...times.map(from => times.filter(at => at >= from && at < from + WINDOW_MILLISECONDS).length));
 
 /**
-A request is granted and its answer advertises the limit.
+Grants a request whose answer advertises the limit.
 */
 const advertiseLimit = (dispatcher: dispatch.Dispatcher, ratePerSecond: number, now: number) => {
 	dispatcher.requestSlot(createRead('first'), now);
@@ -75,22 +75,22 @@
 	});
 }
 
-const HEARD = [
+const REPORTED_LIMITS = [
 	{
-		name: 'a limit that is new here', before: undefined, told: {ratePerSecond: 2, ageMilliseconds: 500}, limit: 2,
+		name: 'a new limit', before: undefined, reported: {ratePerSecond: 2, ageMilliseconds: 500}, limit: 2,
 	},
 	{
-		name: 'a limit that is newer than the one known here', before: 3, told: {ratePerSecond: 2, ageMilliseconds: 10}, limit: 2,
+		name: 'a limit that is newer than the known one', before: 3, reported: {ratePerSecond: 2, ageMilliseconds: 10}, limit: 2,
 	},
 	{
-		name: 'a limit that is older than the one known here', before: 3, told: {ratePerSecond: 2, ageMilliseconds: 500}, limit: 3,
+		name: 'a limit that is older than the known one', before: 3, reported: {ratePerSecond: 2, ageMilliseconds: 500}, limit: 3,
 	},
 	{
-		name: 'a limit that was lifted', before: 3, told: {ratePerSecond: null, ageMilliseconds: 0}, limit: undefined,
+		name: 'a limit that was lifted', before: 3, reported: {ratePerSecond: null, ageMilliseconds: 0}, limit: undefined,
 	},
 ] as const;
 
-for (const {name, before, told, limit} of HEARD) {
+for (const {name, before, reported, limit} of REPORTED_LIMITS) {
 	test(`reported by another host, ${name} leaves ${limit ?? 'none'}`, t => {
 		const dispatcher = createLimitedDispatcher([LIMITED]);
 		if (before !== undefined) {
@@ -98,13 +98,13 @@
 		}
 
 		dispatcher.applyUpdates(SERVICE, [{
-			kind: 'rate-limit', upstream: LIMITED, ...told, granted: 0,
+			kind: 'rate-limit', upstream: LIMITED, ...reported, granted: 0,
 		}], 1000);
 		t.is(getLimit(dispatcher, 1000), limit);
 	});
 }
 
-test('a rate that was learned here reaches peers although an older update arrived meanwhile', t => {
+test('an advertised rate is reported to peers although an older update arrived meanwhile', t => {
 	const dispatcher = createLimitedDispatcher([LIMITED]);
 	advertiseLimit(dispatcher, 3, 900);
 	dispatcher.applyUpdates(SERVICE, [{
@@ -114,22 +114,22 @@
 	t.is(dispatcher.flushUpdates(1100).size, 0);
 });
 
-test('what no upstream takes within its rate limit is refused at once', t => {
-	// Guards against callers that wait until their deadline for a slot that a rate limit keeps idle.
+test('a request that no upstream accepts within its rate limit is refused at once', t => {
+	// Guards against callers that wait until their deadline for a slot that a rate limit keeps unused.
 	const dispatcher = createLimitedDispatcher([LIMITED]);
 	advertiseLimit(dispatcher, 1, 0);
 	const effects = [1, 2, 3, 4].flatMap(number => dispatcher.requestSlot(createRead(String(number), {requestClass: 'non-idempotent'}), 1));
 	t.true(effects.some(effect => effect.kind === 'refuse' && effect.reason === 'no-slot-in-time' && effect.retryAfterMilliseconds > 0));
 });
 
-test('an upstream that advertises a limit of zero still gets a request now and then', t => {
+test('an upstream that advertises a limit of zero still gets a request from time to time', t => {
 	const dispatcher = createLimitedDispatcher([LIMITED]);
 	advertiseLimit(dispatcher, 0, 0);
 	t.is(dispatcher.requestSlot(createRead('early'), 4000).find(effect => effect.kind === 'grant'), undefined);
 	t.truthy(dispatcher.requestSlot(createRead('late'), 6000).find(effect => effect.kind === 'grant'));
 });
 
-test('a place that is not used is given back to the rate limit', t => {
+test('a grant that is not used is returned to the rate limit', t => {
 	const dispatcher = createLimitedDispatcher([LIMITED]);
 	advertiseLimit(dispatcher, 1, 0);
 	t.truthy(dispatcher.requestSlot(createRead('unused'), 1000).find(effect => effect.kind === 'grant'));
@@ -137,8 +137,8 @@
 	t.truthy(dispatcher.requestSlot(createRead('next'), 1002).find(effect => effect.kind === 'grant'));
 });
 
-test('a host that dispatches for few others grants their share of a rate limit only', t => {
-	// Guards against many hosts that dispatch alone and grant a whole rate limit each.
+test('a host that dispatches for a share of the requests grants only that share of a rate limit', t => {
+	// Guards against many hosts that dispatch alone and each grant requests up to the whole rate limit.
 	const hosts = 40;
 	const limit = 2;
 	const times: number[] = [];
@@ -154,15 +154,15 @@
 		for (const [host, dispatcher] of dispatchers.entries()) {
 			const granted = dispatcher.requestSlot(createRead(`${host}-${now}`), now).filter(effect => effect.kind === 'grant');
 			times.push(...granted.map(() => now));
-			for (const {request: ask} of granted) {
-				dispatcher.recordAdvertisements(ask.id, [{kind: 'rate-limit', ratePerSecond: limit}], now);
-				dispatcher.end(ask.id, {ending: 'success', milliseconds: 20}, now);
+			for (const {request} of granted) {
+				dispatcher.recordAdvertisements(request.id, [{kind: 'rate-limit', ratePerSecond: limit}], now);
+				dispatcher.end(request.id, {ending: 'success', milliseconds: 20}, now);
 			}
 		}
 	}
 
 	t.true(times.length > 0);
-	t.true(countMost(times) <= getMost(limit), `${countMost(times)}`);
+	t.true(countMaxInWindow(times) <= getMaxRequests(limit), `${countMaxInWindow(times)}`);
 });
 
 const UPDATE_MILLISECONDS = 100;
@@ -173,14 +173,14 @@
 	ratePerSecond: fc.double({min: 0, max: 8, noNaN: true}),
 	dispatchers: fc.integer({min: 2, max: 5}),
 	/**
-	By second: requests in each step, and the part of them that does not go to the first dispatcher.
+	By second: the requests in each step, and the fraction of them that goes to other dispatchers than the first.
 	*/
 	seconds: fc.array(fc.record({
 		requests: fc.constantFrom(0, 1, 1, 1, 4),
 		part: fc.constantFrom(0, 0, 0.2, 0.5, 1),
 	}), {minLength: 1, maxLength: 12}),
 	/**
-	Milliseconds that an update takes to another dispatcher.
+	Delay in milliseconds of an update to another dispatcher.
 	*/
 	delay: fc.integer({min: 1, max: 100}),
 	seed: fc.integer({min: 1, max: 1_000_000}),
@@ -189,9 +189,10 @@
 type History = typeof history extends fc.Arbitrary<infer Value> ? Value : never;
 
 /**
-Plays requests of all kinds, spread over dispatchers that send each other updates. Returns the times at which the limited upstream got one.
+Simulates requests of all kinds to several dispatchers that send updates to each other. Returns the times at which the limited upstream received a
+request.
 */
-function playDispatchers({
+function simulateDispatchers({
 	ratePerSecond, dispatchers: count, seconds, delay, seed,
 }: History): readonly number[] {
 	const random = utils.createRandom(seed);
@@ -215,7 +216,7 @@
 		}
 	};
 
-	const takeDue = <Item extends {readonly at: number}>(items: Item[], now: number) => {
+	const removeDue = <Item extends {readonly at: number}>(items: Item[], now: number) => {
 		const due = items.filter(({at}) => at <= now);
 		items.splice(0, items.length, ...items.filter(({at}) => at > now));
 		return due;
@@ -223,22 +224,22 @@
 
 	for (let step = 0; step < STEPS; step++) {
 		const now = step * STEP_MILLISECONDS;
-		for (const {to, id, isLimited} of takeDue(ends, now)) {
+		for (const {to, id, isLimited} of removeDue(ends, now)) {
 			const changed = isLimited ? to.recordAdvertisements(id, [{kind: 'rate-limit', ratePerSecond}], now) : [];
 			const ending = random() < 0.9 ? 'success' : 'reset';
 			grant(to, [...changed, ...to.end(id, {ending, milliseconds: 100}, now)], now);
 		}
 
-		for (const {to, updates: received} of takeDue(updates, now)) {
+		for (const {to, updates: received} of removeDue(updates, now)) {
 			to.applyUpdates(SERVICE, received, now);
 		}
 
 		const {part, requests} = seconds[Math.floor(now / 1000) % seconds.length]!;
 		for (let request = 0; request < requests; request++) {
-			const asked = random() < part ? others[utils.pickIndex(random, others.length)]! : first!;
+			const receiver = random() < part ? others[utils.pickIndex(random, others.length)]! : first!;
 			const requestClass = random() < 0.5 ? 'read' : 'non-idempotent';
 			const isMove = requestClass === 'read' && random() < 0.1;
-			grant(asked, asked.requestSlot(createRead(`${step}-${request}`, {requestClass, isResend: random() < 0.1, isMove}), now), now);
+			grant(receiver, receiver.requestSlot(createRead(`${step}-${request}`, {requestClass, isResend: random() < 0.1, isMove}), now), now);
 		}
 
 		for (const dispatcher of dispatchers) {
@@ -260,9 +261,9 @@
 const ENFORCED_MILLISECONDS = 1000;
 
 /**
-Dispatchers that are asked together for a second in every four, at a rate whose worth of a second is less than one request.
+Dispatchers that all receive requests for one second in every four, at a rate of less than one request per second.
 */
-const KEPT_HISTORY: History = {
+const REGRESSION_HISTORY: History = {
 	ratePerSecond: 0.3597122298561157,
 	dispatchers: 4,
 	seconds: [{requests: 4, part: 1}, {requests: 1, part: 0}, {requests: 0, part: 0}, {requests: 0, part: 0}],
@@ -271,12 +272,12 @@
 };
 
 test('over any history of several dispatchers an upstream gets no more than its rate limit', t => {
-	// Guards against dispatchers that each grant a whole rate limit, and against resends, moves and trials that bypass it.
+	// Guards against dispatchers that each grant requests up to the whole rate limit, and against resends, moves and trials that bypass it.
 	t.notThrows(() => {
-		fc.assert(fc.property(history, drawn => {
-			const times = playDispatchers(drawn);
+		fc.assert(fc.property(history, generated => {
+			const times = simulateDispatchers(generated);
 			const bound = times.filter(at => at >= times[0]! + ENFORCED_MILLISECONDS);
-			return countMost(bound) <= getMost(drawn.ratePerSecond);
-		}), {numRuns: 300, examples: [[KEPT_HISTORY]]});
+			return countMaxInWindow(bound) <= getMaxRequests(generated.ratePerSecond);
+		}), {numRuns: 300, examples: [[REGRESSION_HISTORY]]});
 	});
 });
--- a/packages/wagtailroute-dispatch/src/bench/dispatching.bench.ts
+++ b/packages/wagtailroute-dispatch/src/bench/dispatching.bench.ts
@@ -1,6 +1,6 @@
 /**
-What a dispatcher costs: processor time for a request, its ask and its end, by the number of upstreams of the service and by the load.
-Simulated arrivals, seeded; a request works for 300 ms, a tenth of the upstreams resets.
+Processor time of a dispatcher per request, for its slot request and its ending, by number of upstreams and load. Arrivals are simulated from a seed;
+a request takes 300 ms, and a tenth of the upstreams resets all requests.
 */
 import * as utils from 'wagtailroute-utils';
 import * as dispatch from '../index.ts';
@@ -8,7 +8,7 @@
 type Row = {
 	readonly upstreams: number;
 	/**
-	Requests that come, as a part of what the slots can work off.
+	Rate of requests as a fraction of what the slots can serve.
 	*/
 	readonly load: number;
 	readonly microsecondsPerRequest: number;
@@ -16,7 +16,7 @@
 	readonly waitingMost: number;
 };
 
-type Ending = {
+type ScheduledEnding = {
 	readonly id: string;
 	readonly at: number;
 	readonly ending: dispatch.Ending;
@@ -28,11 +28,11 @@
 const WORK_MILLISECONDS = 300;
 const OBJECTIVE_MILLISECONDS = 1000;
 const DEADLINE_MILLISECONDS = 2500;
-const SICK_EVERY = 10;
-const REQUESTS_LEAST = 6000;
+const FAILING_EVERY = 10;
+const MIN_REQUESTS = 6000;
 
 /**
-Requests for each upstream: twenty times what its slots work off at once.
+Requests per upstream: ten times the number of its slots.
 */
 const REQUESTS_PER_UPSTREAM = 40;
 const DOMAINS = 4;
@@ -40,17 +40,17 @@
 const SEED = 5;
 
 /**
-Four times the upstreams may cost this many times as much: each ask looks at all of them.
+Four times the upstreams may cost at most this many times as much: each slot request examines all of them.
 */
-const MOST_GROWTH = 6;
+const MAX_GROWTH = 6;
 
 /**
-Overload may cost this many times as much as half load: each event also looks at who waits.
+Overload may cost at most this many times as much as half load: each event also examines the queue.
 */
-const MOST_OVERLOAD = 8;
+const MAX_OVERLOAD_RATIO = 8;
 
 /**
-Runs all sizes and loads.
+Measures all sizes and loads.
 */
 export async function run(): Promise<{readonly title: string; readonly rows: readonly Row[]; readonly broken: readonly string[]}> {
 	measure(SIZES[0], LOADS[0]);
@@ -63,9 +63,9 @@
 	const growths = LOADS.flatMap(load => SIZES.slice(1).map((size, index) => ({load, size, times: get(size, load) / get(SIZES[index]!, load)})));
 	const overloads = SIZES.map(size => ({size, times: get(size, LOADS[1]) / get(size, LOADS[0])}));
 	return [
-		...growths.filter(({times}) => times > MOST_GROWTH)
+		...growths.filter(({times}) => times > MAX_GROWTH)
 			.map(({load, size, times}) => `At load ${load}, ${size} upstreams cost ${times.toFixed(1)} times as much as a fourth of them.`),
-		...overloads.filter(({times}) => times > MOST_OVERLOAD)
+		...overloads.filter(({times}) => times > MAX_OVERLOAD_RATIO)
 			.map(({size, times}) => `With ${size} upstreams overload costs ${times.toFixed(1)} times as much as half load.`),
 	];
 }
@@ -75,33 +75,33 @@
 	const dispatcher = dispatch.createDispatcher({budget: {ratio: 0.2, extra: 60, windowMilliseconds: 10_000}, floor: 0.7, random});
 	dispatcher.setCandidates(SERVICE, Array.from({length: upstreams}, (_, index) => createCandidate(index)), 0);
 	const gapMilliseconds = WORK_MILLISECONDS / (upstreams * SLOTS * load);
-	const requests = Math.max(REQUESTS_LEAST, upstreams * REQUESTS_PER_UPSTREAM);
-	// Each list is in order of time by itself.
-	const underWay: Ending[] = [];
-	const resets: Ending[] = [];
+	const requests = Math.max(MIN_REQUESTS, upstreams * REQUESTS_PER_UPSTREAM);
+	// Each list is sorted by time.
+	const successes: ScheduledEnding[] = [];
+	const resets: ScheduledEnding[] = [];
 	const count = {served: 0, waitingMost: 0};
 	let now = 0;
 
-	const take = (effects: readonly dispatch.Effect[]) => {
+	const scheduleEndings = (effects: readonly dispatch.Effect[]) => {
 		for (const effect of effects) {
 			if (effect.kind !== 'grant') {
 				continue;
 			}
 
-			const isSick = Number(effect.upstream) % SICK_EVERY === 0;
-			(isSick ? resets : underWay).push({id: effect.request.id, at: now + (isSick ? 1 : WORK_MILLISECONDS), ending: isSick ? 'reset' : 'success'});
+			const isFailing = Number(effect.upstream) % FAILING_EVERY === 0;
+			(isFailing ? resets : successes).push({id: effect.request.id, at: now + (isFailing ? 1 : WORK_MILLISECONDS), ending: isFailing ? 'reset' : 'success'});
 		}
 	};
 
 	const startedAt = performance.now();
 	for (let request = 0; request < requests; request++) {
 		now += gapMilliseconds;
-		for (const {id, ending} of [...takeDue(resets, now), ...takeDue(underWay, now)]) {
+		for (const {id, ending} of [...removeDue(resets, now), ...removeDue(successes, now)]) {
 			count.served += ending === 'success' ? 1 : 0;
-			take(dispatcher.end(id, {ending, milliseconds: WORK_MILLISECONDS}, now));
+			scheduleEndings(dispatcher.end(id, {ending, milliseconds: WORK_MILLISECONDS}, now));
 		}
 
-		take(dispatcher.requestSlot(createAsk(request), now));
+		scheduleEndings(dispatcher.requestSlot(createSlotRequest(request), now));
 		count.waitingMost = Math.max(count.waitingMost, dispatcher.countWaiting());
 	}
 
@@ -115,7 +115,7 @@
 	};
 }
 
-function takeDue(endings: Ending[], now: number): readonly Ending[] {
+function removeDue(endings: ScheduledEnding[], now: number): readonly ScheduledEnding[] {
 	const due = endings.findIndex(({at}) => at > now);
 	return endings.splice(0, due === -1 ? endings.length : due);
 }
@@ -132,7 +132,7 @@
 	};
 }
 
-function createAsk(request: number): dispatch.SlotRequest {
+function createSlotRequest(request: number): dispatch.SlotRequest {
 	return {
 		id: `host:${request}`,
 		host: `host-${request % DOMAINS}`,
--- a/packages/wagtailroute-dispatch/src/upstreams.ts
+++ b/packages/wagtailroute-dispatch/src/upstreams.ts
@@ -209,8 +209,8 @@
 	let odds = prior / (1 - prior) * Math.exp(getDoubt(upstream, now));
 	for (const heldSlot of upstream.heldSlots.values()) {
 		const survival = 1 / (1 + (((now - heldSlot.grantedAt) / heldSlot.usualMilliseconds) ** policy.survivalSteepness));
-		// The ratio of the likelihoods that it is still in progress, with and without a failure period.
 		const isOvertaken = lastSuccessAt > heldSlot.grantedAt + heldSlot.usualMilliseconds;
+		// Ratio of the likelihoods that the request is still in progress, with and without a failure period.
 		odds *= isOvertaken ? 1 : (policy.harmedPart + ((1 - policy.harmedPart) * survival)) / survival;
 	}
 
