--- a/packages/wagtailroute-dispatch/src/__tests__/unit/dispatcher.test.ts
+++ b/packages/wagtailroute-dispatch/src/__tests__/unit/dispatcher.test.ts
@@ -173,7 +173,7 @@
 		name: 'one error', errors: 1, isSilent: false, cause: 'doubt',
 	},
 	{
-		name: 'nothing', errors: 0, isSilent: false, cause: 'unchosen',
+		name: 'no error', errors: 0, isSilent: false, cause: 'unchosen',
 	},
 ] as const;
 
@@ -501,10 +501,10 @@
 
 test('an entry host that turns to another dispatcher reports the slots it holds', t => {
 	const dispatcher = createDispatcher([createCandidate('a', {slots: 1})]);
-	const place = {
+	const heldSlot = {
 		id: '1', host: 'host', service: SERVICE, route: 'route', upstream: 'a', ageMilliseconds: 10, remainingMilliseconds: 1000,
 	};
-	dispatcher.replaceHeldSlots('host', SERVICE, [place], 0);
+	dispatcher.replaceHeldSlots('host', SERVICE, [heldSlot], 0);
 	t.is(getGrant(dispatcher.requestSlot(createSlotRequest('2'), 0)), undefined);
 	t.is(getGrant(dispatcher.end('1', {ending: 'success', milliseconds: 50}, 50))?.request.id, '2');
 });
--- a/packages/wagtailroute-dispatch/src/choosing.ts
+++ b/packages/wagtailroute-dispatch/src/choosing.ts
@@ -13,8 +13,8 @@
 	getRisk,
 	getSlowness,
 	hasCapacity,
-	isPathSuspect,
 	isIdle,
+	isPathSuspect,
 	isServing,
 	isSuspended,
 	type Upstream,
@@ -40,13 +40,13 @@
 	/**
 	Milliseconds that the request has been queued here.
 	*/
-	readonly waitedMilliseconds: number;
+	readonly queuedMilliseconds: number;
 	/**
 	All upstreams of the service, with or without a free slot.
 	*/
 	readonly allUpstreams: ReadonlyMap<core.UpstreamId, Upstream>;
 	/**
-	Whether idle upstreams are tried sooner, since requests fail and none of them is idempotent.
+	Whether idle upstreams are tried sooner, since requests fail and no idempotent ones came recently.
 	*/
 	readonly needsIdleUpstreams: boolean;
 	readonly policy: Policy;
@@ -92,8 +92,8 @@
 Returns whether a request should wait for a slot in its own failure domain. Under load one becomes free there within milliseconds. If each request
 took the first free slot of any domain, nearly half of all requests would cross, each leaving a slot in its own domain to another that crosses.
 */
-function isWaitingForOwnDomain(request: SlotRequest, {now, waitedMilliseconds, allUpstreams, policy}: ChoiceContext): boolean {
-	const remainingWait = policy[DOMAIN_WAIT_FIELDS[request.requestClass]] - waitedMilliseconds;
+function isWaitingForOwnDomain(request: SlotRequest, {now, queuedMilliseconds, allUpstreams, policy}: ChoiceContext): boolean {
+	const remainingWait = policy[DOMAIN_WAIT_FIELDS[request.requestClass]] - queuedMilliseconds;
 	return !request.isResend
 		&& remainingWait > 0
 		&& allUpstreams.values().some(upstream => upstream.candidate.failureDomain === request.failureDomain
@@ -122,7 +122,7 @@
 	*/
 	readonly isFull: boolean;
 	/**
-	Whether idle upstreams are tried sooner, since requests fail and none of them is idempotent.
+	Whether idle upstreams are tried sooner, since requests fail and no idempotent ones came recently.
 	*/
 	readonly needsIdleUpstreams: boolean;
 };
@@ -203,9 +203,9 @@
 */
 function getTrialDueAt(upstream: Upstream, request: SlotRequest, {hasRecentIdempotent, isFull, needsIdleUpstreams}: TrialContext): number {
 	const {candidate, nextTrialAt, lastSuccessAt, lastFailureAt, policy} = upstream;
-	const hasTrialSucceeded = lastSuccessAt > lastFailureAt && !hasRecentIdempotent;
+	const isLikelyRecovered = lastSuccessAt > lastFailureAt && !hasRecentIdempotent;
 	const isOutOfSlots = isFull && !hasRecentIdempotent;
-	const extra = hasTrialSucceeded || isOutOfSlots || core.isIdempotent(request.requestClass) ? 0 : policy.unrepeatableTrialMilliseconds;
+	const extra = isLikelyRecovered || isOutOfSlots || core.isIdempotent(request.requestClass) ? 0 : policy.unrepeatableTrialMilliseconds;
 	const dueAt = nextTrialAt + extra + (candidate.failureDomain === request.failureDomain ? 0 : policy.domainTrialMilliseconds);
 	return needsIdleUpstreams ? Math.min(dueAt, Math.max(nextTrialAt, lastFailureAt + getShortfallTrialDelay(upstream))) : dueAt;
 }
--- a/packages/wagtailroute-dispatch/src/dispatcher-types.ts
+++ b/packages/wagtailroute-dispatch/src/dispatcher-types.ts
@@ -3,12 +3,12 @@
 */
 import type * as core from 'wagtailroute-core';
 import type {
-	SlotRequest,
-	SlotRequestId,
 	Candidate,
 	Effect,
 	Ending,
 	HeldSlotReport,
+	SlotRequest,
+	SlotRequestId,
 	UpstreamUpdate,
 } from './slot-requests.ts';
 import type {BudgetSettings} from './budget.ts';
@@ -21,7 +21,7 @@
 export type DispatcherSettings = {
 	readonly budget: BudgetSettings;
 	/**
-	Fraction of a service's upstreams, 0 to 1. While fewer are not suspended, suspended ones serve requests that would be refused.
+	Minimum fraction, 0 to 1, of a service's upstreams that are not suspended. Below it, suspended ones serve requests that would otherwise be refused.
 	*/
 	readonly floor: number;
 	/**
@@ -44,6 +44,9 @@
 export type UpstreamReport = {
 	readonly upstream: core.UpstreamId;
 	readonly failureDomain: core.FailureDomain;
+	/**
+	Number of slots that requests hold.
+	*/
 	readonly taken: number;
 	readonly slots: number;
 	readonly doubt: number;
@@ -63,6 +66,9 @@
 A dispatcher. `now` is always monotonic time in milliseconds. Effects have to be carried out in their order.
 */
 export type Dispatcher = {
+	/**
+	Grants, queues or refuses a slot request. Without an effect that answers it, the request is queued. Other effects may answer queued requests.
+	*/
 	readonly requestSlot: (request: SlotRequest, now: number) => readonly Effect[];
 	/**
 	Removes a queued slot request and returns it; undefined when it is not in the queue.
@@ -101,7 +107,10 @@
 	/**
 	Replaces the slots of a service that are recorded as held by an entry host with those that the host reports.
 	*/
-	readonly replaceHeldSlots: (host: core.HostId, service: core.ServiceName, held: readonly HeldSlotReport[], now: number) => void;
+	readonly replaceHeldSlots: (host: core.HostId, service: core.ServiceName, reports: readonly HeldSlotReport[], now: number) => void;
+	/**
+	Replaces the upstreams of a service. One that is no longer listed counts as draining while requests hold its slots.
+	*/
 	readonly setCandidates: (service: core.ServiceName, candidates: readonly Candidate[], now: number) => readonly Effect[];
 	/**
 	Sets the doubt of an upstream to the value of another dispatcher.
@@ -121,6 +130,9 @@
 	slots whose entry host did not report an ending.
 	*/
 	readonly tick: (now: number) => readonly Effect[];
+	/**
+	Returns the number of queued slot requests.
+	*/
 	readonly countWaiting: () => number;
 	/**
 	Returns whether a request is queued or holds a slot.
@@ -130,6 +142,9 @@
 	Returns whether any upstream of a service is known.
 	*/
 	readonly hasUpstreams: (service: core.ServiceName) => boolean;
+	/**
+	Returns the state of each upstream of a service.
+	*/
 	readonly report: (service: core.ServiceName, now: number) => readonly UpstreamReport[];
 	/**
 	Lists the upstreams of a service that get no requests although a noticeable fraction of its requests fails; none while nearly all succeed.
--- a/packages/wagtailroute-dispatch/src/dispatcher.ts
+++ b/packages/wagtailroute-dispatch/src/dispatcher.ts
@@ -15,22 +15,22 @@
 	recordAdvertisement,
 } from './advertisements.ts';
 import {
-	type SlotRequest,
-	type SlotRequestId,
 	type Candidate,
 	type Effect,
 	type Ending,
 	type HeldSlotReport,
 	type RefusalReason,
+	type SlotRequest,
+	type SlotRequestId,
 	type UpstreamUpdate,
 } from './slot-requests.ts';
 import {createBudget} from './budget.ts';
 import {
+	type Choice,
+	type ChoiceContext,
 	choose,
 	chooseFallback,
 	chooseTrial,
-	type Choice,
-	type ChoiceContext,
 } from './choosing.ts';
 import {
 	HELD_SLOT_GRACE_MILLISECONDS,
@@ -44,34 +44,34 @@
 import {
 	countQueuedUntil,
 	countUsableSlots,
-	getBackoffDelay,
 	createTrialContext,
+	getBackoffDelay,
 	getQueueKey,
 	getUsualMilliseconds,
 	hasUsableUpstream,
 	isBelowFloor,
-	needsIdleUpstreams,
-	isObjectiveMissed,
 	isDeadlineUnreachable,
-	recordUsualMilliseconds,
-	listTrialUpstreams,
+	isObjectiveMissed,
 	listFreeUpstreams,
-	type Service,
+	listTrialUpstreams,
+	needsIdleUpstreams,
 	type QueuedRequest,
+	recordUsualMilliseconds,
+	type Service,
 } from './services.ts';
 import {
+	applyEnding,
+	applyReportedDoubt,
 	createHeldSlot,
 	createUpstream,
 	decayDoubt,
 	getDoubt,
 	hasCapacity,
+	type HeldSlot,
 	isSuspended,
 	listBackoffs,
-	type HeldSlot,
-	applyReportedDoubt,
-	type Upstream,
-	applyEnding,
 	recordResponseTime,
+	type Upstream,
 } from './upstreams.ts';
 
 /**
@@ -329,7 +329,7 @@
 		{queuedAt, now, ...known}: Pick<ChoiceContext, 'now' | 'needsIdleUpstreams'> & {readonly queuedAt: number},
 	): ChoiceContext {
 		return {
-			...known, now, random: this.#settings.random, waitedMilliseconds: now - queuedAt, allUpstreams: upstreams, policy,
+			...known, now, random: this.#settings.random, queuedMilliseconds: now - queuedAt, allUpstreams: upstreams, policy,
 		};
 	}
 
--- a/packages/wagtailroute-dispatch/src/policy.ts
+++ b/packages/wagtailroute-dispatch/src/policy.ts
@@ -100,7 +100,7 @@
 	*/
 	trialLeastMilliseconds: 300,
 	/**
-	Upper bound of that delay.
+	Upper bound in milliseconds of the delay before a trial.
 	*/
 	trialMostMilliseconds: 2400,
 	/**
@@ -118,7 +118,7 @@
 	*/
 	shortfallTrialLeastMilliseconds: 1500,
 	/**
-	Upper bound of that delay.
+	Upper bound in milliseconds of `shortfallTrialLeastMilliseconds` after doubling.
 	*/
 	shortfallTrialMostMilliseconds: 4000,
 	/**
@@ -199,7 +199,7 @@
 	*/
 	fixedResendsPart: 0.3,
 	/**
-	Rate of failure periods per second of an upstream without other information: one in half a minute.
+	Rate of failure periods ("spells") per second of an upstream without other information: one in half a minute.
 	*/
 	spellsPerSecond: 0.03,
 	/**
--- a/packages/wagtailroute-dispatch/src/service-rate-limits.ts
+++ b/packages/wagtailroute-dispatch/src/service-rate-limits.ts
@@ -6,12 +6,12 @@
 */
 import type * as core from 'wagtailroute-core';
 import type {RateLimitUpdate} from './slot-requests.ts';
-import {TAKEOVER_IDLE_MILLISECONDS, PEER_ACTIVE_MILLISECONDS} from './constants.ts';
+import {PEER_ACTIVE_MILLISECONDS, TAKEOVER_IDLE_MILLISECONDS} from './constants.ts';
 import {type AdvertisedRate, UpstreamRateLimit} from './upstream-rate-limit.ts';
 import type {Upstream} from './upstreams.ts';
 
 /**
-Sources on which the rate limits of a service depend.
+Share and random numbers from which new limits are created.
 */
 export type ServiceRateLimitsOptions = {
 	/**
@@ -34,8 +34,8 @@
 	#lastRequestAt = -Infinity;
 	#peersActiveUntil = -Infinity;
 
-	constructor(plan: ServiceRateLimitsOptions) {
-		this.#options = plan;
+	constructor(options: ServiceRateLimitsOptions) {
+		this.#options = options;
 	}
 
 	/**
--- a/packages/wagtailroute-dispatch/src/slot-requests.ts
+++ b/packages/wagtailroute-dispatch/src/slot-requests.ts
@@ -12,7 +12,7 @@
 export type SlotRequestId = string;
 
 /**
-Request of an entry host for a slot of any upstream of a service, for one request of a caller. Named `ask` on the wire; part of messages.
+Request of an entry host for a slot of any upstream of a service, for one request of a caller. On the wire it is called an ask (method `dispatch.ask`).
 */
 export type SlotRequest = {
 	readonly id: SlotRequestId;
--- a/packages/wagtailroute-dispatch/src/upstreams.ts
+++ b/packages/wagtailroute-dispatch/src/upstreams.ts
@@ -3,18 +3,18 @@
 */
 import type * as core from 'wagtailroute-core';
 import type {
-	SlotRequest,
 	BackoffUpdate,
 	Candidate,
 	Ending,
 	HeldSlotReport,
+	SlotRequest,
 } from './slot-requests.ts';
 import {
-	MIN_PRIOR,
-	MILLISECONDS_PER_SECOND,
 	MAX_PRIOR,
-	MIN_SLOWNESS,
 	MAX_SLOWNESS,
+	MILLISECONDS_PER_SECOND,
+	MIN_PRIOR,
+	MIN_SLOWNESS,
 } from './constants.ts';
 import type {Policy} from './policy.ts';
 import type {UpstreamRateLimit} from './upstream-rate-limit.ts';
