--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -114,7 +114,7 @@
 
 	const meter = startLoadMeter(context, {
 		getBusyMilliseconds: () => performance.eventLoopUtilization().active,
-		getBytes: () => opened.traffic?.getBytes() ?? 0,
+		getBytes: () => opened.traffic?.getTransferredBytes() ?? 0,
 		linkBytesPerSecond: settings.linkBytesPerSecond,
 		onMeasured: tellState,
 	});
@@ -239,7 +239,7 @@
 		standbys,
 		own,
 		isRetired: knowledge.isRetired,
-		getLinkDelay: () => Math.min(MOST_LINK_DELAY_MILLISECONDS, (opened.traffic?.getLargeBytes() ?? 0) * MILLISECONDS_PER_SECOND / settings.linkBytesPerSecond),
+		getLinkDelay: () => Math.min(MOST_LINK_DELAY_MILLISECONDS, (opened.traffic?.getLargeBodyBytes() ?? 0) * MILLISECONDS_PER_SECOND / settings.linkBytesPerSecond),
 	});
 	const linkServer = await link.openLinkServer({
 		address: settings.linkAddress,
@@ -266,9 +266,9 @@
 			proxy.answerJson(response, 404, {});
 		},
 		isDraining: () => isStopping,
-		connectMilliseconds: UPSTREAM_CONNECT_MILLISECONDS,
-		paces: proxy.createPaces(settings.linkBytesPerSecond, context.now),
-		note: createNoting(context),
+		connectTimeoutMilliseconds: UPSTREAM_CONNECT_MILLISECONDS,
+		pacers: proxy.createPacers(settings.linkBytesPerSecond, context.now),
+		recordRequest: createNoting(context),
 	});
 	opened.traffic = traffic;
 	context.metrics.registerGauge('requests_in_flight', traffic.getInFlight);
@@ -297,9 +297,9 @@
 	};
 }
 
-const OPEN_GUARD: proxy.Guard = {
-	getStanding: () => 'free',
+const OPEN_GUARD: proxy.CrashGuard = {
+	getQuarantineStatus: () => 'free',
 	requestTrial: async () => ({kind: 'free'}),
-	examineLoss: async () => false,
-	noteSurvived: () => undefined,
+	detectCrash: async () => false,
+	recordSurvival: () => undefined,
 };
--- a/packages/wagtailroute-fleet/src/routing.ts
+++ b/packages/wagtailroute-fleet/src/routing.ts
@@ -156,7 +156,7 @@
 				})(),
 			};
 		},
-		hasAnother: ({excluded}) => knowledge.listCandidates(service.name)
+		hasOtherTarget: ({excluded}) => knowledge.listCandidates(service.name)
 			.some(({upstream, isDraining}) => !excluded.has(upstream) && !isDraining && !asking.isClosed(upstream)),
 		begin: () => undefined,
 		recordAdvertisements(target, advertisements) {
@@ -180,7 +180,7 @@
 			hasBudget: () => true,
 			spend: () => undefined,
 			getUsualMilliseconds: () => usualTimes.get(route),
-			getPatienceMilliseconds: () => Math.max(PATIENCE_MILLISECONDS, usualTimes.get(route) * PATIENCE_RATIO),
+			getOverdueMilliseconds: () => Math.max(PATIENCE_MILLISECONDS, usualTimes.get(route) * PATIENCE_RATIO),
 		},
 	};
 }
--- a/packages/wagtailroute-host/src/__tests__/unit/admitting.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/admitting.test.ts
@@ -10,7 +10,7 @@
 import {createFakeCell, type FakeCell} from './fake-cell.ts';
 
 const REQUEST: proxy.AdmissionRequest = {organisation: 'o', remainingMilliseconds: 1000, requestClass: 'read'};
-const RELEASE: proxy.Release = {organisation: 'o', latencyMilliseconds: 5, ending: 'completed'};
+const RELEASE: proxy.AdmissionRelease = {organisation: 'o', latencyMilliseconds: 5, ending: 'completed'};
 
 function createEntry(limits: Record<string, number>): catalogue.Entry {
 	return catalogue.parseEntry({
@@ -76,17 +76,17 @@
 	let queued = await fillUntilQueued(admitter, () => {
 		inFlight++;
 	});
-	const next = admitter.admit(REQUEST) as proxy.WaitingPlace;
+	const next = admitter.admit(REQUEST) as proxy.PendingAdmission;
 	queued.cancel();
 	const refusal = await queued.result;
 	t.is(refusal?.kind, 'deadline-before-send');
 	admitter.release(RELEASE);
 	t.is(await next.result, undefined, 'the place of the request that ended is there for the next one');
-	queued = admitter.admit(REQUEST) as proxy.WaitingPlace;
+	queued = admitter.admit(REQUEST) as proxy.PendingAdmission;
 	t.true('result' in queued, `all ${inFlight} places are taken`);
 });
 
-async function fillUntilQueued(admitter: ReturnType<typeof createHost>, onAdmitted: () => void): Promise<proxy.WaitingPlace> {
+async function fillUntilQueued(admitter: ReturnType<typeof createHost>, onAdmitted: () => void): Promise<proxy.PendingAdmission> {
 	await admit(admitter);
 	onAdmitted();
 	for (;;) {
--- a/packages/wagtailroute-host/src/__tests__/unit/burn.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/burn.test.ts
@@ -12,7 +12,7 @@
 const MINUTE = 60_000;
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f'] as const;
 const ENTRY = {name: 'archive', owner: 'owner', objective: {availability: 0.999, latencyMilliseconds: 100, windowDays: 28}};
-const NOTE: proxy.RequestNote = {
+const NOTE: proxy.RequestReport = {
 	service: ENTRY.name,
 	outcome: 'ran',
 	status: 200,
--- a/packages/wagtailroute-host/src/__tests__/unit/guarding.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/guarding.test.ts
@@ -15,7 +15,7 @@
 
 type Fleet = {
 	readonly cell: FakeCell;
-	readonly guards: readonly proxy.Guard[];
+	readonly guards: readonly proxy.CrashGuard[];
 	readonly crashed: Set<string>;
 };
 
@@ -48,7 +48,7 @@
 	readonly isCulprit: boolean;
 }): Promise<string> {
 	const guard = fleet.guards[host]!;
-	const standing = guard.getStanding(SERVICE, fingerprint);
+	const standing = guard.getQuarantineStatus(SERVICE, fingerprint);
 	if (standing === 'quarantined' || fleet.crashed.has(upstream)) {
 		return standing;
 	}
@@ -64,13 +64,13 @@
 
 	const granted = trial?.kind === 'granted' ? trial : undefined;
 	if (!isCulprit) {
-		guard.noteSurvived(SERVICE, fingerprint);
+		guard.recordSurvival(SERVICE, fingerprint);
 		granted?.end('completed');
 		return 'answered';
 	}
 
 	fleet.crashed.add(upstream);
-	await guard.examineLoss({
+	await guard.detectCrash({
 		service: SERVICE, target: createTarget(upstream), fingerprint, isOnTrial: granted !== undefined,
 	});
 	granted?.end('lost');
@@ -96,7 +96,7 @@
 		}
 
 		t.true(fleet.crashed.size <= 2, `seed ${seed}`);
-		t.true(fleet.guards.every(guard => guard.getStanding(SERVICE, 'boom') === 'quarantined'), `seed ${seed}`);
+		t.true(fleet.guards.every(guard => guard.getQuarantineStatus(SERVICE, 'boom') === 'quarantined'), `seed ${seed}`);
 	}
 });
 
@@ -108,15 +108,15 @@
 	});
 	fleet.crashed.add('u1');
 	const target = createTarget('u1');
-	await Promise.all(['boom', 'popular', 'once'].map(async fingerprint => guard!.examineLoss({
+	await Promise.all(['boom', 'popular', 'once'].map(async fingerprint => guard!.detectCrash({
 		service: SERVICE, target, fingerprint, isOnTrial: false,
 	})));
-	t.is(fleet.guards[1]!.getStanding(SERVICE, 'popular'), 'free');
-	t.is(fleet.guards[1]!.getStanding(SERVICE, 'once'), 'suspect');
+	t.is(fleet.guards[1]!.getQuarantineStatus(SERVICE, 'popular'), 'free');
+	t.is(fleet.guards[1]!.getQuarantineStatus(SERVICE, 'once'), 'suspect');
 	t.is(await send(fleet, {
 		host: 2, upstream: 'u3', fingerprint: 'once', isCulprit: false,
 	}), 'answered');
-	t.true(fleet.guards.every(other => other.getStanding(SERVICE, 'once') === 'free'));
+	t.true(fleet.guards.every(other => other.getQuarantineStatus(SERVICE, 'once') === 'free'));
 });
 
 test('a survival excuses one crash, not all that follow', async t => {
@@ -131,16 +131,16 @@
 	}
 
 	t.is(fleet.crashed.size, 3);
-	t.is(fleet.guards[1]!.getStanding(SERVICE, 'turned'), 'quarantined');
+	t.is(fleet.guards[1]!.getQuarantineStatus(SERVICE, 'turned'), 'quarantined');
 });
 
 test('a connection that is lost without a crash makes no suspect', async t => {
 	const fleet = createFleet();
-	const hasCrashed = await fleet.guards[0]!.examineLoss({
+	const hasCrashed = await fleet.guards[0]!.detectCrash({
 		service: SERVICE, target: createTarget('u1'), fingerprint: 'x', isOnTrial: false,
 	});
 	t.false(hasCrashed);
-	t.is(fleet.guards[0]!.getStanding(SERVICE, 'x'), 'free');
+	t.is(fleet.guards[0]!.getQuarantineStatus(SERVICE, 'x'), 'free');
 });
 
 test('without the records a suspect is not sent, and is free again when they know nothing of it', async t => {
@@ -154,7 +154,7 @@
 	t.is(fleet.crashed.size, 1);
 	fleet.cell.isUnreachable = false;
 	t.is(await send(fleet, {...request, upstream: 'u2', isCulprit: false}), 'answered');
-	t.is(fleet.guards[0]!.getStanding(SERVICE, 'boom'), 'free');
+	t.is(fleet.guards[0]!.getQuarantineStatus(SERVICE, 'boom'), 'free');
 });
 
 test('a host that missed the news asks for what is newer', async t => {
--- a/packages/wagtailroute-host/src/admitting.ts
+++ b/packages/wagtailroute-host/src/admitting.ts
@@ -112,7 +112,7 @@
 		settle(machine.release({...ending, now: now()}));
 	};
 
-	const enqueue = (ticket: admission.Ticket): proxy.WaitingPlace => {
+	const enqueue = (ticket: admission.Ticket): proxy.PendingAdmission => {
 		const {promise, resolve} = Promise.withResolvers<proxy.RequestFailure | undefined>();
 		waiting.set(ticket, resolve);
 		tick ??= context.repeat(ADMISSION_TICK_MILLISECONDS, () => {
@@ -166,10 +166,10 @@
 	ready: Promise<void>,
 	request: proxy.AdmissionRequest,
 	{now, admitNow}: {readonly now: () => number; readonly admitNow: proxy.ServicePort['admit']},
-): proxy.WaitingPlace {
+): proxy.PendingAdmission {
 	const {promise, resolve} = Promise.withResolvers<proxy.RequestFailure | undefined>();
 	const askedAt = now();
-	let place: proxy.WaitingPlace | undefined;
+	let place: proxy.PendingAdmission | undefined;
 	let isCancelled = false;
 	const goOn = async () => {
 		await ready;
--- a/packages/wagtailroute-host/src/burn.ts
+++ b/packages/wagtailroute-host/src/burn.ts
@@ -25,7 +25,7 @@
 	/**
 	Counts one answered request.
 	*/
-	readonly note: (note: proxy.RequestNote) => void;
+	readonly note: (note: proxy.RequestReport) => void;
 	/**
 	`GET /report/burn?window=1h&format=text`.
 	*/
@@ -66,7 +66,7 @@
 A request that another host forwarded is counted there, where its caller is: counted here too it would stand twice, and a
 host that forwards to a sick carrier would be told only half of it.
 */
-function record(context: HostContext, counters: report.BurnCounters, note: proxy.RequestNote): void {
+function record(context: HostContext, counters: report.BurnCounters, note: proxy.RequestReport): void {
 	const versioned = context.store.read(({view}) => view.entries.get(note.service));
 	if (versioned === undefined || note.isForwarded) {
 		return;
--- a/packages/wagtailroute-host/src/claims.ts
+++ b/packages/wagtailroute-host/src/claims.ts
@@ -70,7 +70,7 @@
 		service: request.service,
 		organisation: request.organisation,
 		key: request.key,
-		digest: records.getRequestDigest({method: request.method, path: request.target, bodyDigest}),
+		digest: records.getRequestDigest({method: request.method, path: request.requestTarget, bodyDigest}),
 		attempt: crypto.randomUUID(),
 		host: context.settings.hostId,
 		bootId: context.boot,
--- a/packages/wagtailroute-host/src/forwarding.ts
+++ b/packages/wagtailroute-host/src/forwarding.ts
@@ -33,7 +33,7 @@
 			const member = chooseCarrier(choice);
 			return member && {id: member.id, kind: 'host', address: member.trafficAddress};
 		},
-		hasAnother: choice => chooseCarrier(choice) !== undefined,
+		hasOtherTarget: choice => chooseCarrier(choice) !== undefined,
 		begin: () => undefined,
 		end: () => undefined,
 		retry,
--- a/packages/wagtailroute-host/src/guarding.ts
+++ b/packages/wagtailroute-host/src/guarding.ts
@@ -39,7 +39,7 @@
 The guard of a host.
 */
 export type Guarding = {
-	readonly guard: proxy.Guard;
+	readonly guard: proxy.CrashGuard;
 	readonly teardown: utils.Teardown;
 };
 
@@ -68,7 +68,7 @@
 	const suspects = createSuspects();
 	const losses = new Map<string, LossGroup>();
 
-	const examine = async (loss: proxy.Loss, name: string): Promise<boolean> => {
+	const examine = async (loss: proxy.LostAttempt, name: string): Promise<boolean> => {
 		const incarnation = `${suspects.getVersion(loss.service)}`;
 		const hasCrashed = await isRefusing(loss.target.address);
 		// What else was in flight there is lost at the same moment, but told one after the other.
@@ -86,7 +86,7 @@
 		return true;
 	};
 
-	const report = async ({service, target}: proxy.Loss, incarnation: string, fingerprints: ReadonlySet<string>) => {
+	const report = async ({service, target}: proxy.LostAttempt, incarnation: string, fingerprints: ReadonlySet<string>) => {
 		const inFlight = [...fingerprints].map(fingerprint => ({
 			fingerprint, hasCompleted: suspects.takeSurvived(service, fingerprint),
 		}));
@@ -120,9 +120,9 @@
 
 	return {
 		guard: {
-			getStanding: (service, fingerprint) => suspects.getStanding(service, fingerprint, now()),
+			getQuarantineStatus: (service, fingerprint) => suspects.getStanding(service, fingerprint, now()),
 			requestTrial: async request => requestTrial({context, propose, suspects}, request),
-			async examineLoss(loss) {
+			async detectCrash(loss) {
 				const name = JSON.stringify([loss.service, loss.target.id]);
 				const group = losses.get(name) ?? {fingerprints: new Set<string>(), isOnTrial: false, result: examine(loss, name)};
 				losses.set(name, group);
@@ -130,7 +130,7 @@
 				group.isOnTrial ||= loss.isOnTrial;
 				return group.result;
 			},
-			noteSurvived: suspects.noteSurvived,
+			recordSurvival: suspects.noteSurvived,
 		},
 		teardown: utils.mergeTeardowns(
 			peer.registerMethod(SUSPECT_CHANGE_METHOD, (change: SuspectChange) => {
--- a/packages/wagtailroute-host/src/host.ts
+++ b/packages/wagtailroute-host/src/host.ts
@@ -102,14 +102,14 @@
 	const traffic = await proxy.openTrafficServer(settings.trafficAddress, {
 		hostId: settings.hostId,
 		now: context.now,
-		dialect: proxy.OWN_DIALECT,
+		dialect: proxy.DEFAULT_DIALECT,
 		route: services.route,
 		claim: async request => claimKey(context, request),
 		guard: guarding.guard,
 		random: context.random,
 		answerReserved: createReserved(context, announcing, membership.hasPathFault),
 		isDraining: () => context.store.read(state => state.isDraining),
-		note: createNoting(context, burn.note),
+		recordRequest: createNoting(context, burn.note),
 	});
 	const admin = await openAdminServer(context, [
 		...createCatalogueRoutes(context),
@@ -216,7 +216,7 @@
 	await timers.setTimeout(ttl + DRAIN_SPREAD_MILLISECONDS);
 }
 
-function createNoting(context: HostContext, countBurn: (note: proxy.RequestNote) => void): (note: proxy.RequestNote) => void {
+function createNoting(context: HostContext, countBurn: (note: proxy.RequestReport) => void): (note: proxy.RequestReport) => void {
 	return note => {
 		countBurn(note);
 		const tags = {service: note.service, outcome: note.outcome, status: String(note.status)};
--- a/packages/wagtailroute-host/src/problems.ts
+++ b/packages/wagtailroute-host/src/problems.ts
@@ -47,7 +47,7 @@
 		'proxy-status': proxy.createProxyStatus(PROXY_ERRORS.get(status) ?? 'http_request_error'),
 		...fields.revision !== undefined && {etag: `"${fields.revision}"`},
 		...status === UNAVAILABLE_STATUS && {'retry-after': RETRY_AFTER_SECONDS},
-		...!proxy.isReadWhole(response.req) && {connection: 'close'},
+		...!proxy.isFullyRead(response.req) && {connection: 'close'},
 	});
 }
 
--- a/packages/wagtailroute-host/src/services.ts
+++ b/packages/wagtailroute-host/src/services.ts
@@ -189,7 +189,7 @@
 				const upstream = id === undefined ? undefined : upstreams.get(id);
 				return upstream && {id: upstream.id, kind: 'upstream', address: {ip: upstream.ip, port: upstream.port}};
 			},
-			hasAnother: choice => chooseUpstream(choice) !== undefined,
+			hasOtherTarget: choice => chooseUpstream(choice) !== undefined,
 			begin(target) {
 				selector.begin(target.id, now());
 				verdicts.begin(entry.name, target);
--- a/packages/wagtailroute-lab/src/oracle.ts
+++ b/packages/wagtailroute-lab/src/oracle.ts
@@ -26,7 +26,7 @@
 			const best = serving.toSorted((left, right) => getCost(left, isHarmless(left)) - getCost(right, isHarmless(right)))[0];
 			return best && {id: best.id, address: {ip: '127.0.0.1', port: 1}, kind: 'upstream'};
 		},
-		hasAnother: () => true,
+		hasOtherTarget: () => true,
 		begin: () => undefined,
 		end: () => undefined,
 		retry: {
--- a/packages/wagtailroute-lab/src/sending.ts
+++ b/packages/wagtailroute-lab/src/sending.ts
@@ -253,7 +253,7 @@
 	#watch(resolve: (end: AttemptEnd) => void): utils.Teardown {
 		const {clock, arrival, port} = this.#plan;
 		const {retry} = port;
-		const patience = retry.getPatienceMilliseconds?.() ?? Infinity;
+		const patience = retry.getOverdueMilliseconds?.() ?? Infinity;
 		const isMovable = core.isIdempotent(arrival.route.requestClass)
 			&& this.#count < arrival.route.attempts
 			&& patience + retry.getUsualMilliseconds() < this.#getRemaining();
@@ -270,7 +270,7 @@
 			}
 
 			cancelAsk = chosen.cancel;
-			const cancelWait = clock.schedule(proxy.MOVE_MILLISECONDS, chosen.cancel);
+			const cancelWait = clock.schedule(proxy.MOVE_TIMEOUT_MILLISECONDS, chosen.cancel);
 			const target = await chosen.result;
 			cancelWait();
 			if (!('address' in target)) {
--- a/packages/wagtailroute-proxy/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/fixture.ts
@@ -19,7 +19,7 @@
 	limits: {bodyBytes: 50_000_000, timeoutMilliseconds: 5000},
 }).unwrap();
 
-const SERVICE_FAULT = {kind: 'granted', isSendable: () => true, settle: () => undefined} as const;
+const GRANTED_CLAIM = {kind: 'granted', isSendable: () => true, settle: () => undefined} as const;
 
 /**
 What the other parts of the host do.
@@ -29,15 +29,15 @@
 	/**
 	Upstreams that nobody listens on, tried first.
 	*/
-	readonly absent?: number;
+	readonly unreachableCount?: number;
 	readonly claim?: proxy.ClaimAnswer;
-	readonly standing?: ReturnType<proxy.Guard['getStanding']>;
+	readonly quarantineStatus?: ReturnType<proxy.CrashGuard['getQuarantineStatus']>;
 	readonly trial?: proxy.TrialAnswer | 'granted';
 	readonly isBudgetEmpty?: boolean;
 	/**
 	Milliseconds after which requests that may be repeated move.
 	*/
-	readonly patience?: number;
+	readonly overdueMilliseconds?: number;
 	/**
 	The service is carried by other hosts, for which the backend servers stand in.
 	*/
@@ -58,10 +58,10 @@
 	readonly origin: string;
 	readonly address: core.Address;
 	readonly standins: readonly standin.Standin[];
-	readonly notes: proxy.RequestNote[];
-	readonly reports: proxy.AttemptReport[];
-	readonly releases: proxy.Release[];
-	readonly losses: proxy.Loss[];
+	readonly requestReports: proxy.RequestReport[];
+	readonly attemptReports: proxy.AttemptReport[];
+	readonly releases: proxy.AdmissionRelease[];
+	readonly lostAttempts: proxy.LostAttempt[];
 	readonly trialEndings: proxy.TrialEnding[];
 };
 
@@ -90,18 +90,18 @@
 }
 
 function createTargets(setup: Setup, standins: readonly standin.Standin[]): proxy.Target[] {
-	const absent = Array.from({length: setup.absent ?? 0}, (_, index) => ({
+	const unreachable = Array.from({length: setup.unreachableCount ?? 0}, (_, index) => ({
 		id: `absent-${index}`,
 		kind: 'upstream' as const,
 		address: {ip: '127.0.0.1', port: UNUSED_PORT},
 	}));
 	const kind = setup.isForwarding === true ? 'host' : 'upstream';
-	const present = standins.map(started => ({id: started.id, kind, address: started.getAddress()} as const));
-	return [...absent, ...present];
+	const listening = standins.map(started => ({id: started.id, kind, address: started.getAddress()} as const));
+	return [...unreachable, ...listening];
 }
 
-async function giveAfter(before: Promise<void>, target: proxy.Target): Promise<proxy.Target> {
-	await before;
+async function resolveAfter(delay: Promise<void>, target: proxy.Target): Promise<proxy.Target> {
+	await delay;
 	return target;
 }
 
@@ -111,10 +111,10 @@
 export async function openFixture(t: ExecutionContext, setup: Setup): Promise<Fixture> {
 	const standins = await startStandins(t, setup);
 	const targets = createTargets(setup, standins);
-	const notes: proxy.RequestNote[] = [];
-	const reports: proxy.AttemptReport[] = [];
-	const releases: proxy.Release[] = [];
-	const losses: proxy.Loss[] = [];
+	const requestReports: proxy.RequestReport[] = [];
+	const attemptReports: proxy.AttemptReport[] = [];
+	const releases: proxy.AdmissionRelease[] = [];
+	const lostAttempts: proxy.LostAttempt[] = [];
 	const trialEndings: proxy.TrialEnding[] = [];
 	const table = catalogue.createRouteTable([ENTRY]);
 	const service: proxy.ServicePort = {
@@ -125,35 +125,35 @@
 			releases.push(release);
 		},
 		choose({excluded}) {
-			const target = targets.find(present => !excluded.has(present.id));
+			const target = targets.find(candidate => !excluded.has(candidate.id));
 			return target === undefined || setup.beforeTarget === undefined
 				? target
-				: {result: giveAfter(setup.beforeTarget, target), cancel: () => undefined};
+				: {result: resolveAfter(setup.beforeTarget, target), cancel: () => undefined};
 		},
-		hasAnother: ({excluded}) => targets.some(target => !excluded.has(target.id)),
+		hasOtherTarget: ({excluded}) => targets.some(target => !excluded.has(target.id)),
 		begin: () => undefined,
 		end(report) {
-			reports.push(report);
+			attemptReports.push(report);
 		},
 		retry: {
 			hasBudget: () => setup.isBudgetEmpty !== true,
 			spend: () => undefined,
 			getUsualMilliseconds: () => 0,
-			getPatienceMilliseconds: () => setup.patience ?? Infinity,
+			getOverdueMilliseconds: () => setup.overdueMilliseconds ?? Infinity,
 		},
 	};
 	const server = await proxy.openTrafficServer({ip: '127.0.0.1', port: 0}, {
 		hostId: 'host',
 		now: () => performance.now(),
-		dialect: proxy.OWN_DIALECT,
+		dialect: proxy.DEFAULT_DIALECT,
 		route({host, method, path}) {
 			const match = catalogue.matchRoute(table, host, method, path);
 			return match === undefined ? proxy.createRequestFailure('route-unknown', 'unknown') : {match, service};
 		},
 		routes: setup.routes,
-		claim: async () => setup.claim ?? SERVICE_FAULT,
+		claim: async () => setup.claim ?? GRANTED_CLAIM,
 		guard: {
-			getStanding: () => setup.standing ?? 'free',
+			getQuarantineStatus: () => setup.quarantineStatus ?? 'free',
 			async requestTrial() {
 				const granted: proxy.TrialAnswer = {
 					kind: 'granted',
@@ -164,19 +164,19 @@
 				};
 				return setup.trial === 'granted' ? granted : setup.trial ?? {kind: 'free'};
 			},
-			async examineLoss(loss) {
-				losses.push(loss);
+			async detectCrash(attempt) {
+				lostAttempts.push(attempt);
 				return setup.hasCrashed === true;
 			},
-			noteSurvived: () => undefined,
+			recordSurvival: () => undefined,
 		},
 		random: () => 0,
 		answerReserved(_message, response) {
 			proxy.answerJson(response, 200, {});
 		},
 		isDraining: () => false,
-		note(note) {
-			notes.push(note);
+		recordRequest(report) {
+			requestReports.push(report);
 		},
 	});
 	t.teardown(async () => server.drain());
@@ -184,10 +184,10 @@
 		origin: `http://127.0.0.1:${server.address.port}`,
 		address: server.address,
 		standins,
-		notes,
-		reports,
+		requestReports,
+		attemptReports,
 		releases,
-		losses,
+		lostAttempts,
 		trialEndings,
 	};
 }
--- a/packages/wagtailroute-proxy/src/__tests__/unit/truth.test.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/outcomes.test.ts
@@ -20,7 +20,7 @@
 const STRICT = {path: '/strict', options: {method: 'POST', body: 'transfer'}} as const;
 const KEYED = {path: '/strict', options: {method: 'POST', body: 'transfer', headers: {'idempotency-key': 'k'}}} as const;
 const RESENT = {path: '/x', options: {headers: {'wagtailroute-retry': '1'}}} as const;
-const HURRIED = {path: '/x', options: {headers: {'request-timeout-ms': '1000'}}} as const;
+const SHORT_DEADLINE = {path: '/x', options: {headers: {'request-timeout-ms': '1000'}}} as const;
 
 const SHED = [{kind: 'shed'}] as const;
 const RESET = [{kind: 'reset'}] as const;
@@ -30,7 +30,7 @@
 const STORED = {kind: 'stored', answer: {status: 201, headers: {'x-kept': 'yes'}, body: 'aGk='}} as const;
 const UNAVAILABLE = {kind: 'refused', failure: proxy.createRequestFailure('idempotency-records-unavailable', 'No quorum.')} as const;
 const TRIAL_BUSY = {kind: 'refused', failure: proxy.createRequestFailure('trial-busy', 'Another copy is on trial.')} as const;
-const EVERYWHERE_BUSY = {kind: 'busy'} as const;
+const ALL_UPSTREAMS_BUSY = {kind: 'busy'} as const;
 
 /**
 Each point at which a request can die, what is told there, and how often it ran.
@@ -62,10 +62,10 @@
 		title: 'no upstream', setup: {faults: []}, request: READ, status: 503, outcome: 'not-run', runs: 0,
 	},
 	{
-		title: 'nobody listening', setup: {faults: [], absent: 1}, request: WRITE, status: 502, outcome: 'not-run', runs: 0,
+		title: 'nobody listening', setup: {faults: [], unreachableCount: 1}, request: WRITE, status: 502, outcome: 'not-run', runs: 0,
 	},
 	{
-		title: 'nobody listening, then a server', setup: {faults: [[]], absent: 2}, request: WRITE, status: 200, outcome: 'ran', runs: 1,
+		title: 'nobody listening, then a server', setup: {faults: [[]], unreachableCount: 2}, request: WRITE, status: 200, outcome: 'ran', runs: 1,
 	},
 	{
 		title: 'a shed everywhere', setup: {faults: [SHED, SHED]}, request: WRITE, status: 503, outcome: 'not-run', runs: 0,
@@ -89,7 +89,7 @@
 		title: 'a reset of a read, then a shed', setup: {faults: [RESET, SHED]}, request: READ, status: 502, outcome: 'unknown', runs: 0,
 	},
 	{
-		title: 'a deadline after the request was sent', setup: {faults: [SLOW]}, request: HURRIED, status: 504, outcome: 'unknown', runs: 1,
+		title: 'a deadline after the request was sent', setup: {faults: [SLOW]}, request: SHORT_DEADLINE, status: 504, outcome: 'unknown', runs: 1,
 	},
 	{
 		title: 'a carrier that did not run a write', setup: {faults: [SHED, []], isForwarding: true}, request: WRITE, status: 503, outcome: 'not-run', runs: 0,
@@ -116,16 +116,17 @@
 		title: 'a claim that expired before the send', setup: {faults: [[]], claim: EXPIRED}, request: KEYED, status: 503, outcome: 'not-run', runs: 0,
 	},
 	{
-		title: 'a quarantined request', setup: {faults: [[]], standing: 'quarantined'}, request: READ, status: 503, outcome: 'not-run', runs: 0,
+		title: 'a quarantined request', setup: {faults: [[]], quarantineStatus: 'quarantined'}, request: READ, status: 503, outcome: 'not-run', runs: 0,
 	},
 	{
-		title: 'a suspect whose other copy is on trial', setup: {faults: [[]], standing: 'suspect', trial: TRIAL_BUSY}, request: KEYED, status: 503, outcome: 'not-run', runs: 0,
+		title: 'a suspect whose other copy is on trial', setup: {faults: [[]], quarantineStatus: 'suspect', trial: TRIAL_BUSY}, request: KEYED, status: 503, outcome: 'not-run', runs: 0,
 	},
 	{
-		title: 'a suspect while others are on trial everywhere', setup: {faults: [[], []], standing: 'suspect', trial: EVERYWHERE_BUSY}, request: READ, status: 503, outcome: 'not-run', runs: 0,
+		title: 'a suspect while others are on trial everywhere',
+		setup: {faults: [[], []], quarantineStatus: 'suspect', trial: ALL_UPSTREAMS_BUSY}, request: READ, status: 503, outcome: 'not-run', runs: 0,
 	},
 	{
-		title: 'a suspect that is free by now', setup: {faults: [[]], standing: 'suspect'}, request: READ, status: 200, outcome: 'ran', runs: 1,
+		title: 'a suspect that is free by now', setup: {faults: [[]], quarantineStatus: 'suspect'}, request: READ, status: 200, outcome: 'ran', runs: 1,
 	},
 	{
 		title: 'a read marked as a resend of another tier, not retried here', setup: {faults: [RESET, []]}, request: RESENT, status: 502, outcome: 'unknown', runs: 0,
@@ -149,7 +150,7 @@
 		t.is(answer.status, status, answer.text);
 		t.is(answer.outcome, outcome);
 		t.is(countRuns(fixture), runs);
-		t.true(fixture.notes.every(note => note.outcome === outcome));
+		t.true(fixture.requestReports.every(note => note.outcome === outcome));
 	});
 }
 
@@ -168,7 +169,7 @@
 		// answer. Cause: a proxy that ends its own answer properly when the upstream connection closes.
 		const fixture = await openFixture(t, {faults: [[{kind: 'truncate', framing}]]});
 		await t.throwsAsync(send(fixture, '/bytes/100000?seed=1'));
-		t.is(fixture.reports[0]?.ending, 'truncated');
+		t.is(fixture.attemptReports[0]?.ending, 'truncated');
 	});
 }
 
@@ -201,8 +202,8 @@
 		await timers.setImmediate();
 	}
 
-	t.is(fixture.reports[0]?.ending, 'cancelled');
-	t.true(fixture.notes[0]?.isCancelled);
+	t.is(fixture.attemptReports[0]?.ending, 'cancelled');
+	t.true(fixture.requestReports[0]?.isCancelled);
 });
 
 async function sendRaw(address: core.Address, text: string): Promise<string> {
--- a/packages/wagtailroute-proxy/src/__tests__/unit/pace.test.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/pacing.test.ts
@@ -11,25 +11,25 @@
 
 test('what passes at once takes no more of the link than its part', t => {
 	let now = 0;
-	const pace = proxy.createPace(100_000, () => now);
-	let passed = 0;
+	const pacer = proxy.createPacer(100_000, () => now);
+	let reservedBytes = 0;
 	while (now < 10_000) {
-		passed += 8192;
-		const wait = pace.pass(8192);
+		reservedBytes += 8192;
+		const wait = pacer.reserve(8192);
 		now += wait === 0 ? 1 : wait;
 	}
 
-	t.true(passed <= 1_000_000 + (2 * 8192), String(passed));
-	t.true(passed >= 950_000, String(passed));
+	t.true(reservedBytes <= 1_000_000 + (2 * 8192), String(reservedBytes));
+	t.true(reservedBytes >= 950_000, String(reservedBytes));
 });
 
 test('a small body waits for nothing, and a pause is not saved up', t => {
 	let now = 0;
-	const pace = proxy.createPace(100_000, () => now);
-	t.is(pace.pass(4096), 0);
+	const pacer = proxy.createPacer(100_000, () => now);
+	t.is(pacer.reserve(4096), 0);
 	now = 60_000;
-	t.is(pace.pass(8192), 0);
-	t.true(pace.pass(8192) > 0);
+	t.is(pacer.reserve(8192), 0);
+	t.true(pacer.reserve(8192) > 0);
 });
 
 const LINKS = [
@@ -39,7 +39,7 @@
 
 for (const {name, bytesPerSecond, isPaced} of LINKS) {
 	test(`${name} ${isPaced ? 'is' : 'is not'} paced`, t => {
-		t.is(proxy.createPaces(bytesPerSecond, () => 0) !== undefined, isPaced);
+		t.is(proxy.createPacers(bytesPerSecond, () => 0) !== undefined, isPaced);
 	});
 }
 
@@ -47,23 +47,23 @@
 	const prefix = buffer.Buffer.alloc(70_000, 'x');
 	const rest = [buffer.Buffer.alloc(30_000, 'y')];
 	const body = {prefix, rest: rest.values() as unknown as AsyncIterator<buffer.Buffer>, limitBytes: 200_000};
-	const pieces = await Array.fromAsync(bodies.getSendable(body) as AsyncIterable<buffer.Buffer>);
-	t.deepEqual(pieces.map(({length}) => length), [70_000, 30_000]);
+	const chunks = await Array.fromAsync(bodies.getSendableBody(body) as AsyncIterable<buffer.Buffer>);
+	t.deepEqual(chunks.map(({length}) => length), [70_000, 30_000]);
 });
 
 test('a paced body comes through whole, in pieces, and its length is told', async t => {
 	const prefix = buffer.Buffer.alloc(50_000, 'x');
-	const passed: number[] = [];
-	const pace = {
-		pass(bytes: number) {
-			passed.push(bytes);
+	const reserved: number[] = [];
+	const pacer = {
+		reserve(bytes: number) {
+			reserved.push(bytes);
 			return 0;
 		},
 	};
 	const body = {prefix, limitBytes: 100_000};
-	const pieces = await Array.fromAsync(bodies.getSendable(body, pace) as AsyncIterable<buffer.Buffer>);
-	t.true(buffer.Buffer.concat(pieces).equals(prefix));
-	t.deepEqual(passed, [8192, 8192, 8192, 8192, 8192, 8192, 848]);
-	t.is(bodies.getToldLength(body, {} as never), 50_000);
-	t.true(bodies.getSendable({prefix: prefix.subarray(0, 8192), limitBytes: 100_000}, pace) instanceof Uint8Array);
+	const chunks = await Array.fromAsync(bodies.getSendableBody(body, pacer) as AsyncIterable<buffer.Buffer>);
+	t.true(buffer.Buffer.concat(chunks).equals(prefix));
+	t.deepEqual(reserved, [8192, 8192, 8192, 8192, 8192, 8192, 848]);
+	t.is(bodies.getContentLength(body, {} as never), 50_000);
+	t.true(bodies.getSendableBody({prefix: prefix.subarray(0, 8192), limitBytes: 100_000}, pacer) instanceof Uint8Array);
 });
--- a/packages/wagtailroute-proxy/src/__tests__/unit/targets.test.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/targets.test.ts
@@ -2,12 +2,12 @@
 Tests of the targets of a request that moves.
 */
 import test from 'ava';
-import {createGivingUp} from '../../giving-up.ts';
+import {createRequestAbortController} from '../../request-abort.ts';
 import type * as ports from '../../ports.ts';
 import {Targets, type TargetsContext} from '../../targets.ts';
 
 const NEXT: ports.Target = {id: 'next', kind: 'upstream', address: {ip: '127.0.0.1', port: 1}};
-const WATCH = {end: () => undefined, getNext: () => NEXT};
+const WATCH = {end: () => undefined, getNextTarget: () => NEXT};
 
 function createTargets(): {readonly targets: Targets; readonly reports: ports.AttemptReport[]} {
 	const reports: ports.AttemptReport[] = [];
@@ -19,15 +19,15 @@
 		},
 	} as unknown as ports.ServicePort;
 	const context = {service, match: {service: 's', route: {class: 'read'}}, request: {id: 'r'}} as unknown as TargetsContext;
-	return {targets: new Targets(context, createGivingUp(), {getRemaining: () => 1000, getWaited: () => 0}), reports};
+	return {targets: new Targets(context, createRequestAbortController(), {getRemainingMilliseconds: () => 1000, getElapsedMilliseconds: () => 0}), reports};
 }
 
 test('a request that moves goes to the target that was granted, once', async t => {
 	const {targets, reports} = createTargets();
-	t.true(targets.keepNext(WATCH));
+	t.true(targets.recordMove(WATCH));
 	t.is(await targets.choose(true), NEXT);
 	t.is(await targets.choose(true), undefined);
-	targets.abandon();
+	targets.releaseUnused();
 	t.deepEqual(reports, []);
 });
 
@@ -36,8 +36,8 @@
 	// Sequence: a read moves; its caller leaves before the second attempt begins.
 	// Cause: the target that had been granted was forgotten.
 	const {targets, reports} = createTargets();
-	targets.keepNext(WATCH);
-	targets.abandon();
-	targets.abandon();
+	targets.recordMove(WATCH);
+	targets.releaseUnused();
+	targets.releaseUnused();
 	t.deepEqual(reports.map(({target, ending}) => [target.id, ending]), [['next', 'cancelled']]);
 });
--- a/packages/wagtailroute-proxy/src/__tests__/unit/waiting.test.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/waiting.test.ts
@@ -8,18 +8,18 @@
 import type * as proxy from '../../index.ts';
 import {openFixture, send, type Setup} from './fixture.ts';
 
-function createQueue(): {readonly admit: proxy.ServicePort['admit']; readonly places: Array<{isCancelled: boolean}>} {
-	const places: Array<{isCancelled: boolean}> = [];
+function createQueue(): {readonly admit: proxy.ServicePort['admit']; readonly pendingAdmissions: Array<{isCancelled: boolean}>} {
+	const pendingAdmissions: Array<{isCancelled: boolean}> = [];
 	return {
-		places,
+		pendingAdmissions,
 		admit() {
 			const {promise, resolve} = Promise.withResolvers<proxy.RequestFailure | undefined>();
-			const place = {isCancelled: false};
-			places.push(place);
+			const pending = {isCancelled: false};
+			pendingAdmissions.push(pending);
 			return {
 				result: promise,
 				cancel() {
-					place.isCancelled = true;
+					pending.isCancelled = true;
 					resolve({kind: 'deadline-before-send', message: 'Given up.'});
 				},
 			};
@@ -27,8 +27,8 @@
 	};
 }
 
-async function waitUntil(isSo: () => boolean): Promise<void> {
-	while (!isSo()) {
+async function waitUntil(hasHappened: () => boolean): Promise<void> {
+	while (!hasHappened()) {
 		// eslint-disable-next-line no-await-in-loop -- Waits for what happens on another connection.
 		await timers.setImmediate();
 	}
@@ -42,7 +42,7 @@
 	const answer = await send(fixture, '/x', {headers: {'request-timeout-ms': '20'}});
 	t.is(answer.status, 504);
 	t.is(answer.outcome, 'not-run');
-	t.true(queue.places[0]?.isCancelled);
+	t.true(queue.pendingAdmissions[0]?.isCancelled);
 	t.deepEqual(fixture.releases, []);
 	t.is(fixture.standins[0]?.counters().runs, 0);
 });
@@ -52,12 +52,12 @@
 	const fixture = await openFixture(t, {faults: [[]], admit: queue.admit});
 	const controller = new AbortController();
 	const sent = undici.request(`${fixture.origin}/x`, {signal: controller.signal});
-	await waitUntil(() => queue.places.length > 0);
+	await waitUntil(() => queue.pendingAdmissions.length > 0);
 	controller.abort();
 	await t.throwsAsync(sent);
-	await waitUntil(() => fixture.notes.length > 0);
-	t.true(queue.places[0]?.isCancelled);
-	t.is(fixture.notes[0]?.failure?.kind, 'cancelled-before-send');
+	await waitUntil(() => fixture.requestReports.length > 0);
+	t.true(queue.pendingAdmissions[0]?.isCancelled);
+	t.is(fixture.requestReports[0]?.failure?.kind, 'cancelled-before-send');
 });
 
 test('a deadline ends the wait for a body that does not come', async t => {
@@ -93,21 +93,21 @@
 	const fixture = await openFixture(t, {faults: [[{kind: 'reset'}]], hasCrashed: true});
 	const answer = await send(fixture, '/write', {method: 'POST', body: 'boom'});
 	t.like(JSON.parse(answer.text), {type: 'urn:wagtailroute:problem:upstream-crashed', outcome: 'unknown'});
-	t.is(fixture.losses.length, 1);
-	t.false(fixture.losses[0]?.isOnTrial);
-	t.true(fixture.reports[0]?.hasCrashed, 'no evidence against the server');
+	t.is(fixture.lostAttempts.length, 1);
+	t.false(fixture.lostAttempts[0]?.isOnTrial);
+	t.true(fixture.attemptReports[0]?.hasCrashed, 'no evidence against the server');
 });
 
 const TRIALS: ReadonlyArray<{readonly title: string; readonly setup: Setup; readonly ending: proxy.TrialEnding}> = [
 	{title: 'an answer', setup: {faults: [[]]}, ending: 'completed'},
 	{title: 'an error', setup: {faults: [[{kind: 'fail', status: 500}]]}, ending: 'completed'},
 	{title: 'a loss', setup: {faults: [[{kind: 'reset'}]]}, ending: 'lost'},
-	{title: 'nobody listening', setup: {faults: [], absent: 1}, ending: 'not-sent'},
+	{title: 'nobody listening', setup: {faults: [], unreachableCount: 1}, ending: 'not-sent'},
 ];
 
 for (const {title, setup, ending} of TRIALS) {
 	test(`a trial ends by ${title} as ${ending}`, async t => {
-		const fixture = await openFixture(t, {...setup, standing: 'suspect', trial: 'granted'});
+		const fixture = await openFixture(t, {...setup, quarantineStatus: 'suspect', trial: 'granted'});
 		await send(fixture, '/write', {method: 'POST', body: 'boom'});
 		t.deepEqual(fixture.trialEndings, [ending]);
 	});
@@ -136,10 +136,10 @@
 
 for (const {title, method, faults, status, endings} of OVERDUE) {
 	test(`a request whose answer is overdue ${title}`, async t => {
-		const fixture = await openFixture(t, {faults, patience: 100});
+		const fixture = await openFixture(t, {faults, overdueMilliseconds: 100});
 		const answer = await send(fixture, method === 'POST' ? '/write' : '/x', {method, body: method === 'POST' ? 'x' : undefined});
 		t.is(answer.status, status);
-		t.deepEqual(fixture.reports.map(report => report.ending), [...endings]);
+		t.deepEqual(fixture.attemptReports.map(report => report.ending), [...endings]);
 	});
 }
 
@@ -148,19 +148,19 @@
 	// Sequence: the host listens before it has fetched its routes; callers come back to the address that they had.
 	// Cause: whatever came before the routes was refused.
 	const {promise, resolve} = Promise.withResolvers<void>();
-	let asked = 0;
+	let waitCount = 0;
 	const fixture = await openFixture(t, {
 		faults: [[]],
 		routes: {
 			areKnown: () => false,
 			async wait() {
-				asked++;
+				waitCount++;
 				return promise;
 			},
 		},
 	});
 	const sent = send(fixture, '/x');
-	await waitUntil(() => asked === 1);
+	await waitUntil(() => waitCount === 1);
 	t.is(fixture.standins[0]?.counters().runs, 0);
 	resolve();
 	const answer = await sent;
@@ -181,7 +181,7 @@
 	await timers.setImmediate();
 	resolve();
 	await sent;
-	await waitUntil(() => fixture.notes.length > 0);
-	const {choosingMilliseconds, milliseconds} = fixture.notes[0]!;
+	await waitUntil(() => fixture.requestReports.length > 0);
+	const {choosingMilliseconds, milliseconds} = fixture.requestReports[0]!;
 	t.true(choosingMilliseconds > 0 && choosingMilliseconds <= milliseconds);
 });
--- a/packages/wagtailroute-proxy/src/answers.ts
+++ b/packages/wagtailroute-proxy/src/answers.ts
@@ -7,7 +7,7 @@
 import * as retries from 'wagtailroute-retries';
 import {
 	LINGER_MILLISECONDS,
-	LONG_ADVICE_MILLISECONDS,
+	MAX_SPREAD_RETRY_AFTER_MILLISECONDS,
 	MILLISECONDS_PER_SECOND,
 	OUTCOME_HEADER,
 	PROXY_NAME,
@@ -29,31 +29,31 @@
 @param random Uniform in [0, 1): spreads the advice when to send again.
 */
 export function createProblem(failure: RequestFailure, random: () => number): Problem {
-	const telling = retries.getRequestFailure(failure.kind);
+	const meaning = retries.getRequestFailure(failure.kind);
 	const body = JSON.stringify({
 		type: `urn:wagtailroute:problem:${failure.kind}`,
-		title: telling.title,
-		status: telling.status,
+		title: meaning.title,
+		status: meaning.status,
 		detail: failure.message,
-		outcome: telling.outcome,
+		outcome: meaning.outcome,
 	});
-	const retryAfter = failure.retryAfterMilliseconds ?? telling.retryAfterMilliseconds;
+	const retryAfter = failure.retryAfterMilliseconds ?? meaning.retryAfterMilliseconds;
 	return {
-		status: telling.status,
+		status: meaning.status,
 		headers: {
 			'content-type': 'application/problem+json',
 			'content-length': String(buffer.Buffer.byteLength(body)),
-			'proxy-status': createProxyStatus(telling.proxyStatus),
-			[OUTCOME_HEADER]: telling.outcome,
-			...retryAfter !== undefined && {'retry-after': String(getAdvice(retryAfter, random))},
+			'proxy-status': createProxyStatus(meaning.proxyStatus),
+			[OUTCOME_HEADER]: meaning.outcome,
+			...retryAfter !== undefined && {'retry-after': String(getRetryAfterSeconds(retryAfter, random))},
 		},
 		body,
 	};
 }
 
 // What lasts long is advised as it is: the spread is for callers that come back together after a short trouble.
-function getAdvice(milliseconds: number, random: () => number): number {
-	return milliseconds > LONG_ADVICE_MILLISECONDS
+function getRetryAfterSeconds(milliseconds: number, random: () => number): number {
+	return milliseconds > MAX_SPREAD_RETRY_AFTER_MILLISECONDS
 		? Math.ceil(milliseconds / MILLISECONDS_PER_SECOND)
 		: retries.getRetryAfterSeconds(milliseconds, random);
 }
@@ -70,7 +70,7 @@
 
 	const problem = createAnswer();
 	// Unless the request was read whole, what follows on the connection is the rest of its body.
-	if (isReadWhole(response.req)) {
+	if (isFullyRead(response.req)) {
 		response.writeHead(problem.status, problem.headers);
 		response.end(problem.body);
 		return;
@@ -103,7 +103,7 @@
 /**
 Says whether nothing of a request's body is left on its connection.
 */
-export function isReadWhole({complete, headers}: http.IncomingMessage): boolean {
+export function isFullyRead({complete, headers}: http.IncomingMessage): boolean {
 	return complete || (headers['content-length'] === undefined && headers['transfer-encoding'] === undefined);
 }
 
--- a/packages/wagtailroute-proxy/src/attempts.ts
+++ b/packages/wagtailroute-proxy/src/attempts.ts
@@ -7,8 +7,8 @@
 import * as buffer from 'node:buffer';
 import type * as http from 'node:http';
 import type * as undici from 'undici';
-import {DISCARDED_ANSWER_BYTES, STORED_ANSWER_BYTES} from './constants.ts';
-import {FOREIGN_CODE} from './endings.ts';
+import {MAX_DISCARDED_ANSWER_BYTES, MAX_STORED_ANSWER_BYTES} from './constants.ts';
+import {FOREIGN_ANSWER_CODE} from './endings.ts';
 import {type HeaderFields} from './headers.ts';
 import type {StoredAnswer} from './ports.ts';
 
@@ -38,38 +38,38 @@
 What is done with an answer: relayed to the caller, or discarded because the target shed the request or because it is to be
 repeated elsewhere. `foreign`: it answers another request, so the connection is not fit for any.
 */
-export type Verdict = 'relay' | 'shed' | 'misdirected' | 'repeat' | 'foreign';
+export type AnswerAction = 'relay' | 'shed' | 'misdirected' | 'repeat' | 'foreign';
 
 /**
 What an attempt is to do.
 */
-export type AttemptPlan = {
+export type AttemptOptions = {
 	readonly pool: undici.Dispatcher;
 	readonly method: string;
-	readonly target: string;
+	readonly requestTarget: string;
 	readonly headers: string[];
 	readonly body: buffer.Buffer | AsyncIterable<buffer.Buffer> | undefined;
 	readonly response: http.ServerResponse;
 	/**
 	Says whether an answer is the one for the caller.
 	*/
-	readonly decide: (status: number, headers: HeaderFields) => Verdict;
+	readonly decideAnswer: (status: number, headers: HeaderFields) => AnswerAction;
 	/**
 	Makes the headers that the caller gets.
 	*/
-	readonly createHeaders: (headers: HeaderFields) => Record<string, string | string[]>;
+	readonly createAnswerHeaders: (headers: HeaderFields) => Record<string, string | string[]>;
 	/**
 	Says whether a connection of the pool is being reset at this moment.
 	*/
-	readonly isReset: () => boolean;
+	readonly isResetting: () => boolean;
 	/**
 	Keep a copy of the answer.
 	*/
-	readonly isKept: boolean;
+	readonly isAnswerStored: boolean;
 	/**
 	Told once when the header section of an answer has arrived.
 	*/
-	readonly onAnswered: () => void;
+	readonly onAnswerHeaders: () => void;
 };
 
 /**
@@ -88,14 +88,14 @@
 /**
 Starts an attempt.
 */
-export function startAttempt(plan: AttemptPlan): Attempt {
+export function startAttempt(options: AttemptOptions): Attempt {
 	const {promise, resolve} = Promise.withResolvers<AttemptResult>();
-	const handler = new AttemptHandler(plan, resolve);
-	plan.pool.dispatch({
-		path: plan.target,
-		method: plan.method,
-		headers: plan.headers,
-		body: (plan.body ?? null) as undici.Dispatcher.DispatchOptions['body'],
+	const handler = new AttemptHandler(options, resolve);
+	options.pool.dispatch({
+		path: options.requestTarget,
+		method: options.method,
+		headers: options.headers,
+		body: (options.body ?? null) as undici.Dispatcher.DispatchOptions['body'],
 	}, handler);
 	return {
 		result: promise,
@@ -108,20 +108,20 @@
 class AttemptHandler implements undici.Dispatcher.DispatchHandler {
 	#phase: Phase = 'waiting';
 	#controller: undici.Dispatcher.DispatchController | undefined;
-	#verdict: Verdict = 'relay';
+	#action: AnswerAction = 'relay';
 	#status = 0;
-	#received = 0;
+	#receivedBytes = 0;
 	#isFramed = true;
-	#kept: buffer.Buffer[] | undefined;
+	#storedChunks: buffer.Buffer[] | undefined;
 	#headers: Record<string, string | string[]> = {};
 	#resume: (() => void) | undefined;
-	readonly #plan: AttemptPlan;
+	readonly #options: AttemptOptions;
 	readonly #resolve: (result: AttemptResult) => void;
 
-	constructor(plan: AttemptPlan, resolve: (result: AttemptResult) => void) {
-		this.#plan = plan;
+	constructor(options: AttemptOptions, resolve: (result: AttemptResult) => void) {
+		this.#options = options;
 		this.#resolve = resolve;
-		this.#kept = plan.isKept ? [] : undefined;
+		this.#storedChunks = options.isAnswerStored ? [] : undefined;
 	}
 
 	abort(code: string): void {
@@ -154,31 +154,31 @@
 
 		this.#status = status;
 		this.#isFramed = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
-		this.#plan.onAnswered();
-		this.#verdict = this.#plan.decide(status, headers);
-		if (this.#verdict === 'foreign') {
-			this.#fail(FOREIGN_CODE);
-			controller.abort(new Error(FOREIGN_CODE));
+		this.#options.onAnswerHeaders();
+		this.#action = this.#options.decideAnswer(status, headers);
+		if (this.#action === 'foreign') {
+			this.#fail(FOREIGN_ANSWER_CODE);
+			controller.abort(new Error(FOREIGN_ANSWER_CODE));
 			return;
 		}
 
-		if (this.#verdict !== 'relay') {
+		if (this.#action !== 'relay') {
 			this.#phase = 'discarding';
 			return;
 		}
 
 		this.#phase = 'relaying';
-		this.#headers = this.#plan.createHeaders(headers);
-		if (!this.#plan.response.destroyed) {
-			this.#plan.response.writeHead(status, statusText, this.#headers);
+		this.#headers = this.#options.createAnswerHeaders(headers);
+		if (!this.#options.response.destroyed) {
+			this.#options.response.writeHead(status, statusText, this.#headers);
 		}
 	}
 
 	onResponseData(controller: undici.Dispatcher.DispatchController, chunk: buffer.Buffer): void {
-		this.#received += chunk.length;
+		this.#receivedBytes += chunk.length;
 		if (this.#phase === 'relaying') {
 			this.#relay(controller, chunk);
-		} else if (this.#phase === 'discarding' && this.#received > DISCARDED_ANSWER_BYTES) {
+		} else if (this.#phase === 'discarding' && this.#receivedBytes > MAX_DISCARDED_ANSWER_BYTES) {
 			this.#end(this.#createDiscarded());
 			controller.abort(new Error('discarded'));
 		}
@@ -186,7 +186,7 @@
 
 	onResponseEnd(): void {
 		// An answer without a length ends with its connection; the HTTP client takes a reset for that end too.
-		if (!this.#isFramed && this.#plan.isReset()) {
+		if (!this.#isFramed && this.#options.isResetting()) {
 			this.#fail('ECONNRESET');
 			return;
 		}
@@ -194,8 +194,8 @@
 		if (this.#phase === 'discarding') {
 			this.#end(this.#createDiscarded());
 		} else if (this.#phase === 'relaying') {
-			this.#plan.response.end();
-			this.#end({kind: 'relayed', status: this.#status, answer: this.#getKept()});
+			this.#options.response.end();
+			this.#end({kind: 'relayed', status: this.#status, answer: this.#getStoredAnswer()});
 		}
 	}
 
@@ -204,8 +204,8 @@
 	}
 
 	#relay(controller: undici.Dispatcher.DispatchController, chunk: buffer.Buffer): void {
-		this.#keep(chunk);
-		const {response} = this.#plan;
+		this.#storeChunk(chunk);
+		const {response} = this.#options;
 		// A claimed execution goes on after its caller left: then nothing is written and nothing waited for.
 		if (response.destroyed || response.write(chunk)) {
 			return;
@@ -226,27 +226,27 @@
 	}
 
 	#createDiscarded(): AttemptResult {
-		const isMisdirected = this.#verdict === 'misdirected';
+		const isMisdirected = this.#action === 'misdirected';
 		return {
-			kind: 'discarded', status: this.#status, isShed: isMisdirected || this.#verdict === 'shed', isMisdirected,
+			kind: 'discarded', status: this.#status, isShed: isMisdirected || this.#action === 'shed', isMisdirected,
 		};
 	}
 
-	#keep(chunk: buffer.Buffer): void {
-		if (this.#received > STORED_ANSWER_BYTES) {
-			this.#kept = undefined;
+	#storeChunk(chunk: buffer.Buffer): void {
+		if (this.#receivedBytes > MAX_STORED_ANSWER_BYTES) {
+			this.#storedChunks = undefined;
 		}
 
-		this.#kept?.push(chunk);
+		this.#storedChunks?.push(chunk);
 	}
 
-	#getKept(): StoredAnswer | undefined {
-		return this.#kept === undefined
+	#getStoredAnswer(): StoredAnswer | undefined {
+		return this.#storedChunks === undefined
 			? undefined
 			: {
 				status: this.#status,
 				headers: this.#headers,
-				body: buffer.Buffer.concat(this.#kept).toString('base64'),
+				body: buffer.Buffer.concat(this.#storedChunks).toString('base64'),
 			};
 	}
 
--- a/packages/wagtailroute-proxy/src/bodies.ts
+++ b/packages/wagtailroute-proxy/src/bodies.ts
@@ -6,9 +6,9 @@
 import type * as http from 'node:http';
 import * as timers from 'node:timers/promises';
 import * as results from 'ts-results-es';
-import {PACED_PIECE_BYTES, REPLAYABLE_BODY_BYTES} from './constants.ts';
+import {PACED_CHUNK_BYTES, MAX_REPLAYABLE_BODY_BYTES} from './constants.ts';
 import {createRequestFailure, type RequestFailure} from './failures.ts';
-import {NO_PACE, type Pace} from './pace.ts';
+import {UNLIMITED_PACER, type Pacer} from './pacing.ts';
 import type {CallerRequest} from './requests.ts';
 
 /**
@@ -50,7 +50,7 @@
 	message: http.IncomingMessage,
 	request: CallerRequest,
 	limitBytes: number,
-	pace: Pace = NO_PACE,
+	pacer: Pacer = UNLIMITED_PACER,
 ): Promise<results.Result<Body, RequestFailure>> {
 	if (!request.hasBody) {
 		return NO_BODY;
@@ -65,28 +65,28 @@
 	const chunks: buffer.Buffer[] = [];
 	let size = 0;
 	try {
-		while (size <= REPLAYABLE_BODY_BYTES) {
+		while (size <= MAX_REPLAYABLE_BODY_BYTES) {
 			// eslint-disable-next-line no-await-in-loop -- The parts of a body come one after the other.
-			const part = await rest.next();
-			if (part.done === true) {
-				return size > limitBytes ? results.Err(createTooLarge(limitBytes)) : results.Ok({prefix: buffer.Buffer.concat(chunks), limitBytes});
+			const chunk = await rest.next();
+			if (chunk.done === true) {
+				return size > limitBytes ? results.Err(createTooLargeFailure(limitBytes)) : results.Ok({prefix: buffer.Buffer.concat(chunks), limitBytes});
 			}
 
-			chunks.push(part.value);
-			size += part.value.length;
+			chunks.push(chunk.value);
+			size += chunk.value.length;
 			// eslint-disable-next-line no-await-in-loop -- See above.
-			await waitFor(pace, part.value.length);
+			await applyPacing(pacer, chunk.value.length);
 		}
 	} catch {
 		return results.Err(createRequestFailure('body-cut-by-caller', 'The body ended early.'));
 	}
 
 	return size > limitBytes
-		? results.Err(createTooLarge(limitBytes))
+		? results.Err(createTooLargeFailure(limitBytes))
 		: results.Ok({prefix: buffer.Buffer.concat(chunks), rest, limitBytes});
 }
 
-function createTooLarge(limitBytes: number): RequestFailure {
+function createTooLargeFailure(limitBytes: number): RequestFailure {
 	return createRequestFailure('body-too-large', `The body is larger than ${limitBytes} bytes.`);
 }
 
@@ -100,13 +100,13 @@
 /**
 Returns the body as the HTTP client takes it.
 */
-export function getSendable(body: Body, pace: Pace = NO_PACE): buffer.Buffer | AsyncIterable<buffer.Buffer> | undefined {
+export function getSendableBody(body: Body, pacer: Pacer = UNLIMITED_PACER): buffer.Buffer | AsyncIterable<buffer.Buffer> | undefined {
 	if (body.rest !== undefined) {
-		return streamBody(body, body.rest, pace);
+		return streamBody(body, body.rest, pacer);
 	}
 
-	if (pace !== NO_PACE && body.prefix.length > PACED_PIECE_BYTES) {
-		return sendInPieces(body.prefix, pace);
+	if (pacer !== UNLIMITED_PACER && body.prefix.length > PACED_CHUNK_BYTES) {
+		return yieldChunks(body.prefix, pacer);
 	}
 
 	return body.prefix.length === 0 ? undefined : body.prefix;
@@ -115,51 +115,51 @@
 /**
 Returns the length that the backend server is told; undefined when the HTTP client finds it itself, or nobody knows it.
 */
-export function getToldLength(body: Body, request: CallerRequest): number | undefined {
+export function getContentLength(body: Body, request: CallerRequest): number | undefined {
 	if (body.rest !== undefined) {
 		return request.contentLength;
 	}
 
-	return body.prefix.length > PACED_PIECE_BYTES ? body.prefix.length : undefined;
+	return body.prefix.length > PACED_CHUNK_BYTES ? body.prefix.length : undefined;
 }
 
-async function waitFor(pace: Pace, bytes: number): Promise<void> {
-	const milliseconds = pace.pass(bytes);
+async function applyPacing(pacer: Pacer, bytes: number): Promise<void> {
+	const milliseconds = pacer.reserve(bytes);
 	if (milliseconds >= 1) {
 		await timers.setTimeout(milliseconds);
 	}
 }
 
-async function * sendInPieces(bytes: buffer.Buffer, pace: Pace): AsyncIterable<buffer.Buffer> {
-	if (pace === NO_PACE) {
+async function * yieldChunks(bytes: buffer.Buffer, pacer: Pacer): AsyncIterable<buffer.Buffer> {
+	if (pacer === UNLIMITED_PACER) {
 		yield bytes;
 		return;
 	}
 
-	for (let start = 0; start < bytes.length; start += PACED_PIECE_BYTES) {
-		const piece = bytes.subarray(start, start + PACED_PIECE_BYTES);
-		yield piece;
+	for (let start = 0; start < bytes.length; start += PACED_CHUNK_BYTES) {
+		const chunk = bytes.subarray(start, start + PACED_CHUNK_BYTES);
+		yield chunk;
 		// eslint-disable-next-line no-await-in-loop -- One piece after the other.
-		await waitFor(pace, piece.length);
+		await applyPacing(pacer, chunk.length);
 	}
 }
 
-async function * streamBody(body: Body, rest: AsyncIterator<buffer.Buffer>, pace: Pace): AsyncIterable<buffer.Buffer> {
+async function * streamBody(body: Body, rest: AsyncIterator<buffer.Buffer>, pacer: Pacer): AsyncIterable<buffer.Buffer> {
 	let size = body.prefix.length;
-	yield * sendInPieces(body.prefix, pace);
+	yield * yieldChunks(body.prefix, pacer);
 	for (;;) {
 		// eslint-disable-next-line no-await-in-loop -- The parts of a body come one after the other.
-		const part = await rest.next();
-		if (part.done === true) {
+		const chunk = await rest.next();
+		if (chunk.done === true) {
 			return;
 		}
 
-		size += part.value.length;
+		size += chunk.value.length;
 		if (size > body.limitBytes) {
 			// Ends the attempt: the backend server sees a request cut off, never one that looks whole.
 			throw new BodyError(`The body is larger than ${body.limitBytes} bytes.`);
 		}
 
-		yield * sendInPieces(part.value, pace);
+		yield * yieldChunks(chunk.value, pacer);
 	}
 }
--- a/packages/wagtailroute-proxy/src/connections.ts
+++ b/packages/wagtailroute-proxy/src/connections.ts
@@ -6,24 +6,24 @@
 */
 import * as core from 'wagtailroute-core';
 import * as undici from 'undici';
-import {CONNECT_MILLISECONDS, UPSTREAM_KEEP_ALIVE_MILLISECONDS} from './constants.ts';
+import {CONNECT_TIMEOUT_MILLISECONDS, UPSTREAM_KEEP_ALIVE_MILLISECONDS} from './constants.ts';
 
 /**
 The connections to one address.
 */
-export type Pool = {
+export type UpstreamPool = {
 	readonly dispatcher: undici.Pool;
 	/**
 	Says whether one of its connections is being reset at this moment.
 	*/
-	readonly isReset: () => boolean;
+	readonly isResetting: () => boolean;
 };
 
 /**
 The pools of a host.
 */
-export type Connections = {
-	readonly getPool: (address: core.Address, limit: number) => Pool;
+export type ConnectionPools = {
+	readonly getPool: (address: core.Address, limit: number) => UpstreamPool;
 	/**
 	Lets the pools of all other addresses finish what they do and closes them.
 	*/
@@ -34,22 +34,22 @@
 /**
 Creates an empty set of pools.
 */
-export function createConnections(connectMilliseconds: number = CONNECT_MILLISECONDS): Connections {
-	const pools = new Map<string, Pool>();
+export function createConnectionPools(connectTimeoutMilliseconds: number = CONNECT_TIMEOUT_MILLISECONDS): ConnectionPools {
+	const pools = new Map<string, UpstreamPool>();
 	return {
 		getPool(address, limit) {
-			const name = core.formatAddress(address);
-			const pool = pools.get(name) ?? createPool(name, limit, connectMilliseconds);
-			pools.set(name, pool);
+			const authority = core.formatAddress(address);
+			const pool = pools.get(authority) ?? createPool(authority, limit, connectTimeoutMilliseconds);
+			pools.set(authority, pool);
 			return pool;
 		},
 		retain(addresses) {
-			for (const [name, pool] of pools) {
-				if (addresses.has(name)) {
+			for (const [authority, pool] of pools) {
+				if (addresses.has(authority)) {
 					continue;
 				}
 
-				pools.delete(name);
+				pools.delete(authority);
 				void pool.dispatcher.close();
 			}
 		},
@@ -60,19 +60,19 @@
 	};
 }
 
-function createPool(name: string, limit: number, connectMilliseconds: number): Pool {
-	let resets = 0;
-	const connect = undici.buildConnector({timeout: connectMilliseconds});
-	const dispatcher = new undici.Pool(`http://${name}`, {
+function createPool(authority: string, limit: number, connectTimeoutMilliseconds: number): UpstreamPool {
+	let resettingConnections = 0;
+	const connect = undici.buildConnector({timeout: connectTimeoutMilliseconds});
+	const dispatcher = new undici.Pool(`http://${authority}`, {
 		connections: limit,
 		pipelining: 1,
 		connect(options, callback) {
 			connect(options, (...[error, socket]) => {
 				// Registered before the HTTP client's own listener, so that it is known while that one runs.
 				socket?.once('error', () => {
-					resets++;
+					resettingConnections++;
 					setImmediate(() => {
-						resets--;
+						resettingConnections--;
 					});
 				});
 				if (error === null) {
@@ -87,5 +87,5 @@
 		headersTimeout: 0,
 		bodyTimeout: 0,
 	});
-	return {dispatcher, isReset: () => resets > 0};
+	return {dispatcher, isResetting: () => resettingConnections > 0};
 }
--- a/packages/wagtailroute-proxy/src/constants.ts
+++ b/packages/wagtailroute-proxy/src/constants.ts
@@ -5,32 +5,32 @@
 /**
 Bodies up to this size in bytes are read whole before the first attempt, so that they can be sent again.
 */
-export const REPLAYABLE_BODY_BYTES = 65_536;
+export const MAX_REPLAYABLE_BODY_BYTES = 65_536;
 
 /**
 Answers up to this size in bytes are kept for a resend with the same idempotency key.
 */
-export const STORED_ANSWER_BYTES = 65_536;
+export const MAX_STORED_ANSWER_BYTES = 65_536;
 
 /**
 Bytes of a discarded answer that are read to keep its connection; a longer one costs the connection.
 */
-export const DISCARDED_ANSWER_BYTES = 65_536;
+export const MAX_DISCARDED_ANSWER_BYTES = 65_536;
 
 /**
 Largest header section of a request, in bytes; a larger one is answered 431.
 */
-export const HEADER_BYTES = 16_384;
+export const MAX_HEADER_BYTES = 16_384;
 
 /**
 Milliseconds that a caller may take to send its header section.
 */
-export const HEADERS_MILLISECONDS = 10_000;
+export const HEADERS_TIMEOUT_MILLISECONDS = 10_000;
 
 /**
 Milliseconds that a caller may take to send its whole request, long uploads included.
 */
-export const REQUEST_MILLISECONDS = 3_600_000;
+export const REQUEST_TIMEOUT_MILLISECONDS = 3_600_000;
 
 /**
 Milliseconds after which an unused connection of a caller is closed.
@@ -40,38 +40,38 @@
 /**
 Connections of callers to one host; one more is closed at once.
 */
-export const MAXIMUM_CALLER_CONNECTIONS = 16_384;
+export const MAX_CALLER_CONNECTIONS = 16_384;
 
 /**
 Longest path with its query, in characters.
 */
-export const MAXIMUM_TARGET_LENGTH = 8192;
+export const MAX_REQUEST_TARGET_LENGTH = 8192;
 
 /**
 Longest organisation or idempotency key, in characters.
 */
-export const MAXIMUM_TOKEN_LENGTH = 255;
+export const MAX_TOKEN_LENGTH = 255;
 
 /**
 Longest deadline a caller may set, in milliseconds.
 */
-export const MAXIMUM_TIMEOUT_MILLISECONDS = 3_600_000;
+export const MAX_TIMEOUT_MILLISECONDS = 3_600_000;
 
 /**
 Milliseconds above which the advice when to send again is given as it is, without a spread.
 */
-export const LONG_ADVICE_MILLISECONDS = 30_000;
+export const MAX_SPREAD_RETRY_AFTER_MILLISECONDS = 30_000;
 
 /**
 Milliseconds that opening a connection to an upstream may take before another one is tried.
 */
-export const CONNECT_MILLISECONDS = 1000;
+export const CONNECT_TIMEOUT_MILLISECONDS = 1000;
 
 /**
 Milliseconds that a request whose answer is overdue waits for another place: a free one is granted in less. Waiting longer it would take
 the slot of a request that was not sent yet.
 */
-export const MOVE_MILLISECONDS = 100;
+export const MOVE_TIMEOUT_MILLISECONDS = 100;
 
 /**
 Milliseconds after which an unused connection to an upstream is closed: shorter than common servers' own limit, so that a request rarely meets a connection that the server is closing.
@@ -131,19 +131,19 @@
 /**
 Bytes of a large body that pass without a wait.
 */
-export const PACED_AT_ONCE_BYTES = 8192;
+export const PACING_BURST_BYTES = 8192;
 
 /**
 Bytes of a large body that are passed on in one piece.
 */
-export const PACED_PIECE_BYTES = 8192;
+export const PACED_CHUNK_BYTES = 8192;
 
 /**
 Part of a link that large bodies may take together in one direction.
 */
-export const PACED_PART = 0.7;
+export const LARGE_BODY_LINK_FRACTION = 0.7;
 
 /**
 Bytes a second from which on a link needs no pace: 64 KiB take 5 ms.
 */
-export const FAST_LINK_BYTES_PER_SECOND = 12_500_000;
+export const MIN_UNPACED_LINK_BYTES_PER_SECOND = 12_500_000;
--- a/packages/wagtailroute-proxy/src/dialect.ts
+++ b/packages/wagtailroute-proxy/src/dialect.ts
@@ -1,6 +1,6 @@
 /**
 The words that callers, this fleet and backend servers use in the headers of requests and answers. A fleet speaks the
-product's own dialect, {@link OWN_DIALECT}, or one that an adapter gives it.
+product's own dialect, {@link DEFAULT_DIALECT}, or one that an adapter gives it.
 */
 import type * as http from 'node:http';
 import type * as core from 'wagtailroute-core';
@@ -13,7 +13,7 @@
 	createAnswerHeaders,
 	createRequestHeaders,
 	type HeaderFields,
-	type Passage,
+	type RequestHeaderOptions,
 } from './headers.ts';
 import {type CallerRequest, parseRequest} from './requests.ts';
 
@@ -32,7 +32,7 @@
 	/**
 	Returns the headers of a request as they are sent on, as alternating names and values.
 	*/
-	readonly createRequestHeaders: (message: http.IncomingMessage, passage: Passage) => string[];
+	readonly createRequestHeaders: (message: http.IncomingMessage, options: RequestHeaderOptions) => string[];
 	readonly readAnswer: (status: number, headers: HeaderFields, request: CallerRequest) => AnswerKind;
 	/**
 	Returns what a backend server advertises about itself in the header section of an answer.
@@ -58,7 +58,7 @@
 /**
 The product's own dialect.
 */
-export const OWN_DIALECT: Dialect = {
+export const DEFAULT_DIALECT: Dialect = {
 	parseRequest,
 	createRequestHeaders,
 	readAnswer: (status, headers) => isShedAnswer(status, headers) ? 'shed' : 'answer',
--- a/packages/wagtailroute-proxy/src/endings.ts
+++ b/packages/wagtailroute-proxy/src/endings.ts
@@ -16,7 +16,7 @@
 /**
 Codes with which a body was cut off by its sender, not by the target.
 */
-const BODY_CODES: ReadonlySet<string> = new Set(['BODY_CUT_OFF', 'UND_ERR_REQ_CONTENT_LENGTH_MISMATCH']);
+const BODY_ERROR_CODES: ReadonlySet<string> = new Set(['BODY_CUT_OFF', 'UND_ERR_REQ_CONTENT_LENGTH_MISMATCH']);
 
 /**
 Says whether an answer declares that its request was not run.
@@ -36,7 +36,7 @@
 /**
 Returns the evidence that an attempt gives about its target, when nobody gave it up.
 */
-export function getEnding(result: AttemptResult): AttemptEnding {
+export function getAttemptEnding(result: AttemptResult): AttemptEnding {
 	if (result.kind === 'relayed' || result.kind === 'discarded') {
 		return isShedResult(result) ? getShedEnding(result) : getAnsweredEnding(result.status);
 	}
@@ -59,7 +59,7 @@
 };
 
 function isBodyCutOff(result: AttemptResult): boolean {
-	return result.kind === 'lost' && BODY_CODES.has(result.code);
+	return result.kind === 'lost' && BODY_ERROR_CODES.has(result.code);
 }
 
 function getShedEnding(result: AttemptResult): AttemptEnding {
@@ -73,7 +73,7 @@
 	return result.kind === 'discarded' && result.isShed;
 }
 
-const CODES: ReadonlyMap<string, RequestFailureKind> = new Map([
+const FAILURES_BY_CODE: ReadonlyMap<string, RequestFailureKind> = new Map([
 	['CLAIM_EXPIRED', 'idempotency-claim-expired'],
 	['TRIAL_EXPIRED', 'trial-busy'],
 	['ECONNREFUSED', 'connect-refused'],
@@ -83,7 +83,7 @@
 /**
 Code of an attempt whose connection brought the answer to another request.
 */
-export const FOREIGN_CODE = 'HPE_FOREIGN_ANSWER';
+export const FOREIGN_ANSWER_CODE = 'HPE_FOREIGN_ANSWER';
 
 const MALFORMED_PATTERN = /^HPE_|^UND_ERR_(?:HEADERS_OVERFLOW|INVALID)/v;
 
@@ -96,7 +96,7 @@
 	}
 
 	if (result.kind === 'not-sent') {
-		return CODES.get(result.code) ?? 'connect-unreachable';
+		return FAILURES_BY_CODE.get(result.code) ?? 'connect-unreachable';
 	}
 
 	if (isBodyCutOff(result)) {
@@ -118,10 +118,10 @@
 Says whether the target may have died of the request: its connection was lost after the send, by nobody's will.
 */
 export function isConnectionLost(result: AttemptResult): boolean {
-	return (result.kind === 'lost' || result.kind === 'truncated') && !BODY_CODES.has(result.code) && result.code !== MOVED_CODE;
+	return (result.kind === 'lost' || result.kind === 'truncated') && !BODY_ERROR_CODES.has(result.code) && result.code !== MOVED_CODE;
 }
 
-const MESSAGES: Readonly<Record<Exclude<AttemptResult['kind'], 'relayed'>, (target: string) => string>> = {
+const RESULT_DESCRIPTIONS: Readonly<Record<Exclude<AttemptResult['kind'], 'relayed'>, (target: string) => string>> = {
 	'not-sent': target => `Nothing was sent to ${target}.`,
 	lost: target => `${target} was lost after the request was sent.`,
 	truncated: target => `${target} was lost in the midst of its answer.`,
@@ -132,7 +132,7 @@
 Describes, for people, an attempt that gave no answer to the caller.
 */
 export function describeResult(result: Exclude<AttemptResult, {kind: 'relayed'}>, target: string): string {
-	return MESSAGES[result.kind](target);
+	return RESULT_DESCRIPTIONS[result.kind](target);
 }
 
 const RELEASE_ENDINGS: Readonly<Record<AttemptEnding, ReleaseEnding>> = {
--- a/packages/wagtailroute-proxy/src/exchange.ts
+++ b/packages/wagtailroute-proxy/src/exchange.ts
@@ -15,17 +15,17 @@
 import {OUTCOME_HEADER} from './constants.ts';
 import * as endings from './endings.ts';
 import * as failures from './failures.ts';
-import {createGivingUp} from './giving-up.ts';
+import {createRequestAbortController} from './request-abort.ts';
 import type * as ports from './ports.ts';
 import type * as requests from './requests.ts';
-import {type GrantedClaim, Sending} from './sending.ts';
+import {type GrantedClaim, RequestSender} from './request-sender.ts';
 
 /**
 What an exchange is made from.
 */
 export type ExchangeContext = {
 	readonly ports: ports.TrafficPorts;
-	readonly connections: connections.Connections;
+	readonly connections: connections.ConnectionPools;
 	readonly message: http.IncomingMessage;
 	readonly response: http.ServerResponse;
 	readonly request: requests.CallerRequest;
@@ -33,7 +33,7 @@
 	Monotonic milliseconds when its header section was there: its caller's time runs from then on.
 	*/
 	readonly arrivedAt: number;
-	readonly match: ports.Match;
+	readonly match: ports.RouteMatch;
 	readonly service: ports.ServicePort;
 	/**
 	See `RoutedRequest`.
@@ -44,7 +44,7 @@
 /**
 What became of a request: a failure to tell, or nothing more to do.
 */
-type Conclusion = failures.RequestFailure | undefined;
+type OptionalFailure = failures.RequestFailure | undefined;
 
 /**
 Serves one request to its end. Never rejects.
@@ -57,8 +57,8 @@
 	readonly #context: ExchangeContext;
 	readonly #startedAt: number;
 	readonly #deadlineAt: number;
-	readonly #givingUp = createGivingUp();
-	readonly #sending: Sending;
+	readonly #abortController = createRequestAbortController();
+	readonly #sender: RequestSender;
 	#claim: GrantedClaim | undefined;
 	#storedOutcome: core.Outcome | undefined;
 
@@ -67,37 +67,37 @@
 		this.#startedAt = context.arrivedAt;
 		const limit = context.service.limits.timeoutMilliseconds;
 		this.#deadlineAt = this.#startedAt + Math.min(limit, context.request.timeoutMilliseconds ?? limit);
-		this.#sending = new Sending(context, this.#givingUp, {
-			getRemaining: () => this.#getRemaining(),
-			getWaited: () => context.ports.now() - this.#startedAt,
+		this.#sender = new RequestSender(context, this.#abortController, {
+			getRemainingMilliseconds: () => this.#getRemainingMilliseconds(),
+			getElapsedMilliseconds: () => context.ports.now() - this.#startedAt,
 		});
 	}
 
 	async serve(): Promise<void> {
 		const {response} = this.#context;
-		if (this.#getRemaining() === 0) {
+		if (this.#getRemainingMilliseconds() === 0) {
 			// Its time was used up before its way began: a timer would only say so after it was sent.
-			this.#givingUp.giveUp('deadline');
+			this.#abortController.abort('deadline');
 		}
 
 		const timer = setTimeout(() => {
-			this.#givingUp.giveUp('deadline');
-		}, this.#getRemaining());
+			this.#abortController.abort('deadline');
+		}, this.#getRemainingMilliseconds());
 		response.once('close', () => {
 			// A claimed execution goes on without its caller: cancelled, its key would stay unknown for ever, while its
 			// caller asks again for the stored answer.
 			if (!response.writableFinished && this.#claim === undefined) {
-				this.#givingUp.giveUp('cancelled');
+				this.#abortController.abort('cancelled');
 			}
 		});
-		const conclusion = await this.#conclude();
+		const failure = await this.#run();
 		clearTimeout(timer);
-		this.#finish(conclusion);
+		this.#finish(failure);
 	}
 
-	async #conclude(): Promise<Conclusion> {
+	async #run(): Promise<OptionalFailure> {
 		try {
-			return this.#makeTruthful(await this.#runAdmitted());
+			return this.#correctOutcome(await this.#runWithAdmission());
 		} catch (error) {
 			return failures.createRequestFailure('internal-error', error instanceof Error ? error.message : 'failed');
 		}
@@ -107,86 +107,86 @@
 	A request whose first attempt was lost and whose second could not be sent looks like not-run by the second alone; it
 	would be resent by its caller and could run twice. So whatever follows a sent attempt is at best unknown.
 	*/
-	#makeTruthful(conclusion: Conclusion): Conclusion {
-		const isToldNotRun = conclusion !== undefined && retries.getRequestFailure(conclusion.kind).outcome === 'not-run';
-		return isToldNotRun && this.#sending.outcome !== 'not-run'
-			? failures.createRequestFailure('upstream-lost', `An earlier attempt was sent. ${conclusion.message}`)
-			: conclusion;
+	#correctOutcome(failure: OptionalFailure): OptionalFailure {
+		const isReportedNotRun = failure !== undefined && retries.getRequestFailure(failure.kind).outcome === 'not-run';
+		return isReportedNotRun && this.#sender.outcome !== 'not-run'
+			? failures.createRequestFailure('upstream-lost', `An earlier attempt was sent. ${failure.message}`)
+			: failure;
 	}
 
-	async #runAdmitted(): Promise<Conclusion> {
+	async #runWithAdmission(): Promise<OptionalFailure> {
 		const {service, request, match, ports: {now}} = this.#context;
 		const admitted = service.admit({
 			organisation: request.organisation,
-			remainingMilliseconds: this.#getRemaining(),
+			remainingMilliseconds: this.#getRemainingMilliseconds(),
 			requestClass: match.route.class,
 		});
-		const refusal = admitted !== undefined && 'result' in admitted ? await this.#waitForPlace(admitted) : admitted;
+		const refusal = admitted !== undefined && 'result' in admitted ? await this.#waitForAdmission(admitted) : admitted;
 		if (refusal !== undefined) {
 			return refusal;
 		}
 
 		const admittedAt = now();
 		try {
-			return await this.#runRead();
+			return await this.#runWithBody();
 		} finally {
 			service.release({
 				organisation: request.organisation,
 				latencyMilliseconds: now() - admittedAt,
-				ending: endings.getReleaseEnding(this.#sending.lastEnding),
+				ending: endings.getReleaseEnding(this.#sender.lastEnding),
 			});
 		}
 	}
 
-	async #waitForPlace(place: ports.WaitingPlace): Promise<Conclusion> {
-		this.#givingUp.setListener(() => {
-			place.cancel();
+	async #waitForAdmission(pending: ports.PendingAdmission): Promise<OptionalFailure> {
+		this.#abortController.setListener(() => {
+			pending.cancel();
 		});
-		const refusal = await place.result;
-		return refusal === undefined ? undefined : this.#sending.describeGivenUp() ?? refusal;
+		const refusal = await pending.result;
+		return refusal === undefined ? undefined : this.#sender.describeAbort() ?? refusal;
 	}
 
-	async #runRead(): Promise<Conclusion> {
+	async #runWithBody(): Promise<OptionalFailure> {
 		const {message, request, service, ports} = this.#context;
 		const body = request.hasBody
-			? await this.#givingUp.race(bodies.readBody(message, request, service.limits.bodyBytes, ports.paces?.receiving))
+			? await this.#abortController.race(bodies.readBody(message, request, service.limits.bodyBytes, ports.pacers?.receiving))
 			: bodies.NO_BODY;
 		if (body === undefined) {
-			return this.#sending.describeGivenUp();
+			return this.#sender.describeAbort();
 		}
 
-		return body.isErr() ? body.error : this.#runGuarded(body.value);
+		return body.isErr() ? body.error : this.#runUnlessQuarantined(body.value);
 	}
 
-	async #runGuarded(body: bodies.Body): Promise<Conclusion> {
+	async #runUnlessQuarantined(body: bodies.Body): Promise<OptionalFailure> {
 		const {request, service, match, ports: {guard}} = this.#context;
-		this.#sending.fingerprint = createFingerprint(request, body);
+		this.#sender.fingerprint = createFingerprint(request, body);
 		if (!service.isCarried) {
-			return this.#sending.run(body);
+			return this.#sender.run(body);
 		}
 
-		return guard.getStanding(match.service, this.#sending.fingerprint) === 'quarantined'
+		return guard.getQuarantineStatus(match.service, this.#sender.fingerprint) === 'quarantined'
 			? failures.createRequestFailure('quarantined', 'This request crashed two backend servers and is not sent to another one.')
-			: this.#runClaimed(body);
+			: this.#runWithClaim(body);
 	}
 
-	async #runClaimed(body: bodies.Body): Promise<Conclusion> {
+	async #runWithClaim(body: bodies.Body): Promise<OptionalFailure> {
 		const {request, match} = this.#context;
 		if (core.isIdempotent(match.route.class)) {
-			return this.#sending.run(body);
+			return this.#sender.run(body);
 		}
 
 		if (request.idempotencyKey === undefined) {
 			return match.route.requireIdempotencyKey === true
 				? failures.createRequestFailure('idempotency-key-missing', 'The route requires the header Idempotency-Key.')
-				: this.#sending.run(body);
+				: this.#sender.run(body);
 		}
 
 		const pending = this.#claimKey(request.idempotencyKey, body);
-		const answer = await this.#givingUp.race(pending);
+		const answer = await this.#abortController.race(pending);
 		if (answer === undefined) {
 			void releaseLateClaim(pending);
-			return this.#sending.describeGivenUp();
+			return this.#sender.describeAbort();
 		}
 
 		if (answer.kind === 'refused') {
@@ -194,19 +194,19 @@
 		}
 
 		if (answer.kind === 'granted') {
-			return this.#runGranted(answer, body);
+			return this.#runWithGrantedClaim(answer, body);
 		}
 
-		this.#answerStored(answer.answer);
+		this.#sendStoredAnswer(answer.answer);
 		return undefined;
 	}
 
-	async #runGranted(claim: GrantedClaim, body: bodies.Body): Promise<Conclusion> {
+	async #runWithGrantedClaim(claim: GrantedClaim, body: bodies.Body): Promise<OptionalFailure> {
 		this.#claim = claim;
 		try {
-			const conclusion = await this.#sending.run(body, claim);
-			claim.settle(endings.getSettlement(this.#sending.lastResult, this.#sending.outcome !== 'not-run'));
-			return conclusion;
+			const failure = await this.#sender.run(body, claim);
+			claim.settle(endings.getSettlement(this.#sender.lastResult, this.#sender.outcome !== 'not-run'));
+			return failure;
 		} catch (error) {
 			// After a defect nobody knows how far the request came: settled as not-run it could run twice.
 			claim.settle({outcome: 'unknown'});
@@ -221,44 +221,44 @@
 			organisation: request.organisation,
 			key,
 			method: request.method,
-			target: request.target,
+			requestTarget: request.requestTarget,
 			body: body.prefix,
 			contentLength: request.contentLength,
-			timeoutMilliseconds: this.#getRemaining(),
+			timeoutMilliseconds: this.#getRemainingMilliseconds(),
 		});
 	}
 
-	#answerStored(answer: ports.StoredAnswer): void {
+	#sendStoredAnswer(answer: ports.StoredAnswer): void {
 		this.#storedOutcome = 'ran';
 		this.#context.response.writeHead(answer.status, {...answer.headers, [OUTCOME_HEADER]: 'ran'});
 		this.#context.response.end(buffer.Buffer.from(answer.body, 'base64'));
 	}
 
-	#getRemaining(): number {
+	#getRemainingMilliseconds(): number {
 		return Math.max(0, this.#deadlineAt - this.#context.ports.now());
 	}
 
-	#finish(conclusion: Conclusion): void {
-		const {response, match, request, organisation, ports: {dialect, note, now, random}} = this.#context;
-		const told = conclusion === undefined ? undefined : retries.getRequestFailure(conclusion.kind);
-		if (conclusion !== undefined) {
-			answers.answerFailure(response, () => dialect.createProblem(conclusion, random));
+	#finish(failure: OptionalFailure): void {
+		const {response, match, request, organisation, ports: {dialect, recordRequest, now, random}} = this.#context;
+		const failureMeaning = failure === undefined ? undefined : retries.getRequestFailure(failure.kind);
+		if (failure !== undefined) {
+			answers.answerFailure(response, () => dialect.createProblem(failure, random));
 		}
 
-		note({
+		recordRequest({
 			requestId: request.id,
 			service: match.service,
 			requestClass: match.route.class,
 			organisation,
-			attempts: this.#sending.getCount(),
-			upstream: this.#sending.lastUpstream,
-			advertised: this.#sending.advertised,
-			choosingMilliseconds: this.#sending.choosingMilliseconds,
-			outcome: told?.outcome ?? this.#storedOutcome ?? this.#sending.toldOutcome,
-			status: response.headersSent ? response.statusCode : told?.status ?? response.statusCode,
+			attempts: this.#sender.getAttemptCount(),
+			upstream: this.#sender.lastUpstream,
+			advertised: this.#sender.advertised,
+			choosingMilliseconds: this.#sender.choosingMilliseconds,
+			outcome: failureMeaning?.outcome ?? this.#storedOutcome ?? this.#sender.reportedOutcome,
+			status: response.headersSent ? response.statusCode : failureMeaning?.status ?? response.statusCode,
 			milliseconds: now() - this.#startedAt,
-			failure: conclusion,
-			isCancelled: this.#givingUp.getReason() === 'cancelled',
+			failure,
+			isCancelled: this.#abortController.getReason() === 'cancelled',
 			isForwarded: request.isForwarded,
 		});
 	}
@@ -278,6 +278,6 @@
 Names what a request asks for, so that requests that crash backend servers can be told apart from others.
 */
 function createFingerprint(request: requests.CallerRequest, body: bodies.Body): string {
-	const hash = crypto.createHash('sha1').update(`${request.method} ${request.target}\n`);
+	const hash = crypto.createHash('sha1').update(`${request.method} ${request.requestTarget}\n`);
 	return hash.update(body.prefix.length > 0 ? body.prefix : request.idempotencyKey ?? '').digest('base64url');
 }
--- a/packages/wagtailroute-proxy/src/headers.ts
+++ b/packages/wagtailroute-proxy/src/headers.ts
@@ -13,7 +13,7 @@
 /**
 Names of the headers that belong to one connection.
 */
-export const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
 	'connection',
 	'keep-alive',
 	'proxy-authenticate',
@@ -25,10 +25,10 @@
 	'upgrade',
 ]);
 
-const PLAIN_CONNECTIONS: ReadonlySet<string> = new Set(['keep-alive', 'close']);
+const STANDARD_CONNECTION_OPTIONS: ReadonlySet<string> = new Set(['keep-alive', 'close']);
 
 const DROPPED_REQUEST_HEADERS: ReadonlySet<string> = new Set([
-	...CONNECTION_HEADERS,
+	...HOP_BY_HOP_HEADERS,
 	'content-length',
 	'expect',
 	'via',
@@ -41,7 +41,7 @@
 /**
 Where a request goes, as far as its headers care.
 */
-export type Passage = {
+export type RequestHeaderOptions = {
 	/**
 	Milliseconds that remain until the deadline.
 	*/
@@ -71,28 +71,28 @@
 /**
 Returns the headers of a request as they are sent on, as alternating names and values.
 */
-export function createRequestHeaders(message: http.IncomingMessage, passage: Passage): string[] {
-	const named = getNamedByConnection(message.headers.connection);
+export function createRequestHeaders(message: http.IncomingMessage, options: RequestHeaderOptions): string[] {
+	const connectionOptions = getConnectionOptions(message.headers.connection);
 	const headers: string[] = [];
 	const raw = message.rawHeaders;
 	for (let index = 0; index < raw.length; index += 2) {
 		const name = raw[index]!.toLowerCase();
-		if (!DROPPED_REQUEST_HEADERS.has(name) && named?.has(name) !== true) {
+		if (!DROPPED_REQUEST_HEADERS.has(name) && connectionOptions?.has(name) !== true) {
 			headers.push(name, raw[index + 1]!);
 		}
 	}
 
-	headers.push('via', `1.1 ${PROXY_NAME}`, TIMEOUT_HEADER, String(Math.max(1, Math.floor(passage.remainingMilliseconds))));
-	if (passage.contentLength !== undefined) {
-		headers.push('content-length', String(passage.contentLength));
+	headers.push('via', `1.1 ${PROXY_NAME}`, TIMEOUT_HEADER, String(Math.max(1, Math.floor(options.remainingMilliseconds))));
+	if (options.contentLength !== undefined) {
+		headers.push('content-length', String(options.contentLength));
 	}
 
-	if (passage.retry !== undefined) {
-		headers.push(retries.RETRY_HEADER, passage.retry);
+	if (options.retry !== undefined) {
+		headers.push(retries.RETRY_HEADER, options.retry);
 	}
 
-	if (passage.forwardedBy !== undefined) {
-		headers.push(FORWARDED_HEADER, passage.forwardedBy);
+	if (options.forwardedBy !== undefined) {
+		headers.push(FORWARDED_HEADER, options.forwardedBy);
 	}
 
 	return headers;
@@ -110,10 +110,10 @@
 */
 export function createAnswerHeaders(received: HeaderFields, outcome: string): Record<string, string | string[]> {
 	const {connection} = received;
-	const named = getNamedByConnection(Array.isArray(connection) ? connection.join(',') : connection);
+	const connectionOptions = getConnectionOptions(Array.isArray(connection) ? connection.join(',') : connection);
 	const headers: Record<string, string | string[]> = {};
 	for (const [name, value] of Object.entries(received)) {
-		if (value !== undefined && !CONNECTION_HEADERS.has(name) && named?.has(name) !== true) {
+		if (value !== undefined && !HOP_BY_HOP_HEADERS.has(name) && connectionOptions?.has(name) !== true) {
 			headers[name] = value;
 		}
 	}
@@ -125,6 +125,6 @@
 /**
 Returns the names that a Connection header lists besides the usual words.
 */
-export function getNamedByConnection(connection: string | undefined): ReadonlySet<string> | undefined {
-	return connection === undefined || PLAIN_CONNECTIONS.has(connection) ? undefined : new Set(connection.split(',').map(name => name.trim().toLowerCase()));
+export function getConnectionOptions(connection: string | undefined): ReadonlySet<string> | undefined {
+	return connection === undefined || STANDARD_CONNECTION_OPTIONS.has(connection) ? undefined : new Set(connection.split(',').map(name => name.trim().toLowerCase()));
 }
--- a/packages/wagtailroute-proxy/src/index.ts
+++ b/packages/wagtailroute-proxy/src/index.ts
@@ -2,7 +2,7 @@
 The way of a request: from a caller through this host to a backend server and back.
 */
 export {
-	answerFailure, answerJson, createProblem, createProxyStatus, isReadWhole, type Problem,
+	answerFailure, answerJson, createProblem, createProxyStatus, isFullyRead, type Problem,
 } from './answers.ts';
 export {
 	createRequestFailure,
@@ -16,13 +16,13 @@
 	ClaimAnswer,
 	ChoiceRequest,
 	ClaimRequest,
-	Guard,
-	Loss,
-	Match,
-	Release,
+	CrashGuard,
+	LostAttempt,
+	RouteMatch,
+	AdmissionRelease,
 	ReleaseEnding,
 	RequestLimits,
-	RequestNote,
+	RequestReport,
 	RetryPort,
 	RoutedRequest,
 	ServicePort,
@@ -35,20 +35,20 @@
 	TrialEnding,
 	TrialRequest,
 	UpstreamAdvertisement,
-	WaitingPlace,
-	WaitingTarget,
+	PendingAdmission,
+	PendingTarget,
 } from './ports.ts';
-export {type AnswerKind, type Dialect, OWN_DIALECT} from './dialect.ts';
+export {type AnswerKind, type Dialect, DEFAULT_DIALECT} from './dialect.ts';
 export {
-	CONNECTION_HEADERS, getNamedByConnection, type HeaderFields, type Passage,
+	HOP_BY_HOP_HEADERS, getConnectionOptions, type HeaderFields, type RequestHeaderOptions,
 } from './headers.ts';
 export type {CallerRequest} from './requests.ts';
 export {openTrafficServer, type TrafficServer} from './traffic.ts';
-export type {Connections} from './connections.ts';
-export {MOVE_MILLISECONDS} from './constants.ts';
+export type {ConnectionPools} from './connections.ts';
+export {MOVE_TIMEOUT_MILLISECONDS} from './constants.ts';
 export {
-	createPace,
-	createPaces,
-	type Pace,
-	type Paces,
-} from './pace.ts';
+	createPacer,
+	createPacers,
+	type Pacer,
+	type Pacers,
+} from './pacing.ts';
--- a/packages/wagtailroute-proxy/src/overdue.ts
+++ b/packages/wagtailroute-proxy/src/overdue.ts
@@ -8,7 +8,7 @@
 */
 import * as utils from 'wagtailroute-utils';
 import type {Attempt} from './attempts.ts';
-import {MOVE_MILLISECONDS} from './constants.ts';
+import {MOVE_TIMEOUT_MILLISECONDS} from './constants.ts';
 import type * as failures from './failures.ts';
 import type * as ports from './ports.ts';
 
@@ -20,20 +20,20 @@
 /**
 What a watch needs.
 */
-export type OverduePlan = {
+export type OverdueWatchOptions = {
 	readonly attempt: Attempt;
 	/**
 	Milliseconds after which the answer is overdue.
 	*/
-	readonly patienceMilliseconds: number;
+	readonly overdueMilliseconds: number;
 	/**
 	Asks for another target.
 	*/
-	readonly choose: () => ports.Target | ports.WaitingTarget | undefined;
+	readonly choose: () => ports.Target | ports.PendingTarget | undefined;
 	/**
 	Gives a target back that is not needed any more.
 	*/
-	readonly giveBack: (target: ports.Target) => void;
+	readonly releaseTarget: (target: ports.Target) => void;
 };
 
 /**
@@ -47,58 +47,58 @@
 	/**
 	Returns the target that takes the request; undefined when it was not moved.
 	*/
-	readonly getNext: () => ports.Target | undefined;
+	readonly getNextTarget: () => ports.Target | undefined;
 };
 
 /**
 Starts watching an attempt.
 */
-export function watchOverdue({attempt, patienceMilliseconds, choose, giveBack}: OverduePlan): OverdueWatch {
-	let next: ports.Target | undefined;
-	let isEnded = false;
+export function startOverdueWatch({attempt, overdueMilliseconds, choose, releaseTarget}: OverdueWatchOptions): OverdueWatch {
+	let nextTarget: ports.Target | undefined;
+	let hasEnded = false;
 	let cancel: () => void = () => undefined;
 
-	const take = (target: ports.Target | failures.RequestFailure | undefined) => {
+	const moveTo = (target: ports.Target | failures.RequestFailure | undefined) => {
 		if (target === undefined || !('address' in target)) {
 			return;
 		}
 
-		if (isEnded) {
-			giveBack(target);
+		if (hasEnded) {
+			releaseTarget(target);
 			return;
 		}
 
-		next = target;
-		isEnded = true;
+		nextTarget = target;
+		hasEnded = true;
 		attempt.abort(MOVED_CODE);
 	};
 
-	const move = async () => {
+	const requestMove = async () => {
 		const chosen = choose();
 		if (chosen !== undefined && 'result' in chosen) {
 			cancel = chosen.cancel;
-			const cancelWait = utils.schedule(MOVE_MILLISECONDS, cancel);
+			const cancelWait = utils.schedule(MOVE_TIMEOUT_MILLISECONDS, cancel);
 			const target = await chosen.result;
 			cancelWait();
-			take(target);
+			moveTo(target);
 		} else {
-			take(chosen);
+			moveTo(chosen);
 		}
 	};
 
 	const timer = setTimeout(() => {
-		void move();
-	}, patienceMilliseconds);
+		void requestMove();
+	}, overdueMilliseconds);
 	return {
 		end() {
-			if (isEnded) {
+			if (hasEnded) {
 				return;
 			}
 
-			isEnded = true;
+			hasEnded = true;
 			clearTimeout(timer);
 			cancel();
 		},
-		getNext: () => next,
+		getNextTarget: () => nextTarget,
 	};
 }
--- a/packages/wagtailroute-proxy/src/pace.ts
+++ b/packages/wagtailroute-proxy/src/pacing.ts
@@ -5,26 +5,26 @@
 few bytes by which it asks where a request goes. Its requests are late, and it takes control hosts for lost that are well.
 */
 import {
-	FAST_LINK_BYTES_PER_SECOND,
+	MIN_UNPACED_LINK_BYTES_PER_SECOND,
 	MILLISECONDS_PER_SECOND,
-	PACED_AT_ONCE_BYTES,
-	PACED_PART,
+	PACING_BURST_BYTES,
+	LARGE_BODY_LINK_FRACTION,
 } from './constants.ts';
 
 /**
 The pace of one direction of a link.
 */
-export type Pace = {
+export type Pacer = {
 	/**
 	Counts bytes that pass, and returns the milliseconds to wait before the next.
 	*/
-	readonly pass: (bytes: number) => number;
+	readonly reserve: (bytes: number) => number;
 };
 
 /**
 A pace that nothing waits for.
 */
-export const NO_PACE: Pace = {pass: () => 0};
+export const UNLIMITED_PACER: Pacer = {reserve: () => 0};
 
 /**
 Creates the pace of a direction.
@@ -32,15 +32,15 @@
 @param bytesPerSecond What large bodies may take of it together.
 @param now Monotonic time in milliseconds.
 */
-export function createPace(bytesPerSecond: number, now: () => number): Pace {
+export function createPacer(bytesPerSecond: number, now: () => number): Pacer {
 	// When all that has passed is through.
 	let freeAt = -Infinity;
 	return {
-		pass(bytes) {
+		reserve(bytes) {
 			const time = now();
 			freeAt = Math.max(freeAt, time) + (bytes * MILLISECONDS_PER_SECOND / bytesPerSecond);
-			const ahead = PACED_AT_ONCE_BYTES * MILLISECONDS_PER_SECOND / bytesPerSecond;
-			return Math.max(0, freeAt - time - ahead);
+			const burstMilliseconds = PACING_BURST_BYTES * MILLISECONDS_PER_SECOND / bytesPerSecond;
+			return Math.max(0, freeAt - time - burstMilliseconds);
 		},
 	};
 }
@@ -48,9 +48,9 @@
 /**
 The paces of both directions.
 */
-export type Paces = {
-	readonly receiving: Pace;
-	readonly sending: Pace;
+export type Pacers = {
+	readonly receiving: Pacer;
+	readonly sending: Pacer;
 };
 
 /**
@@ -58,11 +58,11 @@
 
 @param bytesPerSecond What the link carries in each direction.
 */
-export function createPaces(bytesPerSecond: number, now: () => number): Paces | undefined {
-	if (bytesPerSecond >= FAST_LINK_BYTES_PER_SECOND) {
+export function createPacers(bytesPerSecond: number, now: () => number): Pacers | undefined {
+	if (bytesPerSecond >= MIN_UNPACED_LINK_BYTES_PER_SECOND) {
 		return undefined;
 	}
 
-	const create = () => createPace(bytesPerSecond * PACED_PART, now);
+	const create = () => createPacer(bytesPerSecond * LARGE_BODY_LINK_FRACTION, now);
 	return {receiving: create(), sending: create()};
 }
--- a/packages/wagtailroute-proxy/src/ports.ts
+++ b/packages/wagtailroute-proxy/src/ports.ts
@@ -4,7 +4,7 @@
 import type * as http from 'node:http';
 import type * as core from 'wagtailroute-core';
 import type {Dialect} from './dialect.ts';
-import type {Paces} from './pace.ts';
+import type {Pacers} from './pacing.ts';
 import type {RequestFailure, RequestFailureKind} from './failures.ts';
 import type {CallerRequest} from './requests.ts';
 
@@ -26,7 +26,7 @@
 /**
 Gives a place back.
 */
-export type Release = {
+export type AdmissionRelease = {
 	readonly organisation: core.Organisation;
 	readonly latencyMilliseconds: number;
 	readonly ending: ReleaseEnding;
@@ -35,7 +35,7 @@
 /**
 A request that waits for its place.
 */
-export type WaitingPlace = {
+export type PendingAdmission = {
 	/**
 	Undefined when the request has its place.
 	*/
@@ -59,7 +59,7 @@
 	/**
 	Milliseconds after which the answer to a request that may be repeated is overdue, so that it moves to another target. Absent: never.
 	*/
-	readonly getPatienceMilliseconds?: () => number;
+	readonly getOverdueMilliseconds?: () => number;
 };
 
 /**
@@ -158,7 +158,7 @@
 /**
 A target that is waited for.
 */
-export type WaitingTarget = {
+export type PendingTarget = {
 	readonly result: Promise<Target | RequestFailure>;
 	/**
 	Withdraws the request: a target that comes all the same is given back.
@@ -169,7 +169,7 @@
 /**
 Where a request belongs, as far as its way cares.
 */
-export type Match = {
+export type RouteMatch = {
 	readonly service: core.ServiceName;
 	readonly route: {
 		readonly class: core.RequestClass;
@@ -181,7 +181,7 @@
 A request's route, and what this host holds for its service.
 */
 export type RoutedRequest = {
-	readonly match: Match;
+	readonly match: RouteMatch;
 	readonly service: ServicePort;
 	/**
 	Organisation of the caller as the catalogue tells it, empty on a route that needs no key; absent where the catalogue has no organisations.
@@ -201,16 +201,16 @@
 	/**
 	Takes a place at once (undefined), waits for one a bounded time, or says why not.
 	*/
-	readonly admit: (request: AdmissionRequest) => RequestFailure | WaitingPlace | undefined;
-	readonly release: (release: Release) => void;
+	readonly admit: (request: AdmissionRequest) => RequestFailure | PendingAdmission | undefined;
+	readonly release: (release: AdmissionRelease) => void;
 	/**
 	Chooses a target for the next attempt, at once or after a wait.
 	*/
-	readonly choose: (choice: ChoiceRequest) => Target | WaitingTarget | undefined;
+	readonly choose: (choice: ChoiceRequest) => Target | PendingTarget | undefined;
 	/**
 	Says whether there is a target beside the excluded ones, as far as is known at once.
 	*/
-	readonly hasAnother: (choice: ChoiceRequest) => boolean;
+	readonly hasOtherTarget: (choice: ChoiceRequest) => boolean;
 	readonly begin: (target: Target) => void;
 	/**
 	Called when the header section of an answer advertises something about the target.
@@ -255,7 +255,7 @@
 	readonly organisation: core.Organisation;
 	readonly key: string;
 	readonly method: string;
-	readonly target: string;
+	readonly requestTarget: string;
 	readonly body: Uint8Array;
 	readonly contentLength?: number;
 	readonly timeoutMilliseconds: number;
@@ -288,7 +288,7 @@
 /**
 An attempt whose connection was lost after the request was sent.
 */
-export type Loss = {
+export type LostAttempt = {
 	readonly service: core.ServiceName;
 	readonly target: Target;
 	readonly fingerprint: string;
@@ -298,21 +298,21 @@
 /**
 Guards backend servers from requests that crash them.
 */
-export type Guard = {
+export type CrashGuard = {
 	/**
 	Costs a look-up only.
 	*/
-	readonly getStanding: (service: core.ServiceName, fingerprint: string) => 'free' | 'suspect' | 'quarantined';
+	readonly getQuarantineStatus: (service: core.ServiceName, fingerprint: string) => 'free' | 'suspect' | 'quarantined';
 	readonly requestTrial: (request: TrialRequest) => Promise<TrialAnswer>;
 	/**
 	Looks into a loss and says whether the upstream has crashed. What became of the request is told only then: its caller
 	would send it again before the fleet knows what it does.
 	*/
-	readonly examineLoss: (loss: Loss) => Promise<boolean>;
+	readonly detectCrash: (attempt: LostAttempt) => Promise<boolean>;
 	/**
 	Notes that an upstream has survived a request.
 	*/
-	readonly noteSurvived: (service: core.ServiceName, fingerprint: string) => void;
+	readonly recordSurvival: (service: core.ServiceName, fingerprint: string) => void;
 };
 
 /**
@@ -345,7 +345,7 @@
 	*/
 	readonly routes?: RoutesPort;
 	readonly claim: (request: ClaimRequest) => Promise<ClaimAnswer>;
-	readonly guard: Guard;
+	readonly guard: CrashGuard;
 	/**
 	Uniform in [0, 1).
 	*/
@@ -358,15 +358,15 @@
 	/**
 	Absent: bodies pass as fast as they come.
 	*/
-	readonly paces?: Paces;
+	readonly pacers?: Pacers;
 	/**
 	Milliseconds that opening a connection to an upstream may take; the product's own bound when absent.
 	*/
-	readonly connectMilliseconds?: number;
+	readonly connectTimeoutMilliseconds?: number;
 	/**
 	Told of each answer: the service, what was told, the status and the milliseconds it took.
 	*/
-	readonly note: (note: RequestNote) => void;
+	readonly recordRequest: (report: RequestReport) => void;
 };
 
 /**
@@ -377,7 +377,7 @@
 /**
 One answered request, for reports.
 */
-export type RequestNote = {
+export type RequestReport = {
 	readonly requestId?: string;
 	readonly service: core.ServiceName;
 	readonly requestClass: core.RequestClass;
--- a/packages/wagtailroute-proxy/src/giving-up.ts
+++ b/packages/wagtailroute-proxy/src/request-abort.ts
@@ -6,21 +6,21 @@
 /**
 Why a request was given up.
 */
-export type GivingUpReason = 'deadline' | 'cancelled';
+export type AbortReason = 'deadline' | 'cancelled';
 
 /**
 Whether a request was given up.
 */
-export type GivingUp = {
-	readonly getReason: () => GivingUpReason | undefined;
+export type RequestAbortController = {
+	readonly getReason: () => AbortReason | undefined;
 	/**
 	The first reason stays.
 	*/
-	readonly giveUp: (reason: GivingUpReason) => void;
+	readonly abort: (reason: AbortReason) => void;
 	/**
 	Called when the request is given up, at once when it has been.
 	*/
-	readonly setListener: (listener: (reason: GivingUpReason) => void) => void;
+	readonly setListener: (listener: (reason: AbortReason) => void) => void;
 	/**
 	Returns the value, or undefined as soon as the request is given up.
 	*/
@@ -30,27 +30,27 @@
 /**
 Creates it for one request. It has one listener at a time: what the request waits for at present.
 */
-export function createGivingUp(): GivingUp {
-	const given = Promise.withResolvers<undefined>();
-	let reason: GivingUpReason | undefined;
-	let listener: ((reason: GivingUpReason) => void) | undefined;
+export function createRequestAbortController(): RequestAbortController {
+	const aborted = Promise.withResolvers<undefined>();
+	let reason: AbortReason | undefined;
+	let listener: ((reason: AbortReason) => void) | undefined;
 	return {
 		getReason: () => reason,
-		giveUp(next) {
+		abort(newReason) {
 			if (reason !== undefined) {
 				return;
 			}
 
-			reason = next;
-			given.resolve(undefined);
-			listener?.(next);
+			reason = newReason;
+			aborted.resolve(undefined);
+			listener?.(newReason);
 		},
-		setListener(next) {
-			listener = next;
+		setListener(newListener) {
+			listener = newListener;
 			if (reason !== undefined) {
-				next(reason);
+				newListener(reason);
 			}
 		},
-		race: async pending => Promise.race([pending, given.promise]),
+		race: async pending => Promise.race([pending, aborted.promise]),
 	};
 }
--- a/packages/wagtailroute-proxy/src/sending.ts
+++ b/packages/wagtailroute-proxy/src/request-sender.ts
@@ -14,22 +14,22 @@
 import type {AnswerKind} from './dialect.ts';
 import * as endings from './endings.ts';
 import * as failures from './failures.ts';
-import type {GivingUp} from './giving-up.ts';
+import type {RequestAbortController} from './request-abort.ts';
 import type * as headers from './headers.ts';
 import type * as ports from './ports.ts';
 import type * as requests from './requests.ts';
-import {type RequestTime, Targets} from './targets.ts';
+import {type RequestClock, Targets} from './targets.ts';
 
 /**
 What the attempts of a request need.
 */
-export type SendingContext = {
+export type SenderContext = {
 	readonly ports: ports.TrafficPorts;
-	readonly connections: connections.Connections;
+	readonly connections: connections.ConnectionPools;
 	readonly message: http.IncomingMessage;
 	readonly response: http.ServerResponse;
 	readonly request: requests.CallerRequest;
-	readonly match: ports.Match;
+	readonly match: ports.RouteMatch;
 	readonly service: ports.ServicePort;
 	/**
 	See `RoutedRequest`.
@@ -42,14 +42,14 @@
 */
 export type GrantedClaim = Extract<ports.ClaimAnswer, {kind: 'granted'}>;
 
-type Conclusion = failures.RequestFailure | undefined;
-type Trial = Extract<ports.TrialAnswer, {kind: 'granted'}>;
-type Unanswered = Exclude<attempts.AttemptResult, {kind: 'relayed'}>;
+type OptionalFailure = failures.RequestFailure | undefined;
+type GrantedTrial = Extract<ports.TrialAnswer, {kind: 'granted'}>;
+type FailedAttempt = Exclude<attempts.AttemptResult, {kind: 'relayed'}>;
 
 /**
 The attempts of one request.
 */
-export class Sending {
+export class RequestSender {
 	/**
 	Names what the request asks for.
 	*/
@@ -61,7 +61,7 @@
 	/**
 	What the caller was told with a relayed answer.
 	*/
-	toldOutcome: core.Outcome = 'not-run';
+	reportedOutcome: core.Outcome = 'not-run';
 	lastResult: attempts.AttemptResult | undefined;
 	lastEnding: ports.AttemptEnding | undefined;
 	lastUpstream: core.UpstreamId | undefined;
@@ -73,41 +73,41 @@
 	Milliseconds for which it was waited for targets, over all attempts.
 	*/
 	choosingMilliseconds = 0;
-	readonly #context: SendingContext;
-	readonly #givingUp: GivingUp;
-	readonly #getRemaining: () => number;
+	readonly #context: SenderContext;
+	readonly #abortController: RequestAbortController;
+	readonly #getRemainingMilliseconds: () => number;
 	readonly #targets: Targets;
 	#claim: GrantedClaim | undefined;
 	#body: bodies.Body | undefined;
-	#count = 0;
+	#attemptCount = 0;
 	#decision: retries.RetryDecision | undefined;
 	#isTrialBusy = false;
 	#isMoving = false;
 	/**
 	A target got the request, whether or not it ran it.
 	*/
-	#hasArrived = false;
+	#hasBeenSent = false;
 
-	constructor(context: SendingContext, givingUp: GivingUp, time: RequestTime) {
+	constructor(context: SenderContext, abortController: RequestAbortController, clock: RequestClock) {
 		this.#context = context;
-		this.#givingUp = givingUp;
-		this.#getRemaining = time.getRemaining;
-		this.#targets = new Targets(context, givingUp, time);
+		this.#abortController = abortController;
+		this.#getRemainingMilliseconds = clock.getRemainingMilliseconds;
+		this.#targets = new Targets(context, abortController, clock);
 	}
 
 	/**
 	Sends until there is an answer or no more may be tried.
 	*/
-	async run(body: bodies.Body, claim?: GrantedClaim): Promise<Conclusion> {
+	async run(body: bodies.Body, claim?: GrantedClaim): Promise<OptionalFailure> {
 		this.#body = body;
 		this.#claim = claim;
-		let conclusion: Conclusion;
+		let failure: OptionalFailure;
 		for (;;) {
 			// eslint-disable-next-line no-await-in-loop -- One attempt follows the other.
-			const target = this.#givingUp.getReason() === undefined ? await this.#choose() : undefined;
+			const target = this.#abortController.getReason() === undefined ? await this.#chooseTarget() : undefined;
 			if (target === undefined || !('address' in target)) {
-				this.#targets.abandon();
-				return this.describeGivenUp() ?? conclusion ?? target ?? this.#createNoUpstream();
+				this.#targets.releaseUnused();
+				return this.describeAbort() ?? failure ?? target ?? this.#createNoUpstreamFailure();
 			}
 
 			// eslint-disable-next-line no-await-in-loop -- See above.
@@ -124,20 +124,20 @@
 
 			// eslint-disable-next-line no-await-in-loop -- See above.
 			const step = await this.#attemptOnce(target, trial?.kind === 'granted' ? trial : undefined);
-			conclusion = step.conclusion;
+			failure = step.failure;
 			if (step.delayMilliseconds === undefined) {
-				return conclusion;
+				return failure;
 			}
 
 			// eslint-disable-next-line no-await-in-loop -- See above.
-			await this.#givingUp.race(timers.setTimeout(step.delayMilliseconds));
+			await this.#abortController.race(timers.setTimeout(step.delayMilliseconds));
 		}
 	}
 
-	async #choose(): Promise<ports.Target | failures.RequestFailure | undefined> {
+	async #chooseTarget(): Promise<ports.Target | failures.RequestFailure | undefined> {
 		const {now} = this.#context.ports;
 		const askedAt = now();
-		const target = await this.#targets.choose(this.#hasArrived);
+		const target = await this.#targets.choose(this.#hasBeenSent);
 		this.choosingMilliseconds += now() - askedAt;
 		return target;
 	}
@@ -145,24 +145,24 @@
 	/**
 	Returns how many targets got the request.
 	*/
-	getCount(): number {
-		return this.#count;
+	getAttemptCount(): number {
+		return this.#attemptCount;
 	}
 
 	/**
 	Describes why the request was given up, if it was.
 	*/
-	describeGivenUp(): Conclusion {
-		const reason = this.#givingUp.getReason();
+	describeAbort(): OptionalFailure {
+		const reason = this.#abortController.getReason();
 		if (reason === undefined) {
 			return undefined;
 		}
 
-		const [kind, message] = GIVEN_UP[reason][this.outcome === 'not-run' ? 'unsent' : 'sent'];
+		const [kind, message] = ABORT_FAILURES[reason][this.outcome === 'not-run' ? 'unsent' : 'sent'];
 		return failures.createRequestFailure(kind, message);
 	}
 
-	#createNoUpstream(): failures.RequestFailure {
+	#createNoUpstreamFailure(): failures.RequestFailure {
 		return this.#isTrialBusy
 			? failures.createRequestFailure('trial-busy', 'Other requests that may crash backend servers are on trial at all of them.')
 			: failures.createRequestFailure('no-upstream', `No backend server of ${this.#context.match.service} can take the request.`);
@@ -172,17 +172,17 @@
 		const {service, match, ports: {guard}} = this.#context;
 		const {fingerprint} = this;
 		// Asked before each attempt: the attempt before may have made the request a suspect.
-		if (!service.isCarried || guard.getStanding(match.service, fingerprint) === 'free') {
+		if (!service.isCarried || guard.getQuarantineStatus(match.service, fingerprint) === 'free') {
 			return undefined;
 		}
 
 		const pending = guard.requestTrial({
-			service: match.service, fingerprint, upstream: target.id, budgetMilliseconds: Math.ceil(this.#getRemaining()),
+			service: match.service, fingerprint, upstream: target.id, budgetMilliseconds: Math.ceil(this.#getRemainingMilliseconds()),
 		});
-		const answer = await this.#givingUp.race(pending);
+		const answer = await this.#abortController.race(pending);
 		if (answer === undefined) {
 			void releaseLateTrial(pending);
-			return {kind: 'refused', failure: this.describeGivenUp()!};
+			return {kind: 'refused', failure: this.describeAbort()!};
 		}
 
 		return answer;
@@ -190,16 +190,16 @@
 
 	async #attemptOnce(
 		target: ports.Target,
-		trial: Trial | undefined,
-	): Promise<{readonly conclusion?: failures.RequestFailure; readonly delayMilliseconds?: number}> {
+		trial: GrantedTrial | undefined,
+	): Promise<{readonly failure?: failures.RequestFailure; readonly delayMilliseconds?: number}> {
 		this.#decision = undefined;
-		const expired = this.#findExpired(trial);
+		const expired = this.#checkExpiry(trial);
 		const {result, hasCrashed} = expired === undefined
 			? await this.#send(target, trial !== undefined)
 			: {result: expired, hasCrashed: false};
 		this.lastResult = result;
-		this.#hasArrived ||= result.kind !== 'not-sent';
-		this.#noteSurvival(result, trial);
+		this.#hasBeenSent ||= result.kind !== 'not-sent';
+		this.#recordSurvival(result, trial);
 		if (result.kind === 'relayed') {
 			return {};
 		}
@@ -210,7 +210,7 @@
 			: this.#decideRetry(kind, result);
 		this.outcome = this.#decision.outcome;
 		return {
-			conclusion: this.describeGivenUp() ?? failures.createRequestFailure(kind, endings.describeResult(result, target.id)),
+			failure: this.describeAbort() ?? failures.createRequestFailure(kind, endings.describeResult(result, target.id)),
 			delayMilliseconds: this.#decision.kind === 'retry' ? this.#decision.delayMilliseconds : undefined,
 		};
 	}
@@ -218,7 +218,7 @@
 	/**
 	This host was stopped between the grant and here: the key may be another's by now, or another copy be on trial.
 	*/
-	#findExpired(trial: Trial | undefined): Unanswered | undefined {
+	#checkExpiry(trial: GrantedTrial | undefined): FailedAttempt | undefined {
 		if (this.#claim?.isSendable() === false) {
 			return {kind: 'not-sent', code: 'CLAIM_EXPIRED'};
 		}
@@ -226,18 +226,18 @@
 		return trial?.isUsable() === false ? {kind: 'not-sent', code: 'TRIAL_EXPIRED'} : undefined;
 	}
 
-	async #examineLoss(target: ports.Target, isOnTrial: boolean): Promise<boolean> {
+	async #detectCrash(target: ports.Target, isOnTrial: boolean): Promise<boolean> {
 		const {match, ports: {guard}} = this.#context;
-		return await this.#givingUp.race(guard.examineLoss({
+		return await this.#abortController.race(guard.detectCrash({
 			service: match.service, target, fingerprint: this.fingerprint, isOnTrial,
 		})) ?? false;
 	}
 
-	#noteSurvival(result: attempts.AttemptResult, trial: Trial | undefined): void {
+	#recordSurvival(result: attempts.AttemptResult, trial: GrantedTrial | undefined): void {
 		const {match, service, ports: {guard}} = this.#context;
 		const hasSurvived = result.kind === 'relayed' || result.kind === 'discarded';
 		if (hasSurvived && service.isCarried) {
-			guard.noteSurvived(match.service, this.fingerprint);
+			guard.recordSurvival(match.service, this.fingerprint);
 		}
 
 		trial?.end(hasSurvived ? 'completed' : (result.kind === 'not-sent' ? 'not-sent' : 'lost'));
@@ -250,29 +250,29 @@
 		const {service, ports: {now}} = this.#context;
 		this.#targets.exclude(target);
 		this.lastUpstream = target.id;
-		this.#count++;
+		this.#attemptCount++;
 		service.begin(target);
 		const startedAt = now();
-		let answeredAt: number | undefined;
-		const listener: {onAnswered?: () => void} = {};
-		const attempt = attempts.startAttempt(this.#createPlan(target, () => {
-			answeredAt = now();
-			listener.onAnswered?.();
+		let answerHeadersAt: number | undefined;
+		const listener: {onAnswerHeaders?: () => void} = {};
+		const attempt = attempts.startAttempt(this.#createAttemptOptions(target, () => {
+			answerHeadersAt = now();
+			listener.onAnswerHeaders?.();
 		}));
-		const watch = this.#targets.watch(attempt, {count: this.#count, isReplayable: bodies.isReplayable(this.#body!)});
-		listener.onAnswered = () => watch?.end();
-		this.#givingUp.setListener(reason => {
+		const watch = this.#targets.watch(attempt, {count: this.#attemptCount, isReplayable: bodies.isReplayable(this.#body!)});
+		listener.onAnswerHeaders = () => watch?.end();
+		this.#abortController.setListener(reason => {
 			watch?.end();
 			attempt.abort(reason);
 		});
 		const result = await attempt.result;
 		watch?.end();
-		this.#isMoving = this.#targets.keepNext(watch);
-		this.#givingUp.setListener(() => undefined);
-		const latencyMilliseconds = (answeredAt ?? now()) - startedAt;
+		this.#isMoving = this.#targets.recordMove(watch);
+		this.#abortController.setListener(() => undefined);
+		const latencyMilliseconds = (answerHeadersAt ?? now()) - startedAt;
 		this.lastEnding = this.#getEnding(result);
-		const isLost = endings.isConnectionLost(result) && this.#givingUp.getReason() === undefined;
-		const hasCrashed = isLost && target.kind === 'upstream' && await this.#examineLoss(target, isOnTrial);
+		const isLost = endings.isConnectionLost(result) && this.#abortController.getReason() === undefined;
+		const hasCrashed = isLost && target.kind === 'upstream' && await this.#detectCrash(target, isOnTrial);
 		service.end({
 			target,
 			ending: this.lastEnding,
@@ -284,36 +284,36 @@
 		return {result, hasCrashed};
 	}
 
-	#createPlan(target: ports.Target, onAnswered: () => void): attempts.AttemptPlan {
-		const {service, request, organisation, message, response, ports: {dialect, hostId, paces}} = this.#context;
+	#createAttemptOptions(target: ports.Target, onAnswerHeaders: () => void): attempts.AttemptOptions {
+		const {service, request, organisation, message, response, ports: {dialect, hostId, pacers}} = this.#context;
 		const body = this.#body!;
 		const pool = this.#context.connections.getPool(target.address, service.limits.connectionsPerUpstream);
 		return {
 			pool: pool.dispatcher,
-			isReset: pool.isReset,
+			isResetting: pool.isResetting,
 			method: request.method,
-			target: request.target,
+			requestTarget: request.requestTarget,
 			headers: dialect.createRequestHeaders(message, {
 				instance: target.id,
-				remainingMilliseconds: this.#getRemaining(),
-				contentLength: bodies.getToldLength(body, request),
+				remainingMilliseconds: this.#getRemainingMilliseconds(),
+				contentLength: bodies.getContentLength(body, request),
 				organisation,
 				forwardedBy: target.kind === 'host' ? hostId : undefined,
-				retry: this.#count > 1 ? String(this.#count - 1) : request.tierRetry,
+				retry: this.#attemptCount > 1 ? String(this.#attemptCount - 1) : request.tierRetry,
 			}),
-			body: bodies.getSendable(body, paces?.sending),
+			body: bodies.getSendableBody(body, pacers?.sending),
 			response,
-			decide: (status, received) => this.#decideAnswer(status, received, target),
-			createHeaders: received => this.#createHeaders(received, target),
-			isKept: this.#claim !== undefined,
-			onAnswered,
+			decideAnswer: (status, received) => this.#decideAnswer(status, received, target),
+			createAnswerHeaders: received => this.#createHeaders(received, target),
+			isAnswerStored: this.#claim !== undefined,
+			onAnswerHeaders,
 		};
 	}
 
 	/**
 	Decides on an answer when its header section is there: what is relayed can not be tried elsewhere any more.
 	*/
-	#decideAnswer(status: number, received: headers.HeaderFields, target: ports.Target): attempts.Verdict {
+	#decideAnswer(status: number, received: headers.HeaderFields, target: ports.Target): attempts.AnswerAction {
 		const {service, request, ports: {dialect}} = this.#context;
 		const kind = dialect.readAnswer(status, received, request);
 		this.#recordAdvertisements(kind, {status, received}, target);
@@ -322,8 +322,8 @@
 		}
 
 		const isShed = kind === 'shed' || kind === 'misdirected';
-		const result: Unanswered = {kind: 'discarded', status, isShed};
-		const decision = service.hasAnother(this.#targets.createChoice(true)) ? this.#decideRetry(endings.getFailureKind(result, false), result) : undefined;
+		const result: FailedAttempt = {kind: 'discarded', status, isShed};
+		const decision = service.hasOtherTarget(this.#targets.createChoice(true)) ? this.#decideRetry(endings.getFailureKind(result, false), result) : undefined;
 		if (decision?.kind === 'retry') {
 			this.#decision = decision;
 			return isShed ? kind : 'repeat';
@@ -356,24 +356,24 @@
 	/**
 	Decides whether the request is sent again, and pays for it.
 	*/
-	#decideRetry(failure: failures.RequestFailureKind, result: Unanswered): retries.RetryDecision {
+	#decideRetry(failure: failures.RequestFailureKind, result: FailedAttempt): retries.RetryDecision {
 		const {service, request, match, ports: {dialect, random}} = this.#context;
 		const isExpired = this.#claim?.isSendable() === false;
-		const isOpen = result.kind !== 'truncated' && this.#givingUp.getReason() === undefined;
+		const isAnswerable = result.kind !== 'truncated' && this.#abortController.getReason() === undefined;
 		const decision = retries.decideRetry({
 			requestClass: match.route.class,
 			isKeyed: this.#claim !== undefined,
 			failure,
 			isShedPromise: dialect.isShedPromise,
 			sent: result.kind === 'not-sent' ? 'none' : 'some',
-			attempts: Math.max(1, this.#count),
+			attempts: Math.max(1, this.#attemptCount),
 			attemptsMost: service.limits.attempts ?? retries.MAX_ATTEMPTS,
 			earlierOutcome: this.outcome,
-			remainingMilliseconds: this.#getRemaining(),
+			remainingMilliseconds: this.#getRemainingMilliseconds(),
 			usualMilliseconds: service.retry.getUsualMilliseconds(),
 			hasBudget: service.retry.hasBudget(),
 			isResendOfTier: request.tierRetry !== undefined,
-			canSendAgain: isOpen && !isExpired && bodies.isReplayable(this.#body!),
+			canSendAgain: isAnswerable && !isExpired && bodies.isReplayable(this.#body!),
 		}, random);
 		if (decision.kind === 'retry') {
 			service.retry.spend();
@@ -383,15 +383,15 @@
 	}
 
 	#createHeaders(received: headers.HeaderFields, target: ports.Target): Record<string, string | string[]> {
-		const told = target.kind === 'host' ? endings.readOutcome(received) : 'ran';
-		this.toldOutcome = retries.mergeOutcomes(this.outcome, told);
-		return this.#context.ports.dialect.createAnswerHeaders(received, this.toldOutcome);
+		const targetOutcome = target.kind === 'host' ? endings.readOutcome(received) : 'ran';
+		this.reportedOutcome = retries.mergeOutcomes(this.outcome, targetOutcome);
+		return this.#context.ports.dialect.createAnswerHeaders(received, this.reportedOutcome);
 	}
 
 	#getEnding(result: attempts.AttemptResult): ports.AttemptEnding {
-		const reason = this.#givingUp.getReason();
+		const reason = this.#abortController.getReason();
 		if (reason === undefined || result.kind === 'relayed') {
-			return endings.getEnding(result);
+			return endings.getAttemptEnding(result);
 		}
 
 		if (reason === 'cancelled') {
@@ -399,8 +399,8 @@
 		}
 
 		const {request, service} = this.#context;
-		const isImpatient = (request.timeoutMilliseconds ?? Infinity) < service.limits.timeoutMilliseconds;
-		return isImpatient ? 'impatience' : 'timeout';
+		const isCallerDeadline = (request.timeoutMilliseconds ?? Infinity) < service.limits.timeoutMilliseconds;
+		return isCallerDeadline ? 'impatience' : 'timeout';
 	}
 }
 
@@ -414,7 +414,7 @@
 	}
 }
 
-const GIVEN_UP = {
+const ABORT_FAILURES = {
 	deadline: {
 		sent: ['deadline-after-send', 'The request was sent and not answered before its deadline.'],
 		unsent: ['deadline-before-send', 'The deadline passed before the request was sent.'],
--- a/packages/wagtailroute-proxy/src/requests.ts
+++ b/packages/wagtailroute-proxy/src/requests.ts
@@ -9,9 +9,9 @@
 	DEFAULT_ORGANISATION,
 	FORWARDED_HEADER,
 	IDEMPOTENCY_HEADER,
-	MAXIMUM_TARGET_LENGTH,
-	MAXIMUM_TIMEOUT_MILLISECONDS,
-	MAXIMUM_TOKEN_LENGTH,
+	MAX_REQUEST_TARGET_LENGTH,
+	MAX_TIMEOUT_MILLISECONDS,
+	MAX_TOKEN_LENGTH,
 	ORGANISATION_HEADER,
 	TIMEOUT_HEADER,
 } from './constants.ts';
@@ -29,7 +29,7 @@
 	/**
 	Path with its query, as received.
 	*/
-	readonly target: string;
+	readonly requestTarget: string;
 	/**
 	Path without its query.
 	*/
@@ -74,55 +74,55 @@
 Checks a request. Every failure is told before anything was sent.
 */
 export function parseRequest(message: http.IncomingMessage): results.Result<CallerRequest, RequestFailure> {
-	const failure = findTargetFailure(message) ?? findHeaderFailure(message.headers);
+	const failure = findRequestTargetFailure(message) ?? findHeaderFailure(message.headers);
 	if (failure !== undefined) {
 		return results.Err(failure);
 	}
 
 	const {headers} = message;
-	const target = message.url!;
-	const query = target.indexOf('?');
-	const declared = headers['content-length'];
+	const requestTarget = message.url!;
+	const query = requestTarget.indexOf('?');
+	const declaredLength = headers['content-length'];
 	return results.Ok({
 		method: message.method!,
-		target,
-		path: query === -1 ? target : target.slice(0, query),
+		requestTarget,
+		path: query === -1 ? requestTarget : requestTarget.slice(0, query),
 		host: (headers.host ?? '').toLowerCase().replace(PORT_PATTERN, ''),
 		organisation: getHeader(headers, ORGANISATION_HEADER) ?? DEFAULT_ORGANISATION,
 		idempotencyKey: getHeader(headers, IDEMPOTENCY_HEADER),
 		timeoutMilliseconds: parseTimeout(getHeader(headers, TIMEOUT_HEADER)),
-		contentLength: declared === undefined ? undefined : Number(declared),
-		hasBody: headers['transfer-encoding'] !== undefined || (declared !== undefined && declared !== '0'),
+		contentLength: declaredLength === undefined ? undefined : Number(declaredLength),
+		hasBody: headers['transfer-encoding'] !== undefined || (declaredLength !== undefined && declaredLength !== '0'),
 		isForwarded: headers[FORWARDED_HEADER] !== undefined,
 		tierRetry: getHeader(headers, retries.RETRY_HEADER),
 	});
 }
 
-function findTargetFailure(message: http.IncomingMessage): RequestFailure | undefined {
-	const target = message.url ?? '';
-	if (!target.startsWith('/')) {
+function findRequestTargetFailure(message: http.IncomingMessage): RequestFailure | undefined {
+	const requestTarget = message.url ?? '';
+	if (!requestTarget.startsWith('/')) {
 		return createRequestFailure('target-invalid', 'The target must be a path that begins with a slash.');
 	}
 
-	return target.length > MAXIMUM_TARGET_LENGTH ? createRequestFailure('target-invalid', `The target is longer than ${MAXIMUM_TARGET_LENGTH} characters.`) : undefined;
+	return requestTarget.length > MAX_REQUEST_TARGET_LENGTH ? createRequestFailure('target-invalid', `The target is longer than ${MAX_REQUEST_TARGET_LENGTH} characters.`) : undefined;
 }
 
 function findHeaderFailure(headers: http.IncomingHttpHeaders): RequestFailure | undefined {
 	for (const name of [ORGANISATION_HEADER, IDEMPOTENCY_HEADER]) {
 		const value = getHeader(headers, name);
-		if (value !== undefined && (value.length > MAXIMUM_TOKEN_LENGTH || !VISIBLE_PATTERN.test(value))) {
-			return createRequestFailure('header-invalid', `${name} must be 1 to ${MAXIMUM_TOKEN_LENGTH} visible ASCII characters.`);
+		if (value !== undefined && (value.length > MAX_TOKEN_LENGTH || !VISIBLE_PATTERN.test(value))) {
+			return createRequestFailure('header-invalid', `${name} must be 1 to ${MAX_TOKEN_LENGTH} visible ASCII characters.`);
 		}
 	}
 
 	const timeout = getHeader(headers, TIMEOUT_HEADER);
 	return timeout === undefined || isTimeout(timeout)
 		? undefined
-		: createRequestFailure('header-invalid', `${TIMEOUT_HEADER} must be a whole number from 1 to ${MAXIMUM_TIMEOUT_MILLISECONDS}.`);
+		: createRequestFailure('header-invalid', `${TIMEOUT_HEADER} must be a whole number from 1 to ${MAX_TIMEOUT_MILLISECONDS}.`);
 }
 
 function isTimeout(text: string): boolean {
-	return TIMEOUT_PATTERN.test(text) && Number(text) >= 1 && Number(text) <= MAXIMUM_TIMEOUT_MILLISECONDS;
+	return TIMEOUT_PATTERN.test(text) && Number(text) >= 1 && Number(text) <= MAX_TIMEOUT_MILLISECONDS;
 }
 
 function getHeader(headers: http.IncomingHttpHeaders, name: string): string | undefined {
--- a/packages/wagtailroute-proxy/src/targets.ts
+++ b/packages/wagtailroute-proxy/src/targets.ts
@@ -5,8 +5,8 @@
 import * as retries from 'wagtailroute-retries';
 import type {Attempt} from './attempts.ts';
 import type * as failures from './failures.ts';
-import type {GivingUp} from './giving-up.ts';
-import {type OverdueWatch, watchOverdue} from './overdue.ts';
+import type {RequestAbortController} from './request-abort.ts';
+import {type OverdueWatch, startOverdueWatch} from './overdue.ts';
 import type * as ports from './ports.ts';
 import type * as requests from './requests.ts';
 
@@ -15,7 +15,7 @@
 */
 export type TargetsContext = {
 	readonly request: requests.CallerRequest;
-	readonly match: ports.Match;
+	readonly match: ports.RouteMatch;
 	readonly service: ports.ServicePort;
 };
 
@@ -36,15 +36,15 @@
 /**
 The time of a request, in milliseconds.
 */
-export type RequestTime = {
+export type RequestClock = {
 	/**
 	Until its deadline.
 	*/
-	readonly getRemaining: () => number;
+	readonly getRemainingMilliseconds: () => number;
 	/**
 	Since it came.
 	*/
-	readonly getWaited: () => number;
+	readonly getElapsedMilliseconds: () => number;
 };
 
 /**
@@ -53,19 +53,19 @@
 export class Targets {
 	readonly #tried = new Set<string>();
 	readonly #context: TargetsContext;
-	readonly #givingUp: GivingUp;
-	readonly #getRemaining: () => number;
-	readonly #getWaited: () => number;
+	readonly #abortController: RequestAbortController;
+	readonly #getRemainingMilliseconds: () => number;
+	readonly #getElapsedMilliseconds: () => number;
 	/**
 	Granted already, to a request that moves.
 	*/
-	#next: ports.Target | undefined;
+	#nextTarget: ports.Target | undefined;
 
-	constructor(context: TargetsContext, givingUp: GivingUp, {getRemaining, getWaited}: RequestTime) {
+	constructor(context: TargetsContext, abortController: RequestAbortController, {getRemainingMilliseconds, getElapsedMilliseconds}: RequestClock) {
 		this.#context = context;
-		this.#givingUp = givingUp;
-		this.#getRemaining = getRemaining;
-		this.#getWaited = getWaited;
+		this.#abortController = abortController;
+		this.#getRemainingMilliseconds = getRemainingMilliseconds;
+		this.#getElapsedMilliseconds = getElapsedMilliseconds;
 	}
 
 	/**
@@ -79,8 +79,8 @@
 	Returns the next target, or why there is none.
 	*/
 	async choose(isResend: boolean): Promise<ports.Target | failures.RequestFailure | undefined> {
-		const next = this.#next;
-		this.#next = undefined;
+		const next = this.#nextTarget;
+		this.#nextTarget = undefined;
 		if (next !== undefined) {
 			return next;
 		}
@@ -91,12 +91,12 @@
 		}
 
 		// Whoever gave up waiting gives the target back.
-		this.#givingUp.setListener(() => {
+		this.#abortController.setListener(() => {
 			chosen.cancel();
 		});
-		const result = await chosen.result;
-		this.#givingUp.setListener(() => undefined);
-		return result;
+		const target = await chosen.result;
+		this.#abortController.setListener(() => undefined);
+		return target;
 	}
 
 	createChoice(isResend: boolean): ports.ChoiceRequest {
@@ -105,8 +105,8 @@
 			excluded: this.#tried,
 			requestClass: match.route.class,
 			requestId: request.id,
-			remainingMilliseconds: this.#getRemaining(),
-			waitedMilliseconds: this.#getWaited(),
+			remainingMilliseconds: this.#getRemainingMilliseconds(),
+			waitedMilliseconds: this.#getElapsedMilliseconds(),
 			isResend,
 			isMove: false,
 		};
@@ -117,18 +117,18 @@
 	*/
 	watch(attempt: Attempt, {count, isReplayable}: MovableAttempt): OverdueWatch | undefined {
 		const {service: {retry, limits, choose}, match} = this.#context;
-		const patienceMilliseconds = retry.getPatienceMilliseconds?.() ?? Infinity;
+		const overdueMilliseconds = retry.getOverdueMilliseconds?.() ?? Infinity;
 		const isMovable = core.isIdempotent(match.route.class)
 			&& count < (limits.attempts ?? retries.MAX_ATTEMPTS)
 			&& isReplayable
-			&& patienceMilliseconds + retry.getUsualMilliseconds() < this.#getRemaining();
+			&& overdueMilliseconds + retry.getUsualMilliseconds() < this.#getRemainingMilliseconds();
 		return isMovable
-			? watchOverdue({
+			? startOverdueWatch({
 				attempt,
-				patienceMilliseconds,
+				overdueMilliseconds,
 				choose: () => choose({...this.createChoice(true), isMove: true}),
-				giveBack: target => {
-					this.#giveBack(target);
+				releaseTarget: target => {
+					this.#releaseTarget(target);
 				},
 			})
 			: undefined;
@@ -137,24 +137,24 @@
 	/**
 	Takes what came of a watch; returns whether the request moves.
 	*/
-	keepNext(watch: OverdueWatch | undefined): boolean {
-		this.#next = watch?.getNext();
-		return this.#next !== undefined;
+	recordMove(watch: OverdueWatch | undefined): boolean {
+		this.#nextTarget = watch?.getNextTarget();
+		return this.#nextTarget !== undefined;
 	}
 
 	/**
 	The request is not sent any more. A target that was granted and never used would stay taken until somebody looked for it.
 	*/
-	abandon(): void {
-		if (this.#next === undefined) {
+	releaseUnused(): void {
+		if (this.#nextTarget === undefined) {
 			return;
 		}
 
-		this.#giveBack(this.#next);
-		this.#next = undefined;
+		this.#releaseTarget(this.#nextTarget);
+		this.#nextTarget = undefined;
 	}
 
-	#giveBack(target: ports.Target): void {
+	#releaseTarget(target: ports.Target): void {
 		this.#context.service.end({
 			target, ending: 'cancelled', latencyMilliseconds: 0, fingerprint: '', hasCrashed: false,
 		});
--- a/packages/wagtailroute-proxy/src/traffic.ts
+++ b/packages/wagtailroute-proxy/src/traffic.ts
@@ -6,14 +6,14 @@
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {answerFailure} from './answers.ts';
-import {type Connections, createConnections} from './connections.ts';
+import {type ConnectionPools, createConnectionPools} from './connections.ts';
 import {
-	HEADER_BYTES,
-	HEADERS_MILLISECONDS,
+	MAX_HEADER_BYTES,
+	HEADERS_TIMEOUT_MILLISECONDS,
 	KEEP_ALIVE_MILLISECONDS,
-	MAXIMUM_CALLER_CONNECTIONS,
-	PACED_PIECE_BYTES,
-	REQUEST_MILLISECONDS,
+	MAX_CALLER_CONNECTIONS,
+	PACED_CHUNK_BYTES,
+	REQUEST_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
 import {serveExchange} from './exchange.ts';
 import {createRequestFailure, type RequestFailure} from './failures.ts';
@@ -23,7 +23,7 @@
 The traffic server of a host.
 */
 export type TrafficServer = {
-	readonly connections: Connections;
+	readonly connections: ConnectionPools;
 	/**
 	The address it listens on, with the port that the system chose for port 0.
 	*/
@@ -35,11 +35,11 @@
 	/**
 	Bytes of ended requests and their answers so far, as callers' connections carried them.
 	*/
-	readonly getBytes: () => number;
+	readonly getTransferredBytes: () => number;
 	/**
 	Bytes of large bodies of the requests under way, as far as they are declared.
 	*/
-	readonly getLargeBytes: () => number;
+	readonly getLargeBodyBytes: () => number;
 	/**
 	Takes no new connections, finishes every request in flight, then closes.
 	*/
@@ -50,34 +50,34 @@
 Opens the server.
 */
 export async function openTrafficServer(address: core.Address, ports: TrafficPorts): Promise<TrafficServer> {
-	const connections = createConnections(ports.connectMilliseconds);
-	const inFlightOn = new WeakMap<net.Socket, number>();
-	const countedOn = new WeakMap<net.Socket, number>();
+	const connections = createConnectionPools(ports.connectTimeoutMilliseconds);
+	const inFlightBySocket = new WeakMap<net.Socket, number>();
+	const countedBytesBySocket = new WeakMap<net.Socket, number>();
 	let inFlight = 0;
-	let bytes = 0;
-	let largeBytes = 0;
+	let transferredBytes = 0;
+	let largeBodyBytes = 0;
 	let isClosing = false;
 	const server = http.createServer({
-		maxHeaderSize: HEADER_BYTES,
-		headersTimeout: HEADERS_MILLISECONDS,
-		requestTimeout: REQUEST_MILLISECONDS,
+		maxHeaderSize: MAX_HEADER_BYTES,
+		headersTimeout: HEADERS_TIMEOUT_MILLISECONDS,
+		requestTimeout: REQUEST_TIMEOUT_MILLISECONDS,
 		keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
 		noDelay: true,
-		...ports.paces !== undefined && {highWaterMark: PACED_PIECE_BYTES},
+		...ports.pacers !== undefined && {highWaterMark: PACED_CHUNK_BYTES},
 	}, (message, response) => {
 		const {socket} = message;
-		const declared = Number(message.headers['content-length'] ?? 0);
-		const large = declared > PACED_PIECE_BYTES ? declared : 0;
-		largeBytes += large;
+		const declaredBytes = Number(message.headers['content-length'] ?? 0);
+		const largeBytes = declaredBytes > PACED_CHUNK_BYTES ? declaredBytes : 0;
+		largeBodyBytes += largeBytes;
 		inFlight++;
-		inFlightOn.set(socket, (inFlightOn.get(socket) ?? 0) + 1);
+		inFlightBySocket.set(socket, (inFlightBySocket.get(socket) ?? 0) + 1);
 		response.once('close', () => {
 			inFlight--;
-			largeBytes -= large;
-			const carried = socket.bytesRead + socket.bytesWritten;
-			bytes += carried - (countedOn.get(socket) ?? 0);
-			countedOn.set(socket, carried);
-			inFlightOn.set(socket, (inFlightOn.get(socket) ?? 1) - 1);
+			largeBodyBytes -= largeBytes;
+			const socketBytes = socket.bytesRead + socket.bytesWritten;
+			transferredBytes += socketBytes - (countedBytesBySocket.get(socket) ?? 0);
+			countedBytesBySocket.set(socket, socketBytes);
+			inFlightBySocket.set(socket, (inFlightBySocket.get(socket) ?? 1) - 1);
 			if (isClosing) {
 				// The answer may have begun before the drain and kept its connection: Node closes what is idle only once, at the
 				// close, so the host would wait for its caller's next request or the keep-alive time.
@@ -86,13 +86,13 @@
 				});
 			}
 		});
-		serve(ports, connections, message, response);
+		serveWhenRoutable(ports, connections, message, response);
 	});
-	server.maxConnections = MAXIMUM_CALLER_CONNECTIONS;
+	server.maxConnections = MAX_CALLER_CONNECTIONS;
 	server.on('clientError', (error: ClientError, socket: net.Socket) => {
 		// Bytes that follow a whole request may be malformed while it is under way. A `not-run` written then would be read as its
 		// answer although it runs, and be sent again; a connection that is cut says what is known, nothing.
-		if ((inFlightOn.get(socket) ?? 0) > 0) {
+		if ((inFlightBySocket.get(socket) ?? 0) > 0) {
 			socket.destroy();
 			return;
 		}
@@ -104,8 +104,8 @@
 		connections,
 		address: listening,
 		getInFlight: () => inFlight,
-		getBytes: () => bytes,
-		getLargeBytes: () => largeBytes,
+		getTransferredBytes: () => transferredBytes,
+		getLargeBodyBytes: () => largeBodyBytes,
 		async drain() {
 			// Closes idle connections now and the others after their answer.
 			isClosing = true;
@@ -119,9 +119,9 @@
 	};
 }
 
-function serve(
+function serveWhenRoutable(
 	ports: TrafficPorts,
-	connections: Connections,
+	connections: ConnectionPools,
 	message: http.IncomingMessage,
 	response: http.ServerResponse,
 ): void {
@@ -129,37 +129,37 @@
 	message.on('error', () => undefined);
 	response.on('error', () => undefined);
 	const arrivedAt = ports.now();
-	const serveRouted = () => {
-		const failure = response.destroyed ? undefined : findRoute(ports, connections, {message, response, arrivedAt});
+	const startServing = () => {
+		const failure = response.destroyed ? undefined : startExchange(ports, connections, {message, response, arrivedAt});
 		if (failure !== undefined) {
 			answerFailure(response, () => ports.dialect.createProblem(failure, ports.random));
 		}
 	};
 
 	if (ports.routes?.areKnown() ?? true) {
-		serveRouted();
+		startServing();
 		return;
 	}
 
 	void (async () => {
 		await ports.routes!.wait();
-		serveRouted();
+		startServing();
 	})();
 }
 
-type Arrival = {
+type IncomingRequest = {
 	readonly message: http.IncomingMessage;
 	readonly response: http.ServerResponse;
 	readonly arrivedAt: number;
 };
 
-function findRoute(ports: TrafficPorts, connections: Connections, {message, response, arrivedAt}: Arrival): RequestFailure | undefined {
-	const parsed = ports.dialect.parseRequest(message);
-	if (parsed.isErr()) {
-		return parsed.error;
+function startExchange(ports: TrafficPorts, connections: ConnectionPools, {message, response, arrivedAt}: IncomingRequest): RequestFailure | undefined {
+	const parsedRequest = ports.dialect.parseRequest(message);
+	if (parsedRequest.isErr()) {
+		return parsedRequest.error;
 	}
 
-	const request = parsed.value;
+	const request = parsedRequest.value;
 	if (ports.dialect.isReserved(request.path)) {
 		ports.answerReserved(message, response, request.path);
 		return undefined;
@@ -202,7 +202,7 @@
 
 	const isTooLarge = error.code === 'HPE_HEADER_OVERFLOW';
 	const failure = isTooLarge
-		? createRequestFailure('header-too-large', `The header section is larger than ${HEADER_BYTES} bytes.`)
+		? createRequestFailure('header-too-large', `The header section is larger than ${MAX_HEADER_BYTES} bytes.`)
 		: createRequestFailure('malformed-request', `The request was refused by the parser (${error.code ?? error.name}).`);
 	const problem = dialect.createProblem(failure, random);
 	const fields = Object.entries(problem.headers).map(([name, value]) => `${name}: ${value}\r\n`).join('');
