--- a/packages/wagtailroute-proxy/src/answers.ts
+++ b/packages/wagtailroute-proxy/src/answers.ts
@@ -45,14 +45,14 @@
 			'content-length': String(buffer.Buffer.byteLength(body)),
 			'proxy-status': createProxyStatus(meaning.proxyStatus),
 			[OUTCOME_HEADER]: meaning.outcome,
-			...retryAfter !== undefined && {'retry-after': String(getRetryAfterSeconds(retryAfter, random))},
+			...retryAfter !== undefined && {'retry-after': String(getRetryAfterValue(retryAfter, random))},
 		},
 		body,
 	};
 }
 
 // What lasts long is advised as it is: the spread is for callers that come back together after a short trouble.
-function getRetryAfterSeconds(milliseconds: number, random: () => number): number {
+function getRetryAfterValue(milliseconds: number, random: () => number): number {
 	return milliseconds > MAX_SPREAD_RETRY_AFTER_MILLISECONDS
 		? Math.ceil(milliseconds / MILLISECONDS_PER_SECOND)
 		: retries.getRetryAfterSeconds(milliseconds, random);
