--- a/packages/wagtailroute-proxy/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/fixture.ts
@@ -1,5 +1,5 @@
 /**
-A host's traffic server whose other parts are stand-ins, over loopback.
+A traffic server on loopback with fake ports and stand-in backend servers.
 */
 import type {ExecutionContext} from 'ava';
 import * as undici from 'undici';
@@ -22,12 +22,12 @@
 const GRANTED_CLAIM = {kind: 'granted', isSendable: () => true, settle: () => undefined} as const;
 
 /**
-What the other parts of the host do.
+Behaviour of the fake ports and the stand-in backend servers.
 */
 export type Setup = {
 	readonly faults: ReadonlyArray<readonly standin.BehaviourRequest[]>;
 	/**
-	Upstreams that nobody listens on, tried first.
+	Number of upstreams without a listener; they are tried first.
 	*/
 	readonly unreachableCount?: number;
 	readonly claim?: proxy.ClaimAnswer;
@@ -35,24 +35,24 @@
 	readonly trial?: proxy.TrialAnswer | 'granted';
 	readonly isBudgetEmpty?: boolean;
 	/**
-	Milliseconds after which requests that may be repeated move.
+	Milliseconds after which the answer to an idempotent request is overdue; never when absent.
 	*/
 	readonly overdueMilliseconds?: number;
 	/**
-	The service is carried by other hosts, for which the backend servers stand in.
+	The service is carried by other hosts, whose part the stand-in backend servers play.
 	*/
 	readonly isForwarding?: boolean;
 	readonly admit?: proxy.ServicePort['admit'];
 	readonly hasCrashed?: boolean;
 	readonly routes?: proxy.TrafficPorts['routes'];
 	/**
-	Resolves before a target is given.
+	Targets are granted only after this resolves.
 	*/
 	readonly beforeTarget?: Promise<void>;
 };
 
 /**
-The server and what it told its host.
+The server, and what it reported through its ports.
 */
 export type Fixture = {
 	readonly origin: string;
@@ -66,7 +66,7 @@
 };
 
 /**
-A port on which nobody listens, and which the system gives to nobody: one that was free just now may be another test's.
+A port without a listener that the system never assigns. A port that was free a moment ago may be in use by another test.
 */
 const UNUSED_PORT = 1;
 
@@ -106,7 +106,7 @@
 }
 
 /**
-A host's traffic server whose other parts are stand-ins: targets are tried in order.
+Starts the server and the stand-in backend servers. Targets are tried in order.
 */
 export async function openFixture(t: ExecutionContext, setup: Setup): Promise<Fixture> {
 	const standins = await startStandins(t, setup);
@@ -213,7 +213,7 @@
 }
 
 /**
-Counts the requests that backend servers ran.
+Returns the number of requests that the backend servers ran.
 */
 export function countRuns(fixture: Fixture): number {
 	return fixture.standins.reduce((sum, started) => sum + started.counters().runs, 0);
--- a/packages/wagtailroute-proxy/src/__tests__/unit/outcomes.test.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/outcomes.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of what a caller is told, at each point at which its request can die, against stand-in backend servers over loopback.
+Tests of the status and outcome that a caller is told for a failure at each stage of its request, against stand-in backend servers on loopback.
 */
 import * as crypto from 'node:crypto';
 import * as net from 'node:net';
@@ -33,7 +33,7 @@
 const ALL_UPSTREAMS_BUSY = {kind: 'busy'} as const;
 
 /**
-Each point at which a request can die, what is told there, and how often it ran.
+Failures at each stage, the status and outcome that the caller is told, and the number of times the request ran.
 */
 const CASES: ReadonlyArray<{
 	readonly title: string;
@@ -62,13 +62,13 @@
 		title: 'no upstream', setup: {faults: []}, request: READ, status: 503, outcome: 'not-run', runs: 0,
 	},
 	{
-		title: 'nobody listening', setup: {faults: [], unreachableCount: 1}, request: WRITE, status: 502, outcome: 'not-run', runs: 0,
+		title: 'a refused connection', setup: {faults: [], unreachableCount: 1}, request: WRITE, status: 502, outcome: 'not-run', runs: 0,
 	},
 	{
-		title: 'nobody listening, then a server', setup: {faults: [[]], unreachableCount: 2}, request: WRITE, status: 200, outcome: 'ran', runs: 1,
+		title: 'refused connections, then a server', setup: {faults: [[]], unreachableCount: 2}, request: WRITE, status: 200, outcome: 'ran', runs: 1,
 	},
 	{
-		title: 'a shed everywhere', setup: {faults: [SHED, SHED]}, request: WRITE, status: 503, outcome: 'not-run', runs: 0,
+		title: 'a shed by every upstream', setup: {faults: [SHED, SHED]}, request: WRITE, status: 503, outcome: 'not-run', runs: 0,
 	},
 	{
 		title: 'a shed of a read, then a server', setup: {faults: [SHED, []]}, request: READ, status: 200, outcome: 'ran', runs: 1,
@@ -122,11 +122,11 @@
 		title: 'a suspect whose other copy is on trial', setup: {faults: [[]], quarantineStatus: 'suspect', trial: TRIAL_BUSY}, request: KEYED, status: 503, outcome: 'not-run', runs: 0,
 	},
 	{
-		title: 'a suspect while others are on trial everywhere',
+		title: 'a suspect while other suspects are on trial at every upstream',
 		setup: {faults: [[], []], quarantineStatus: 'suspect', trial: ALL_UPSTREAMS_BUSY}, request: READ, status: 503, outcome: 'not-run', runs: 0,
 	},
 	{
-		title: 'a suspect that is free by now', setup: {faults: [[]], quarantineStatus: 'suspect'}, request: READ, status: 200, outcome: 'ran', runs: 1,
+		title: 'a suspect that has been cleared', setup: {faults: [[]], quarantineStatus: 'suspect'}, request: READ, status: 200, outcome: 'ran', runs: 1,
 	},
 	{
 		title: 'a read marked as a resend of another tier, not retried here', setup: {faults: [RESET, []]}, request: RESENT, status: 502, outcome: 'unknown', runs: 0,
@@ -143,7 +143,7 @@
 ];
 
 for (const {title, setup, request, status, outcome, runs} of CASES) {
-	test(`${title} is told as ${status} ${outcome}`, async t => {
+	test(`${title} is answered with ${status} and outcome ${outcome}`, async t => {
 		const fixture = await openFixture(t, setup);
 		const strictContentLength = new undici.Agent({strictContentLength: false});
 		const answer = await send(fixture, request.path, {dispatcher: strictContentLength, ...request.options} as Partial<undici.Dispatcher.RequestOptions>);
@@ -164,16 +164,16 @@
 });
 
 for (const framing of ['length', 'chunked'] as const) {
-	test(`an answer cut off midway (${framing}) never looks whole`, async t => {
-		// Symptom: a caller takes half of a family tree for the whole. Sequence: the backend server dies midway through its
-		// answer. Cause: a proxy that ends its own answer properly when the upstream connection closes.
+	test(`an answer cut off midway (${framing}) never looks complete`, async t => {
+		// Guards against a truncated document that the caller takes for complete: the backend server dies midway through its answer,
+		// and the proxy ends its own answer regularly when the upstream connection closes.
 		const fixture = await openFixture(t, {faults: [[{kind: 'truncate', framing}]]});
 		await t.throwsAsync(send(fixture, '/bytes/100000?seed=1'));
 		t.is(fixture.attemptReports[0]?.ending, 'truncated');
 	});
 }
 
-test('a large body goes both ways whole and in order, held back by a slow reader', async t => {
+test('a large body is transferred whole and in order in both directions, with back-pressure', async t => {
 	const fixture = await openFixture(t, {faults: [[]]});
 	const size = 20_000_000;
 	const upload = crypto.createHash('sha256').update('seed').digest().toString('hex').repeat(Math.ceil(size / 64)).slice(0, size);
@@ -186,7 +186,7 @@
 	t.is(hash.digest('hex'), crypto.createHash('sha256').update(upload).digest('hex'));
 });
 
-test('a caller that goes away cancels its request at the backend server', async t => {
+test('a caller that disconnects cancels its request at the backend server', async t => {
 	const fixture = await openFixture(t, {faults: [SLOW]});
 	const controller = new AbortController();
 	const sent = undici.request(`${fixture.origin}/x`, {signal: controller.signal});
--- a/packages/wagtailroute-proxy/src/__tests__/unit/pacing.test.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/pacing.test.ts
@@ -1,15 +1,15 @@
 /**
-Tests of the pace of large bodies on slow links.
+Tests of the pacing of large bodies on slow links.
 
-Symptom: requests of a host are late, and it leaves dispatchers that are well. Sequence: a caller uploads a large body; its bytes fill the host's link for
-a second; an ask and its answer wait behind them for longer than a dispatcher may take. Cause: a body passes as fast as the link takes it.
+Guards against late requests and the loss of healthy dispatchers: without pacing an upload fills the host's link for a second, and an ask to a dispatcher
+queues behind it for longer than its timeout.
 */
 import * as buffer from 'node:buffer';
 import test from 'ava';
 import * as bodies from '../../bodies.ts';
 import * as proxy from '../../index.ts';
 
-test('what passes at once takes no more of the link than its part', t => {
+test('bytes that pass without a delay keep to the rate limit', t => {
 	let now = 0;
 	const pacer = proxy.createPacer(100_000, () => now);
 	let reservedBytes = 0;
@@ -23,7 +23,7 @@
 	t.true(reservedBytes >= 950_000, String(reservedBytes));
 });
 
-test('a small body waits for nothing, and a pause is not saved up', t => {
+test('a small body is not delayed, and idle time does not accumulate credit', t => {
 	let now = 0;
 	const pacer = proxy.createPacer(100_000, () => now);
 	t.is(pacer.reserve(4096), 0);
@@ -43,7 +43,7 @@
 	});
 }
 
-test('what is not paced passes as it came', async t => {
+test('a body that is not paced is passed on in its original chunks', async t => {
 	const prefix = buffer.Buffer.alloc(70_000, 'x');
 	const rest = [buffer.Buffer.alloc(30_000, 'y')];
 	const body = {prefix, rest: rest.values() as unknown as AsyncIterator<buffer.Buffer>, limitBytes: 200_000};
@@ -51,7 +51,7 @@
 	t.deepEqual(chunks.map(({length}) => length), [70_000, 30_000]);
 });
 
-test('a paced body comes through whole, in pieces, and its length is told', async t => {
+test('a paced body is passed on whole, in chunks, with its length', async t => {
 	const prefix = buffer.Buffer.alloc(50_000, 'x');
 	const reserved: number[] = [];
 	const pacer = {
--- a/packages/wagtailroute-proxy/src/__tests__/unit/targets.test.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/targets.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of the targets of a request that moves.
+Tests of the choice of targets when a request moves.
 */
 import test from 'ava';
 import {createRequestAbortController} from '../../request-abort.ts';
@@ -11,7 +11,7 @@
 
 function createTargets(): {readonly targets: Targets; readonly reports: ports.AttemptReport[]} {
 	const reports: ports.AttemptReport[] = [];
-	// Only what is asked for here.
+	// Only the members that are used here.
 	const service = {
 		choose: () => undefined,
 		end(report: ports.AttemptReport) {
@@ -22,7 +22,7 @@
 	return {targets: new Targets(context, createRequestAbortController(), {getRemainingMilliseconds: () => 1000, getElapsedMilliseconds: () => 0}), reports};
 }
 
-test('a request that moves goes to the target that was granted, once', async t => {
+test('a request that moves is sent to the granted target once', async t => {
 	const {targets, reports} = createTargets();
 	t.true(targets.recordMove(WATCH));
 	t.is(await targets.choose(true), NEXT);
@@ -31,10 +31,9 @@
 	t.deepEqual(reports, []);
 });
 
-test('a granted target is given back when the request is not sent any more', t => {
-	// Symptom: a slot stays taken until its deadline and the table of places grows.
-	// Sequence: a read moves; its caller leaves before the second attempt begins.
-	// Cause: the target that had been granted was forgotten.
+test('a granted target is released when the request is not sent any more', t => {
+	// Guards against a slot that stays occupied until its deadline: a read moves, and its caller disconnects before the second attempt
+	// starts, so that the granted target is never used.
 	const {targets, reports} = createTargets();
 	targets.recordMove(WATCH);
 	targets.releaseUnused();
--- a/packages/wagtailroute-proxy/src/__tests__/unit/waiting.test.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/waiting.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of requests that wait, are given up, or meet a backend server that crashes: what the host is told of them.
+Tests of requests that wait, are aborted, or meet a backend server that crashes, and of what is reported to the host.
 */
 import * as net from 'node:net';
 import * as timers from 'node:timers/promises';
@@ -29,14 +29,14 @@
 
 async function waitUntil(hasHappened: () => boolean): Promise<void> {
 	while (!hasHappened()) {
-		// eslint-disable-next-line no-await-in-loop -- Waits for what happens on another connection.
+		// eslint-disable-next-line no-await-in-loop -- Waits for an event on another connection.
 		await timers.setImmediate();
 	}
 }
 
 test('a queued request whose deadline passes is withdrawn and answered', async t => {
-	// Symptom: requests are answered long after their deadline, and then run for nobody. Sequence: the queue is long, the
-	// deadline passes, the place comes. Cause: only the queue's own clock ended the wait.
+	// Guards against requests that are run after their deadline: they are admitted late from a long queue, because only the timer
+	// of the queue ends the wait.
 	const queue = createQueue();
 	const fixture = await openFixture(t, {faults: [[]], admit: queue.admit});
 	const answer = await send(fixture, '/x', {headers: {'request-timeout-ms': '20'}});
@@ -47,7 +47,7 @@
 	t.is(fixture.standins[0]?.counters().runs, 0);
 });
 
-test('a queued request whose caller leaves is withdrawn', async t => {
+test('a queued request whose caller disconnects is withdrawn', async t => {
 	const queue = createQueue();
 	const fixture = await openFixture(t, {faults: [[]], admit: queue.admit});
 	const controller = new AbortController();
@@ -60,7 +60,7 @@
 	t.is(fixture.requestReports[0]?.failure?.kind, 'cancelled-before-send');
 });
 
-test('a deadline ends the wait for a body that does not come', async t => {
+test('the deadline ends the wait for a body that does not arrive', async t => {
 	const fixture = await openFixture(t, {faults: [[]]});
 	const socket = net.connect(fixture.address.port, fixture.address.ip);
 	socket.write('POST /write HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nRequest-Timeout-Ms: 20\r\n\r\nhe');
@@ -82,14 +82,14 @@
 ];
 
 for (const {title, setup, ending} of ENDINGS) {
-	test(`${title} gives its place back as ${ending}`, async t => {
+	test(`${title} is released to admission as ${ending}`, async t => {
 		const fixture = await openFixture(t, setup);
 		await send(fixture, '/x');
 		t.deepEqual(fixture.releases.map(release => release.ending), [ending]);
 	});
 }
 
-test('a lost connection is looked into before the caller is told', async t => {
+test('a lost connection is checked for a crash before the caller is answered', async t => {
 	const fixture = await openFixture(t, {faults: [[{kind: 'reset'}]], hasCrashed: true});
 	const answer = await send(fixture, '/write', {method: 'POST', body: 'boom'});
 	t.like(JSON.parse(answer.text), {type: 'urn:wagtailroute:problem:upstream-crashed', outcome: 'unknown'});
@@ -102,11 +102,11 @@
 	{title: 'an answer', setup: {faults: [[]]}, ending: 'completed'},
 	{title: 'an error', setup: {faults: [[{kind: 'fail', status: 500}]]}, ending: 'completed'},
 	{title: 'a loss', setup: {faults: [[{kind: 'reset'}]]}, ending: 'lost'},
-	{title: 'nobody listening', setup: {faults: [], unreachableCount: 1}, ending: 'not-sent'},
+	{title: 'a refused connection', setup: {faults: [], unreachableCount: 1}, ending: 'not-sent'},
 ];
 
 for (const {title, setup, ending} of TRIALS) {
-	test(`a trial ends by ${title} as ${ending}`, async t => {
+	test(`a trial with ${title} ends as ${ending}`, async t => {
 		const fixture = await openFixture(t, {...setup, quarantineStatus: 'suspect', trial: 'granted'});
 		await send(fixture, '/write', {method: 'POST', body: 'boom'});
 		t.deepEqual(fixture.trialEndings, [ending]);
@@ -118,13 +118,12 @@
 
 const OVERDUE = [
 	{
-		// Symptom: reads end with their deadline while other upstreams idle, a hundred in a day with a hanging upstream.
-		// Sequence: an upstream hangs, its connections stay open; a read is sent there.
-		// Cause: an attempt lasted until it failed or the deadline passed.
+		// Guards against reads that end with their deadline while other upstreams are idle, a hundred in a day with a hanging upstream:
+		// its connections stay open, and an attempt there lasts until the deadline.
 		title: 'moves to another upstream', method: 'GET', faults: [[HANGING], []], status: 200, endings: ['overdue', 'success'],
 	},
 	{
-		title: 'stays where there is no other, and is answered late', method: 'GET', faults: [[SLOW]], status: 200, endings: ['success'],
+		title: 'stays when there is no other upstream, and is answered late', method: 'GET', faults: [[SLOW]], status: 200, endings: ['success'],
 	},
 	{
 		title: 'stays when it may not be repeated', method: 'POST', faults: [[SLOW], []], status: 200, endings: ['success'],
@@ -143,10 +142,9 @@
 	});
 }
 
-test('a request that comes before there are routes is served once they are there', async t => {
-	// Symptom: after a restart of everything, callers are refused three times within half a second and give up, though the host serves from then on.
-	// Sequence: the host listens before it has fetched its routes; callers come back to the address that they had.
-	// Cause: whatever came before the routes was refused.
+test('a request that arrives before the routes are loaded is served once they are', async t => {
+	// Guards against refusals after a restart of all hosts: a host listens before it has fetched its routes, callers return to the address that they know,
+	// and are refused three times within half a second and give up, although the host serves directly after that.
 	const {promise, resolve} = Promise.withResolvers<void>();
 	let waitCount = 0;
 	const fixture = await openFixture(t, {
@@ -167,14 +165,14 @@
 	t.is(answer.status, 200);
 });
 
-test('the time for which routes were waited for is the caller\'s', async t => {
+test('the wait for routes counts towards the deadline', async t => {
 	const fixture = await openFixture(t, {faults: [[]], routes: {areKnown: () => false, wait: async () => timers.setTimeout(50)}});
 	const answer = await send(fixture, '/x', {headers: {'request-timeout-ms': '30'}});
 	t.is(answer.outcome, 'not-run');
 	t.is(fixture.standins[0]?.counters().runs, 0);
 });
 
-test('a request tells for how long it was waited for its target', async t => {
+test('a request reports how long it waited for its target', async t => {
 	const {promise, resolve} = Promise.withResolvers<void>();
 	const fixture = await openFixture(t, {faults: [[]], beforeTarget: promise});
 	const sent = send(fixture, '/x');
--- a/packages/wagtailroute-proxy/src/answers.ts
+++ b/packages/wagtailroute-proxy/src/answers.ts
@@ -1,5 +1,5 @@
 /**
-The answers that the fleet makes itself: problem documents (RFC 9457) with Proxy-Status (RFC 9209) and the outcome.
+Answers created by the fleet itself: problem documents (RFC 9457) with Proxy-Status (RFC 9209) and the outcome.
 */
 import * as buffer from 'node:buffer';
 import type * as http from 'node:http';
@@ -15,7 +15,7 @@
 import type {RequestFailure} from './failures.ts';
 
 /**
-A problem document and its headers, ready to be written.
+Status, headers and serialised body of a problem document.
 */
 export type Problem = {
 	readonly status: number;
@@ -26,7 +26,7 @@
 /**
 Creates the answer to a failed request.
 
-@param random Uniform in [0, 1): spreads the advice when to send again.
+@param random Uniform in [0, 1); spreads `Retry-After`.
 */
 export function createProblem(failure: RequestFailure, random: () => number): Problem {
 	const meaning = retries.getRequestFailure(failure.kind);
@@ -51,7 +51,7 @@
 	};
 }
 
-// What lasts long is advised as it is: the spread is for callers that come back together after a short trouble.
+// Seconds of `Retry-After`. A long time is not spread: the spread is for callers that all return after a short disturbance.
 function getRetryAfterValue(milliseconds: number, random: () => number): number {
 	return milliseconds > MAX_SPREAD_RETRY_AFTER_MILLISECONDS
 		? Math.ceil(milliseconds / MILLISECONDS_PER_SECOND)
@@ -59,8 +59,8 @@
 }
 
 /**
-Answers a failed request, or cuts the connection when a backend server's answer has begun already: an answer that ends
-early must never look whole.
+Answers a failed request. When a backend server's answer has begun already, the connection is destroyed instead: an answer that
+ends early must never look complete.
 */
 export function answerFailure(response: http.ServerResponse, createAnswer: () => Problem): void {
 	if (response.headersSent || response.destroyed) {
@@ -69,7 +69,7 @@
 	}
 
 	const problem = createAnswer();
-	// Unless the request was read whole, what follows on the connection is the rest of its body.
+	// Otherwise the rest of the request's body follows on the connection, which can not be reused.
 	if (isFullyRead(response.req)) {
 		response.writeHead(problem.status, problem.headers);
 		response.end(problem.body);
@@ -81,10 +81,10 @@
 }
 
 /**
-Sends an answer to a request whose body is still coming, and reads the rest of it for a moment.
+Answers a request whose body is still being received, and reads the rest of the body for `LINGER_MILLISECONDS` at most.
 
-What goes wrong without it: the connection is closed while the caller still sends, so the system resets it, and the caller
-loses the answer that its request was not run. It shows as ECONNRESET or EPIPE at callers of uploads that are refused.
+If the connection were closed while the caller still sends, the system would reset it, and the caller would lose the answer that
+its request was not run: callers of refused uploads would see ECONNRESET or EPIPE.
 */
 function endAfterBody(response: http.ServerResponse, body: string): void {
 	const {req: request} = response;
@@ -101,14 +101,14 @@
 }
 
 /**
-Says whether nothing of a request's body is left on its connection.
+Returns whether a request has been received completely, so that nothing of its body is left on the connection.
 */
 export function isFullyRead({complete, headers}: http.IncomingMessage): boolean {
 	return complete || (headers['content-length'] === undefined && headers['transfer-encoding'] === undefined);
 }
 
 /**
-Returns the field value of Proxy-Status (RFC 9209) for an error of the fleet's own.
+Returns the value of the header Proxy-Status (RFC 9209) for an error of the fleet itself.
 
 @param error An error type of the RFC.
 */
@@ -119,7 +119,7 @@
 }
 
 /**
-Answers with JSON of the fleet's own.
+Sends a JSON answer of the fleet itself.
 */
 export function answerJson(
 	response: http.ServerResponse,
--- a/packages/wagtailroute-proxy/src/attempts.ts
+++ b/packages/wagtailroute-proxy/src/attempts.ts
@@ -1,8 +1,8 @@
 /**
-One attempt: a request sent to one target, and its answer relayed to the caller with back-pressure or discarded.
+One attempt: sends a request to one target, and relays the answer to the caller with back-pressure or discards it.
 
-What the caller may be told hangs on how far the attempt came, so the result says exactly that: nothing sent, sent without
-an answer, an answer relayed whole, an answer cut off.
+The outcome reported to the caller depends on how far the attempt came, so the result states exactly that: nothing sent, sent
+without an answer, answer relayed whole, answer cut off.
 */
 import * as buffer from 'node:buffer';
 import type * as http from 'node:http';
@@ -13,19 +13,19 @@
 import type {StoredAnswer} from './ports.ts';
 
 /**
-How an attempt ended.
+Result of an attempt. `code` is an error code of Node, undici or this package.
 */
 export type AttemptResult =
 	/**
-	No byte of the request reached the target.
+	No byte of the request was sent.
 	*/
 	| {readonly kind: 'not-sent'; readonly code: string}
 	/**
-	The request was sent at least in part, and there was no answer.
+	The request was sent at least in part, and no answer arrived.
 	*/
 	| {readonly kind: 'lost'; readonly code: string}
 	/**
-	The answer was not relayed, another attempt may follow.
+	The answer was not relayed; another attempt may follow.
 	*/
 	| {readonly kind: 'discarded'; readonly status: number; readonly isShed: boolean; readonly isMisdirected?: boolean}
 	| {readonly kind: 'relayed'; readonly status: number; readonly answer?: StoredAnswer}
@@ -35,50 +35,53 @@
 	| {readonly kind: 'truncated'; readonly status: number; readonly code: string};
 
 /**
-What is done with an answer: relayed to the caller, or discarded because the target shed the request or because it is to be
-repeated elsewhere. `foreign`: it answers another request, so the connection is not fit for any.
+What is done with an answer. `relay`: send it to the caller. `shed`, `misdirected`: discard it, the target did not run the request.
+`repeat`: discard it, another attempt may follow. `foreign`: it answers another request, so the connection is closed.
 */
 export type AnswerAction = 'relay' | 'shed' | 'misdirected' | 'repeat' | 'foreign';
 
 /**
-What an attempt is to do.
+The request that an attempt sends, and the handling of its answer.
 */
 export type AttemptOptions = {
 	readonly pool: undici.Dispatcher;
 	readonly method: string;
 	readonly requestTarget: string;
+	/**
+	Alternating names and values.
+	*/
 	readonly headers: string[];
 	readonly body: buffer.Buffer | AsyncIterable<buffer.Buffer> | undefined;
 	readonly response: http.ServerResponse;
 	/**
-	Says whether an answer is the one for the caller.
+	Decides what is done with an answer, when its header section has arrived.
 	*/
 	readonly decideAnswer: (status: number, headers: HeaderFields) => AnswerAction;
 	/**
-	Makes the headers that the caller gets.
+	Creates the headers of a relayed answer.
 	*/
 	readonly createAnswerHeaders: (headers: HeaderFields) => Record<string, string | string[]>;
 	/**
-	Says whether a connection of the pool is being reset at this moment.
+	Returns whether a connection of the pool is being reset at this moment.
 	*/
 	readonly isResetting: () => boolean;
 	/**
-	Keep a copy of the answer.
+	Whether the result of a relayed answer includes a copy of it.
 	*/
 	readonly isAnswerStored: boolean;
 	/**
-	Told once when the header section of an answer has arrived.
+	Called once, when the header section of the answer has arrived.
 	*/
 	readonly onAnswerHeaders: () => void;
 };
 
 /**
-An attempt under way.
+An attempt in progress.
 */
 export type Attempt = {
 	readonly result: Promise<AttemptResult>;
 	/**
-	Gives the attempt up: its connection is destroyed, its result is there at once.
+	Aborts the attempt: its connection is destroyed, and its result resolves at once with the code.
 	*/
 	readonly abort: (code: string) => void;
 };
@@ -86,7 +89,7 @@
 type Phase = 'waiting' | 'sent' | 'relaying' | 'discarding' | 'ended';
 
 /**
-Starts an attempt.
+Starts an attempt. Its result never rejects.
 */
 export function startAttempt(options: AttemptOptions): Attempt {
 	const {promise, resolve} = Promise.withResolvers<AttemptResult>();
@@ -129,12 +132,12 @@
 		this.#controller?.abort(new Error(code));
 	}
 
-	// Called before the first byte is written.
+	// Called by undici before the first byte is written.
 	onRequestStart(controller: undici.Dispatcher.DispatchController): void {
 		this.#controller = controller;
 		if (this.#phase === 'ended') {
-			// Given up while it waited for a connection, and told as not run: so nothing of it may be sent now.
-			controller.abort(new Error('given up'));
+			// Aborted while it waited for a connection and reported as not run, so nothing may be sent any more.
+			controller.abort(new Error('Attempt aborted before the request was sent'));
 			return;
 		}
 
@@ -180,12 +183,12 @@
 			this.#relay(controller, chunk);
 		} else if (this.#phase === 'discarding' && this.#receivedBytes > MAX_DISCARDED_ANSWER_BYTES) {
 			this.#end(this.#createDiscarded());
-			controller.abort(new Error('discarded'));
+			controller.abort(new Error(`Discarded answer is longer than ${MAX_DISCARDED_ANSWER_BYTES} bytes`));
 		}
 	}
 
 	onResponseEnd(): void {
-		// An answer without a length ends with its connection; the HTTP client takes a reset for that end too.
+		// An answer without a length ends when its connection closes. undici also reports a reset as that end.
 		if (!this.#isFramed && this.#options.isResetting()) {
 			this.#fail('ECONNRESET');
 			return;
@@ -206,12 +209,12 @@
 	#relay(controller: undici.Dispatcher.DispatchController, chunk: buffer.Buffer): void {
 		this.#storeChunk(chunk);
 		const {response} = this.#options;
-		// A claimed execution goes on after its caller left: then nothing is written and nothing waited for.
+		// A claimed execution continues after its caller disconnected: the answer is read without writing it.
 		if (response.destroyed || response.write(chunk)) {
 			return;
 		}
 
-		// The caller reads more slowly than the target sends: without the pause its whole answer would pile up in memory.
+		// The caller reads more slowly than the target sends; without a pause the whole answer would be buffered in memory.
 		controller.pause();
 		if (this.#resume !== undefined) {
 			return;
--- a/packages/wagtailroute-proxy/src/bodies.ts
+++ b/packages/wagtailroute-proxy/src/bodies.ts
@@ -1,33 +1,33 @@
 /**
-Bodies of requests: small ones are read whole, so that they can be sent again and digested; large ones are streamed with
-back-pressure behind their first part.
+Bodies of requests. Small ones are buffered, so that they can be sent again and digested; of large ones only the first part is
+buffered, and the rest is streamed with back-pressure.
 */
 import * as buffer from 'node:buffer';
 import type * as http from 'node:http';
 import * as timers from 'node:timers/promises';
 import * as results from 'ts-results-es';
-import {PACED_CHUNK_BYTES, MAX_REPLAYABLE_BODY_BYTES} from './constants.ts';
+import {MAX_REPLAYABLE_BODY_BYTES, PACED_CHUNK_BYTES} from './constants.ts';
 import {createRequestFailure, type RequestFailure} from './failures.ts';
-import {UNLIMITED_PACER, type Pacer} from './pacing.ts';
+import {type Pacer, UNLIMITED_PACER} from './pacing.ts';
 import type {CallerRequest} from './requests.ts';
 
 /**
-A body as far as it was read.
+A body of which the first part is buffered.
 */
 export type Body = {
 	/**
-	The whole body, or its first part when it is larger than what can be sent again.
+	The whole body, or its first part when it is larger than `MAX_REPLAYABLE_BODY_BYTES`.
 	*/
 	readonly prefix: buffer.Buffer;
 	/**
-	Absent when the prefix is the whole body.
+	The part that was not read yet; absent when the prefix is the whole body.
 	*/
 	readonly rest?: AsyncIterator<buffer.Buffer>;
 	readonly limitBytes: number;
 };
 
 /**
-A body that ended early or exceeded its limit while it was being sent on.
+A streamed body that ended early or exceeded its limit.
 */
 export class BodyError extends Error {
 	override readonly name = 'BodyError';
@@ -37,14 +37,14 @@
 }
 
 /**
-The body of a request without one, as if read.
+The result of reading the body of a request without one.
 */
 export const NO_BODY = results.Ok<Body>({prefix: buffer.Buffer.alloc(0), limitBytes: 0});
 
 /**
-Reads a body up to the size that can be sent again.
+Reads a body up to the size that is buffered.
 
-@param limitBytes The service's limit; a body declared larger is refused before anything is read.
+@param limitBytes Maximum size of the body; a body with a larger Content-Length is refused before anything is read.
 */
 export async function readBody(
 	message: http.IncomingMessage,
@@ -60,13 +60,13 @@
 		return results.Err(createRequestFailure('body-too-large', `The body is larger than ${limitBytes} bytes.`));
 	}
 
-	// The iterator must not destroy the message: that would cut the caller's connection before it is told the outcome.
+	// The iterator must not destroy the message: that would close the caller's connection before it is answered.
 	const rest = message.iterator({destroyOnReturn: false}) as AsyncIterator<buffer.Buffer>;
 	const chunks: buffer.Buffer[] = [];
 	let size = 0;
 	try {
 		while (size <= MAX_REPLAYABLE_BODY_BYTES) {
-			// eslint-disable-next-line no-await-in-loop -- The parts of a body come one after the other.
+			// eslint-disable-next-line no-await-in-loop -- The chunks of a body arrive one after the other.
 			const chunk = await rest.next();
 			if (chunk.done === true) {
 				return size > limitBytes ? results.Err(createTooLargeFailure(limitBytes)) : results.Ok({prefix: buffer.Buffer.concat(chunks), limitBytes});
@@ -91,14 +91,14 @@
 }
 
 /**
-Says whether the body can be sent again after an attempt that may have sent some of it.
+Returns whether the body can be sent again after an attempt that may have sent some of it.
 */
 export function isReplayable(body: Body): boolean {
 	return body.rest === undefined;
 }
 
 /**
-Returns the body as the HTTP client takes it.
+Returns the body in the form that undici accepts; undefined for an empty body.
 */
 export function getSendableBody(body: Body, pacer: Pacer = UNLIMITED_PACER): buffer.Buffer | AsyncIterable<buffer.Buffer> | undefined {
 	if (body.rest !== undefined) {
@@ -113,7 +113,7 @@
 }
 
 /**
-Returns the length that the backend server is told; undefined when the HTTP client finds it itself, or nobody knows it.
+Returns the Content-Length to send; undefined when undici determines it, or when it is unknown.
 */
 export function getContentLength(body: Body, request: CallerRequest): number | undefined {
 	if (body.rest !== undefined) {
@@ -139,7 +139,7 @@
 	for (let start = 0; start < bytes.length; start += PACED_CHUNK_BYTES) {
 		const chunk = bytes.subarray(start, start + PACED_CHUNK_BYTES);
 		yield chunk;
-		// eslint-disable-next-line no-await-in-loop -- One piece after the other.
+		// eslint-disable-next-line no-await-in-loop -- The chunks are sent one after the other.
 		await applyPacing(pacer, chunk.length);
 	}
 }
@@ -148,7 +148,7 @@
 	let size = body.prefix.length;
 	yield * yieldChunks(body.prefix, pacer);
 	for (;;) {
-		// eslint-disable-next-line no-await-in-loop -- The parts of a body come one after the other.
+		// eslint-disable-next-line no-await-in-loop -- The chunks of a body arrive one after the other.
 		const chunk = await rest.next();
 		if (chunk.done === true) {
 			return;
@@ -156,7 +156,7 @@
 
 		size += chunk.value.length;
 		if (size > body.limitBytes) {
-			// Ends the attempt: the backend server sees a request cut off, never one that looks whole.
+			// Ends the attempt, so that the backend server sees a truncated request and never one that looks complete.
 			throw new BodyError(`The body is larger than ${body.limitBytes} bytes.`);
 		}
 
--- a/packages/wagtailroute-proxy/src/connections.ts
+++ b/packages/wagtailroute-proxy/src/connections.ts
@@ -1,33 +1,41 @@
 /**
-Connections to upstreams, one pool an address.
+Connection pools to upstreams, one for each address.
 
-A connection whose request was abandoned is destroyed by the HTTP client and never used again: a late answer on it could
-otherwise be taken for the answer to the next request.
+undici destroys the connection of an aborted request and never reuses it: a late answer on it could otherwise be taken for the
+answer to the next request.
 */
 import * as core from 'wagtailroute-core';
 import * as undici from 'undici';
 import {CONNECT_TIMEOUT_MILLISECONDS, UPSTREAM_KEEP_ALIVE_MILLISECONDS} from './constants.ts';
 
 /**
-The connections to one address.
+The connection pool of one address.
 */
 export type UpstreamPool = {
 	readonly dispatcher: undici.Pool;
 	/**
-	Says whether one of its connections is being reset at this moment.
+	Returns whether one of its connections is being reset at this moment.
 	*/
 	readonly isResetting: () => boolean;
 };
 
 /**
-The pools of a host.
+The connection pools of a host by address.
 */
 export type ConnectionPools = {
+	/**
+	Returns the pool of an address, and creates it on first use.
+
+	@param limit Maximum number of connections; applies when the pool is created.
+	*/
 	readonly getPool: (address: core.Address, limit: number) => UpstreamPool;
 	/**
-	Lets the pools of all other addresses finish what they do and closes them.
+	Closes the pools of all addresses that are not given (as `ip:port`), after their requests in progress.
 	*/
 	readonly retain: (addresses: ReadonlySet<string>) => void;
+	/**
+	Destroys all pools; requests in progress fail.
+	*/
 	readonly close: () => Promise<void>;
 };
 
@@ -68,7 +76,7 @@
 		pipelining: 1,
 		connect(options, callback) {
 			connect(options, (...[error, socket]) => {
-				// Registered before the HTTP client's own listener, so that it is known while that one runs.
+				// Registered before undici's own listener, so that the reset is already counted while that one runs.
 				socket?.once('error', () => {
 					resettingConnections++;
 					setImmediate(() => {
@@ -83,7 +91,7 @@
 			});
 		},
 		keepAliveTimeout: UPSTREAM_KEEP_ALIVE_MILLISECONDS,
-		// The exchange has its own deadline for the whole request.
+		// The exchange has a deadline for the whole request.
 		headersTimeout: 0,
 		bodyTimeout: 0,
 	});
--- a/packages/wagtailroute-proxy/src/constants.ts
+++ b/packages/wagtailroute-proxy/src/constants.ts
@@ -1,80 +1,81 @@
 /**
-Bounds and names of the way of a request.
+Limits, timeouts and header names of the proxy.
 */
 
 /**
-Bodies up to this size in bytes are read whole before the first attempt, so that they can be sent again.
+Maximum size in bytes of a body that is buffered before the first attempt, so that it can be sent again.
 */
 export const MAX_REPLAYABLE_BODY_BYTES = 65_536;
 
 /**
-Answers up to this size in bytes are kept for a resend with the same idempotency key.
+Maximum size in bytes of an answer that is kept for later requests with the same idempotency key.
 */
 export const MAX_STORED_ANSWER_BYTES = 65_536;
 
 /**
-Bytes of a discarded answer that are read to keep its connection; a longer one costs the connection.
+Maximum number of bytes of a discarded answer that are read so that its connection can be reused; for a longer one the connection is closed.
 */
 export const MAX_DISCARDED_ANSWER_BYTES = 65_536;
 
 /**
-Largest header section of a request, in bytes; a larger one is answered 431.
+Maximum size of the header section of a request in bytes; a larger one is answered with 431.
 */
 export const MAX_HEADER_BYTES = 16_384;
 
 /**
-Milliseconds that a caller may take to send its header section.
+Timeout in milliseconds for receiving the header section of a request.
 */
 export const HEADERS_TIMEOUT_MILLISECONDS = 10_000;
 
 /**
-Milliseconds that a caller may take to send its whole request, long uploads included.
+Timeout in milliseconds for receiving a whole request, long uploads included.
 */
 export const REQUEST_TIMEOUT_MILLISECONDS = 3_600_000;
 
 /**
-Milliseconds after which an unused connection of a caller is closed.
+Milliseconds after which an idle connection of a caller is closed.
 */
 export const KEEP_ALIVE_MILLISECONDS = 30_000;
 
 /**
-Connections of callers to one host; one more is closed at once.
+Maximum number of connections from callers; further ones are closed at once.
 */
 export const MAX_CALLER_CONNECTIONS = 16_384;
 
 /**
-Longest path with its query, in characters.
+Maximum length of a request target (path with query) in characters.
 */
 export const MAX_REQUEST_TARGET_LENGTH = 8192;
 
 /**
-Longest organisation or idempotency key, in characters.
+Maximum length of an organisation or idempotency key in characters.
 */
 export const MAX_TOKEN_LENGTH = 255;
 
 /**
-Longest deadline a caller may set, in milliseconds.
+Maximum timeout that a caller may set, in milliseconds.
 */
 export const MAX_TIMEOUT_MILLISECONDS = 3_600_000;
 
 /**
-Milliseconds above which the advice when to send again is given as it is, without a spread.
+A longer `Retry-After`, in milliseconds, is sent without random spread.
 */
 export const MAX_SPREAD_RETRY_AFTER_MILLISECONDS = 30_000;
 
 /**
-Milliseconds that opening a connection to an upstream may take before another one is tried.
+Default connect timeout for an upstream in milliseconds, after which another upstream is tried.
 */
 export const CONNECT_TIMEOUT_MILLISECONDS = 1000;
 
 /**
-Milliseconds that a request whose answer is overdue waits for another place: a free one is granted in less. Waiting longer it would take
-the slot of a request that was not sent yet.
+Milliseconds that a request whose answer is overdue waits for another target. A free slot is granted in less time; a longer wait would take
+the slot from a request that has not been sent yet.
 */
 export const MOVE_TIMEOUT_MILLISECONDS = 100;
 
 /**
-Milliseconds after which an unused connection to an upstream is closed: shorter than common servers' own limit, so that a request rarely meets a connection that the server is closing.
+Milliseconds after which an idle connection to an upstream is closed: shorter than the keep-alive timeout of common servers, so that
+a request is rarely sent on a connection that the server is closing.
 */
 export const UPSTREAM_KEEP_ALIVE_MILLISECONDS = 4000;
 
@@ -84,7 +85,7 @@
 export const MILLISECONDS_PER_SECOND = 1000;
 
 /**
-Prefix of the paths that the fleet answers itself.
+Prefix of the paths that the fleet answers itself instead of forwarding.
 */
 export const RESERVED_PREFIX = '/.wagtailroute/';
 
@@ -94,56 +95,56 @@
 export const PROXY_NAME = 'wagtailroute';
 
 /**
-Organisation of a request that names none.
+Organisation of a request without an organisation header.
 */
 export const DEFAULT_ORGANISATION = '';
 
 /**
-Tells the caller what happened to its request.
+Response header that tells the caller whether its request was run.
 */
 export const OUTCOME_HEADER = 'wagtailroute-outcome';
 
 /**
-Names the caller's organisation.
+Request header that names the caller's organisation.
 */
 export const ORGANISATION_HEADER = 'wagtailroute-organisation';
 
 /**
-Set by the host that forwards to a carrier, so that a request is forwarded once at most.
+Request header set by a host that forwards to a carrier, so that a request is forwarded at most once.
 */
 export const FORWARDED_HEADER = 'wagtailroute-forwarded-by';
 
 /**
-Names one intended execution.
+Request header with the idempotency key: requests with the same key are run at most once.
 */
 export const IDEMPOTENCY_HEADER = 'idempotency-key';
 
 /**
-The caller's deadline in milliseconds from now.
+Request header with the caller's timeout in milliseconds.
 */
 export const TIMEOUT_HEADER = 'request-timeout-ms';
 
 /**
-Milliseconds for which the rest of a refused request's body is read, so that its caller gets the answer.
+Milliseconds for which the rest of a refused request's body is read before the connection is closed, so that the caller receives the answer.
 */
 export const LINGER_MILLISECONDS = 2000;
 
 /**
-Bytes of a large body that pass without a wait.
+Bytes that pass without delay when the link was idle.
 */
 export const PACING_BURST_BYTES = 8192;
 
 /**
-Bytes of a large body that are passed on in one piece.
+Size in bytes of the chunks into which a paced body is split; a larger body counts as large.
 */
 export const PACED_CHUNK_BYTES = 8192;
 
 /**
-Part of a link that large bodies may take together in one direction.
+Fraction of the link capacity that all large bodies may use together in one direction.
 */
 export const LARGE_BODY_LINK_FRACTION = 0.7;
 
 /**
-Bytes a second from which on a link needs no pace: 64 KiB take 5 ms.
+Link capacity in bytes per second from which bodies are not paced: 64 KiB take 5 ms there.
 */
 export const MIN_UNPACED_LINK_BYTES_PER_SECOND = 12_500_000;
--- a/packages/wagtailroute-proxy/src/dialect.ts
+++ b/packages/wagtailroute-proxy/src/dialect.ts
@@ -1,6 +1,6 @@
 /**
-The words that callers, this fleet and backend servers use in the headers of requests and answers. A fleet speaks the
-product's own dialect, {@link DEFAULT_DIALECT}, or one that an adapter gives it.
+Dialects: the headers and statuses that callers, the fleet and backend servers use in requests and answers. A fleet uses
+{@link DEFAULT_DIALECT}, or a dialect that an adapter supplies.
 */
 import type * as http from 'node:http';
 import type * as core from 'wagtailroute-core';
@@ -18,45 +18,45 @@
 import {type CallerRequest, parseRequest} from './requests.ts';
 
 /**
-What a backend server's answer is. `answer`: to this request. `shed`: it says that it did not run the request. `misdirected`:
-the same, and that another instance has the address. `unclear`: it must not reach the caller, who would read a promise in it
-that nobody gave. `foreign`: the answer to another request.
+Classification of a backend server's answer. `answer`: the answer to this request. `shed`: it states that the request was not
+run. `misdirected`: like `shed`, and another instance has the address. `unclear`: it must not be relayed, as the caller would
+take its status for a promise that the request was not run. `foreign`: the answer to another request.
 */
 export type AnswerKind = 'answer' | 'shed' | 'misdirected' | 'unclear' | 'foreign';
 
 /**
-A dialect.
+Reads and creates the headers and problem documents of one dialect.
 */
 export type Dialect = {
 	readonly parseRequest: (message: http.IncomingMessage) => results.Result<CallerRequest, RequestFailure>;
 	/**
-	Returns the headers of a request as they are sent on, as alternating names and values.
+	Returns the headers of the request to send to the target, as alternating names and values.
 	*/
 	readonly createRequestHeaders: (message: http.IncomingMessage, options: RequestHeaderOptions) => string[];
 	readonly readAnswer: (status: number, headers: HeaderFields, request: CallerRequest) => AnswerKind;
 	/**
-	Returns what a backend server advertises about itself in the header section of an answer.
+	Returns the advertisements of a backend server about itself in the header section of an answer.
 	*/
 	readonly readAdvertisements: (status: number, headers: HeaderFields) => readonly core.Advertisement[];
 	readonly createAnswerHeaders: (headers: HeaderFields, outcome: core.Outcome) => Record<string, string | string[]>;
 	/**
-	Creates the answer that the fleet itself gives to a failed request.
+	Creates the answer of the fleet to a failed request.
 
-	@param random Uniform in [0, 1): spreads the advice when to send again.
+	@param random Uniform in [0, 1); spreads `Retry-After`.
 	*/
 	readonly createProblem: (failure: RequestFailure, random: () => number) => Problem;
 	/**
-	Says whether the fleet answers a path itself.
+	Returns whether the fleet answers a path itself instead of forwarding.
 	*/
 	readonly isReserved: (path: string) => boolean;
 	/**
-	Backend servers promise that a request they shed never runs, so that one without a key may be sent to another.
+	Whether backend servers guarantee that a shed request never runs, so that one without an idempotency key may be sent to another.
 	*/
 	readonly isShedPromise: boolean;
 };
 
 /**
-The product's own dialect.
+The dialect of the product itself.
 */
 export const DEFAULT_DIALECT: Dialect = {
 	parseRequest,
--- a/packages/wagtailroute-proxy/src/endings.ts
+++ b/packages/wagtailroute-proxy/src/endings.ts
@@ -1,6 +1,6 @@
 /**
-What follows from how far an attempt came: the evidence about its target, what the caller is told, and how a claimed key is
-settled.
+Derives from the result of an attempt the evidence about its target, the failure that the caller is told, and the settlement of a
+claimed idempotency key.
 */
 import type * as core from 'wagtailroute-core';
 import type {AttemptResult} from './attempts.ts';
@@ -14,19 +14,19 @@
 const SERVER_ERROR_STATUS = 500;
 
 /**
-Codes with which a body was cut off by its sender, not by the target.
+Error codes of a request body that was cut off by the caller, not by the target.
 */
 const BODY_ERROR_CODES: ReadonlySet<string> = new Set(['BODY_CUT_OFF', 'UND_ERR_REQ_CONTENT_LENGTH_MISMATCH']);
 
 /**
-Says whether an answer declares that its request was not run.
+Returns whether an answer states that its request was not run.
 */
 export function isShedAnswer(status: number, headers: HeaderFields): boolean {
 	return status === SHED_STATUS && readOutcome(headers) === 'not-run';
 }
 
 /**
-Returns the outcome that a host of the fleet told. Anything unexpected counts as unknown.
+Returns the outcome stated by another host of the fleet. Anything unexpected counts as unknown.
 */
 export function readOutcome(headers: HeaderFields): core.Outcome {
 	const outcome = headers[OUTCOME_HEADER];
@@ -34,7 +34,7 @@
 }
 
 /**
-Returns the evidence that an attempt gives about its target, when nobody gave it up.
+Returns the evidence that an attempt gives about its target. For attempts of requests that were not aborted.
 */
 export function getAttemptEnding(result: AttemptResult): AttemptEnding {
 	if (result.kind === 'relayed' || result.kind === 'discarded') {
@@ -67,7 +67,7 @@
 }
 
 /**
-Says whether the target declared that it did not run the request.
+Returns whether the target stated that it did not run the request.
 */
 function isShedResult(result: AttemptResult): boolean {
 	return result.kind === 'discarded' && result.isShed;
@@ -81,14 +81,14 @@
 ]);
 
 /**
-Code of an attempt whose connection brought the answer to another request.
+Code of an attempt that received the answer to another request.
 */
 export const FOREIGN_ANSWER_CODE = 'HPE_FOREIGN_ANSWER';
 
 const MALFORMED_PATTERN = /^HPE_|^UND_ERR_(?:HEADERS_OVERFLOW|INVALID)/v;
 
 /**
-Returns the failure of an attempt that gave no whole answer to the caller.
+Returns the failure of an attempt whose answer was not relayed whole.
 */
 export function getFailureKind(result: Exclude<AttemptResult, {kind: 'relayed'}>, hasCrashed: boolean): RequestFailureKind {
 	if (result.kind === 'discarded') {
@@ -115,7 +115,8 @@
 }
 
 /**
-Says whether the target may have died of the request: its connection was lost after the send, by nobody's will.
+Returns whether the target may have crashed: its connection was lost after the request was sent, and neither a cut-off
+request body nor a move to another target was the cause.
 */
 export function isConnectionLost(result: AttemptResult): boolean {
 	return (result.kind === 'lost' || result.kind === 'truncated') && !BODY_ERROR_CODES.has(result.code) && result.code !== MOVED_CODE;
@@ -129,7 +130,7 @@
 };
 
 /**
-Describes, for people, an attempt that gave no answer to the caller.
+Returns the detail that the caller is told of an attempt whose answer was not relayed whole.
 */
 export function describeResult(result: Exclude<AttemptResult, {kind: 'relayed'}>, target: string): string {
 	return RESULT_DESCRIPTIONS[result.kind](target);
@@ -141,7 +142,7 @@
 	misdirected: 'failed',
 	timeout: 'overloaded',
 	overdue: 'overloaded',
-	// A deadline that the caller chose too short says nothing of load: callers could shrink the limit for all others.
+	// A short deadline set by the caller is no evidence of load: callers could otherwise shrink the limit for all others.
 	impatience: 'failed',
 	'server-error': 'failed',
 	'connect-error': 'failed',
@@ -151,15 +152,15 @@
 };
 
 /**
-Returns what the last attempt of a request says of load.
+Returns the result of a request for admission control, by the ending of its last attempt.
 */
 export function getReleaseEnding(ending: AttemptEnding | undefined): ReleaseEnding {
 	return ending === undefined ? 'failed' : RELEASE_ENDINGS[ending];
 }
 
 /**
-Returns how a claimed key is settled after the last attempt. `ran` takes a whole answer: a key settled earlier could never
-be answered, and one settled as not-run too easily would run twice.
+Returns the settlement of a claimed key after the last attempt. `ran` requires a whole answer: a key settled earlier could never
+be answered, and a key settled as `not-run` although the request was sent could run twice.
 */
 export function getSettlement(result: AttemptResult | undefined, wasSent: boolean): Settlement {
 	return result?.kind === 'relayed' ? {outcome: 'ran', answer: result.answer} : {outcome: wasSent ? 'unknown' : 'not-run'};
--- a/packages/wagtailroute-proxy/src/exchange.ts
+++ b/packages/wagtailroute-proxy/src/exchange.ts
@@ -1,8 +1,9 @@
 /**
-The way of one request: admitted, read, guarded, its key claimed, sent, answered.
+One exchange: admits the request, reads its body, checks it against the quarantine, claims its idempotency key, sends it and
+answers it.
 
-The claim comes before the first byte and its settlement after the whole answer. Whatever the request waits for, it is
-answered as soon as its deadline is over, and leaves its place as soon as its caller has gone.
+The key is claimed before the first byte is sent and settled after the whole answer. Whatever the request waits for, it is
+answered as soon as its deadline passes, and its admission is released as soon as its caller disconnects.
 */
 import * as buffer from 'node:buffer';
 import * as crypto from 'node:crypto';
@@ -15,13 +16,13 @@
 import {OUTCOME_HEADER} from './constants.ts';
 import * as endings from './endings.ts';
 import * as failures from './failures.ts';
-import {createRequestAbortController} from './request-abort.ts';
 import type * as ports from './ports.ts';
-import type * as requests from './requests.ts';
+import {createRequestAbortController} from './request-abort.ts';
 import {type GrantedClaim, RequestSender} from './request-sender.ts';
+import type * as requests from './requests.ts';
 
 /**
-What an exchange is made from.
+The request of an exchange, its route, and the ports and connections that are used.
 */
 export type ExchangeContext = {
 	readonly ports: ports.TrafficPorts;
@@ -30,7 +31,7 @@
 	readonly response: http.ServerResponse;
 	readonly request: requests.CallerRequest;
 	/**
-	Monotonic milliseconds when its header section was there: its caller's time runs from then on.
+	Monotonic time in milliseconds when the header section had arrived; the deadline counts from then.
 	*/
 	readonly arrivedAt: number;
 	readonly match: ports.RouteMatch;
@@ -42,12 +43,12 @@
 };
 
 /**
-What became of a request: a failure to tell, or nothing more to do.
+The failure to report to the caller; undefined when the request is answered.
 */
 type OptionalFailure = failures.RequestFailure | undefined;
 
 /**
-Serves one request to its end. Never rejects.
+Serves one request until it is answered or aborted. Never rejects.
 */
 export async function serveExchange(context: ExchangeContext): Promise<void> {
 	await new Exchange(context).serve();
@@ -76,7 +77,7 @@
 	async serve(): Promise<void> {
 		const {response} = this.#context;
 		if (this.#getRemainingMilliseconds() === 0) {
-			// Its time was used up before its way began: a timer would only say so after it was sent.
+			// The deadline passed while the request waited for routes. The timer alone would fire only after the request was sent.
 			this.#abortController.abort('deadline');
 		}
 
@@ -84,8 +85,8 @@
 			this.#abortController.abort('deadline');
 		}, this.#getRemainingMilliseconds());
 		response.once('close', () => {
-			// A claimed execution goes on without its caller: cancelled, its key would stay unknown for ever, while its
-			// caller asks again for the stored answer.
+			// A claimed execution continues without its caller: if it were cancelled, the outcome of its key would stay unknown
+			// for ever, although the caller resends the request to get the stored answer.
 			if (!response.writableFinished && this.#claim === undefined) {
 				this.#abortController.abort('cancelled');
 			}
@@ -104,8 +105,8 @@
 	}
 
 	/**
-	A request whose first attempt was lost and whose second could not be sent looks like not-run by the second alone; it
-	would be resent by its caller and could run twice. So whatever follows a sent attempt is at best unknown.
+	Replaces a `not-run` failure by an `unknown` one when an earlier attempt was sent. Otherwise a request whose first attempt was lost
+	and whose second could not be sent would be reported as not run, be resent by its caller and possibly run twice.
 	*/
 	#correctOutcome(failure: OptionalFailure): OptionalFailure {
 		const isReportedNotRun = failure !== undefined && retries.getRequestFailure(failure.kind).outcome === 'not-run';
@@ -208,7 +209,7 @@
 			claim.settle(endings.getSettlement(this.#sender.lastResult, this.#sender.outcome !== 'not-run'));
 			return failure;
 		} catch (error) {
-			// After a defect nobody knows how far the request came: settled as not-run it could run twice.
+			// After an internal error it is unknown how far the request came: settled as not-run it could run twice.
 			claim.settle({outcome: 'unknown'});
 			throw error;
 		}
@@ -265,7 +266,7 @@
 }
 
 /**
-The claim of a request that was given up meanwhile: nothing was sent with it, so the key is free again.
+Settles a claim that was granted after the request was aborted: nothing was sent, so the key becomes free again.
 */
 async function releaseLateClaim(pending: Promise<ports.ClaimAnswer>): Promise<void> {
 	const answer = await pending;
@@ -275,7 +276,7 @@
 }
 
 /**
-Names what a request asks for, so that requests that crash backend servers can be told apart from others.
+Returns a digest of what a request asks for, by which requests that crash backend servers are recognised.
 */
 function createFingerprint(request: requests.CallerRequest, body: bodies.Body): string {
 	const hash = crypto.createHash('sha1').update(`${request.method} ${request.requestTarget}\n`);
--- a/packages/wagtailroute-proxy/src/failures.ts
+++ b/packages/wagtailroute-proxy/src/failures.ts
@@ -1,27 +1,29 @@
 /**
-A request that fails before it has a backend server's answer. What each kind means and what its caller is told stands in
-the table of the retries package.
+Failures of requests. The table `REQUEST_FAILURES` of the retries package defines what each kind means and what the caller is
+told.
 */
 import * as core from 'wagtailroute-core';
 import type * as retries from 'wagtailroute-retries';
 
 /**
-What went wrong with a request.
+Reason of a failure.
 */
 export type RequestFailureKind = retries.RequestFailureKind;
 
 /**
-A request that failed.
+Failure of a request. Its message is sent to the caller.
 */
 export type RequestFailure = core.Failure<RequestFailureKind> & {
 	/**
-	When a resend makes sense, in milliseconds from now; absent when it is that of the kind.
+	Milliseconds after which a resend may succeed; the default of the kind when absent.
 	*/
 	readonly retryAfterMilliseconds?: number;
 };
 
 /**
 Creates a failure.
+
+@param message Sent to the caller as the detail.
 */
 export function createRequestFailure(
 	kind: RequestFailureKind,
--- a/packages/wagtailroute-proxy/src/headers.ts
+++ b/packages/wagtailroute-proxy/src/headers.ts
@@ -1,5 +1,5 @@
 /**
-Header fields on their way through: those that belong to one connection stay behind (RFC 9110, section 7.6.1).
+Headers of forwarded requests and answers. Hop-by-hop headers are removed (RFC 9110, section 7.6.1).
 */
 import type * as http from 'node:http';
 import * as retries from 'wagtailroute-retries';
@@ -11,7 +11,7 @@
 } from './constants.ts';
 
 /**
-Names of the headers that belong to one connection.
+Names of the headers that apply to a single connection, in lower case.
 */
 export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
 	'connection',
@@ -39,37 +39,37 @@
 ]);
 
 /**
-Where a request goes, as far as its headers care.
+Values of the headers that the proxy adds to a request.
 */
 export type RequestHeaderOptions = {
 	/**
-	Milliseconds that remain until the deadline.
+	Milliseconds until the deadline.
 	*/
 	readonly remainingMilliseconds: number;
 	/**
-	Length of the body when it is known and the body is a stream.
+	Length of a streamed body; absent when unknown or when undici determines it.
 	*/
 	readonly contentLength?: number;
 	/**
-	Name of the upstream's instance.
+	Identifier of the target.
 	*/
 	readonly instance?: string;
 	/**
-	Organisation of the caller as the catalogue tells it, empty on a route that needs no key; absent where the catalogue has no organisations.
+	See `RoutedRequest`.
 	*/
 	readonly organisation?: string;
 	/**
-	This host's name when it forwards to a carrier instead of sending to a backend server.
+	Identifier of this host when it forwards to a carrier; absent for a backend server.
 	*/
 	readonly forwardedBy?: string;
 	/**
-	Set on a resend, so that the next tier does not retry it on its own.
+	Number of earlier attempts, set on a resend so that the next tier does not retry it.
 	*/
 	readonly retry?: string;
 };
 
 /**
-Returns the headers of a request as they are sent on, as alternating names and values.
+Returns the headers of the request to send to the target, as alternating names and values.
 */
 export function createRequestHeaders(message: http.IncomingMessage, options: RequestHeaderOptions): string[] {
 	const connectionOptions = getConnectionOptions(message.headers.connection);
@@ -99,14 +99,14 @@
 }
 
 /**
-Header fields by lower-case name.
+Headers by lower-case name.
 */
 export type HeaderFields = Record<string, string | string[] | undefined>;
 
 /**
-Returns the headers of an answer as they go to the caller.
+Returns the headers of a relayed answer.
 
-@param outcome What the caller is told happened to its request.
+@param outcome Outcome that the caller is told.
 */
 export function createAnswerHeaders(received: HeaderFields, outcome: string): Record<string, string | string[]> {
 	const {connection} = received;
@@ -123,7 +123,7 @@
 }
 
 /**
-Returns the names that a Connection header lists besides the usual words.
+Returns the lower-case header names that a Connection header lists (RFC 9110, section 7.6.1); undefined when it holds only a standard option.
 */
 export function getConnectionOptions(connection: string | undefined): ReadonlySet<string> | undefined {
 	return connection === undefined || STANDARD_CONNECTION_OPTIONS.has(connection) ? undefined : new Set(connection.split(',').map(name => name.trim().toLowerCase()));
--- a/packages/wagtailroute-proxy/src/index.ts
+++ b/packages/wagtailroute-proxy/src/index.ts
@@ -1,5 +1,5 @@
 /**
-The way of a request: from a caller through this host to a backend server and back.
+Reverse proxy: forwards requests of callers to backend servers, directly or through another host, and relays their answers.
 */
 export {
 	answerFailure, answerJson, createProblem, createProxyStatus, isFullyRead, type Problem,
@@ -10,37 +10,37 @@
 	type RequestFailureKind,
 } from './failures.ts';
 export type {
+	AdmissionRelease,
 	AdmissionRequest,
 	AttemptEnding,
 	AttemptReport,
-	ClaimAnswer,
 	ChoiceRequest,
+	ClaimAnswer,
 	ClaimRequest,
 	CrashGuard,
 	LostAttempt,
-	RouteMatch,
-	AdmissionRelease,
+	PendingAdmission,
+	PendingTarget,
 	ReleaseEnding,
 	RequestLimits,
 	RequestReport,
 	RetryPort,
+	RouteMatch,
 	RoutedRequest,
+	RoutesPort,
 	ServicePort,
 	Settlement,
 	StoredAnswer,
 	Target,
-	RoutesPort,
 	TrafficPorts,
 	TrialAnswer,
 	TrialEnding,
 	TrialRequest,
 	UpstreamAdvertisement,
-	PendingAdmission,
-	PendingTarget,
 } from './ports.ts';
-export {type AnswerKind, type Dialect, DEFAULT_DIALECT} from './dialect.ts';
+export {type AnswerKind, DEFAULT_DIALECT, type Dialect} from './dialect.ts';
 export {
-	HOP_BY_HOP_HEADERS, getConnectionOptions, type HeaderFields, type RequestHeaderOptions,
+	getConnectionOptions, type HeaderFields, HOP_BY_HOP_HEADERS, type RequestHeaderOptions,
 } from './headers.ts';
 export type {CallerRequest} from './requests.ts';
 export {openTrafficServer, type TrafficServer} from './traffic.ts';
--- a/packages/wagtailroute-proxy/src/overdue.ts
+++ b/packages/wagtailroute-proxy/src/overdue.ts
@@ -1,10 +1,9 @@
 /**
-Moves a request that may be repeated away from a target that leaves it unanswered.
+Moves an idempotent request whose answer is overdue to another target.
 
-What goes wrong without it: an upstream hangs while its connections stay open; each read sent there ends with its deadline, though
-another upstream would have answered in a third of that time; and the upstream is found out two seconds later. So once an answer is
-overdue, another place is asked for, and only when there is one is the first attempt given up: where all are busy, the request stays
-where it is and may still be answered.
+Without it, each read sent to an upstream that hangs with open connections ends with its deadline, although another upstream would
+answer in a third of that time, and the upstream is detected two seconds later. Once the answer is overdue, another target is asked
+for, and the first attempt is aborted only when one is granted: where all are busy, the request stays and may still be answered.
 */
 import * as utils from 'wagtailroute-utils';
 import type {Attempt} from './attempts.ts';
@@ -13,12 +12,12 @@
 import type * as ports from './ports.ts';
 
 /**
-Code of an attempt that was given up because another target takes the request.
+Code of an attempt that was aborted because the request moves to another target.
 */
 export const MOVED_CODE = 'MOVED';
 
 /**
-What a watch needs.
+Options of a watch over one attempt.
 */
 export type OverdueWatchOptions = {
 	readonly attempt: Attempt;
@@ -27,31 +26,31 @@
 	*/
 	readonly overdueMilliseconds: number;
 	/**
-	Asks for another target.
+	Asks for another target, at once or after a wait.
 	*/
 	readonly choose: () => ports.Target | ports.PendingTarget | undefined;
 	/**
-	Gives a target back that is not needed any more.
+	Releases a target that was granted too late to be used.
 	*/
 	readonly releaseTarget: (target: ports.Target) => void;
 };
 
 /**
-The watch over one attempt.
+A watch over one attempt.
 */
 export type OverdueWatch = {
 	/**
-	The answer begins, or the attempt has ended: nothing is moved from now on.
+	Stops the watch when the answer begins or the attempt has ended: the request is not moved afterwards.
 	*/
 	readonly end: () => void;
 	/**
-	Returns the target that takes the request; undefined when it was not moved.
+	Returns the target to which the request moves; undefined when it was not moved.
 	*/
 	readonly getNextTarget: () => ports.Target | undefined;
 };
 
 /**
-Starts watching an attempt.
+Starts a watch. It aborts the attempt with `MOVED_CODE` when the request moves.
 */
 export function startOverdueWatch({attempt, overdueMilliseconds, choose, releaseTarget}: OverdueWatchOptions): OverdueWatch {
 	let nextTarget: ports.Target | undefined;
--- a/packages/wagtailroute-proxy/src/pacing.ts
+++ b/packages/wagtailroute-proxy/src/pacing.ts
@@ -1,39 +1,39 @@
 /**
-Spreads large bodies over time, so that a host's link never has a queue of them.
+Rate limit of large bodies, so that they do not queue on a host's link.
 
-What goes wrong without it: an upload fills the link of a small host for a second, and everything else on that host waits behind its bytes, also the
-few bytes by which it asks where a request goes. Its requests are late, and it takes control hosts for lost that are well.
+Without it an upload fills the link of a small host for a second, and all other traffic queues behind it, including the asks to dispatchers. Requests of the
+host are then late, and it considers healthy control hosts lost.
 */
 import {
-	MIN_UNPACED_LINK_BYTES_PER_SECOND,
+	LARGE_BODY_LINK_FRACTION,
 	MILLISECONDS_PER_SECOND,
+	MIN_UNPACED_LINK_BYTES_PER_SECOND,
 	PACING_BURST_BYTES,
-	LARGE_BODY_LINK_FRACTION,
 } from './constants.ts';
 
 /**
-The pace of one direction of a link.
+Limits the rate of large bodies in one direction of a link.
 */
 export type Pacer = {
 	/**
-	Counts bytes that pass, and returns the milliseconds to wait before the next.
+	Counts bytes that are passed on, and returns the milliseconds to wait before more may follow.
 	*/
 	readonly reserve: (bytes: number) => number;
 };
 
 /**
-A pace that nothing waits for.
+A pacer without a limit.
 */
 export const UNLIMITED_PACER: Pacer = {reserve: () => 0};
 
 /**
-Creates the pace of a direction.
+Creates the pacer of one direction.
 
-@param bytesPerSecond What large bodies may take of it together.
-@param now Monotonic time in milliseconds.
+@param bytesPerSecond Maximum rate of all large bodies together.
+@param now Returns monotonic time in milliseconds.
 */
 export function createPacer(bytesPerSecond: number, now: () => number): Pacer {
-	// When all that has passed is through.
+	// Time at which the bytes counted so far have been transmitted.
 	let freeAt = -Infinity;
 	return {
 		reserve(bytes) {
@@ -46,7 +46,7 @@
 }
 
 /**
-The paces of both directions.
+The pacers of both directions of a link.
 */
 export type Pacers = {
 	readonly receiving: Pacer;
@@ -54,9 +54,9 @@
 };
 
 /**
-Creates the paces of a host, none where its link carries a large body so soon that nothing waits behind it.
+Creates the pacers of a host; undefined when its link is so fast that large bodies delay nothing noticeably.
 
-@param bytesPerSecond What the link carries in each direction.
+@param bytesPerSecond Capacity of the link in each direction.
 */
 export function createPacers(bytesPerSecond: number, now: () => number): Pacers | undefined {
 	if (bytesPerSecond >= MIN_UNPACED_LINK_BYTES_PER_SECOND) {
--- a/packages/wagtailroute-proxy/src/ports.ts
+++ b/packages/wagtailroute-proxy/src/ports.ts
@@ -1,5 +1,5 @@
 /**
-What the way of a request needs from the rest of a host. Each port is small, so that a test can stand in for it.
+Interfaces that the proxy requires from the host it runs in. Each is small, so that tests can supply a substitute.
 */
 import type * as http from 'node:http';
 import type * as core from 'wagtailroute-core';
@@ -9,7 +9,7 @@
 import type {CallerRequest} from './requests.ts';
 
 /**
-Where an attempt goes: a backend server, or a host that carries the service.
+Receiver of an attempt: a backend server, or a host that carries the service.
 */
 export type Target = {
 	readonly id: core.UpstreamId;
@@ -18,55 +18,64 @@
 };
 
 /**
-How a request that had a place ended, as far as load is concerned. `overloaded`: shed by the upstream or timed out; `failed`
-says nothing of load.
+Result of an admitted request as input for admission control. `overloaded`: shed by the upstream or timed out. `failed`: no
+information about load.
 */
 export type ReleaseEnding = 'completed' | 'overloaded' | 'failed';
 
 /**
-Gives a place back.
+The end of an admitted request, reported to admission control.
 */
 export type AdmissionRelease = {
 	readonly organisation: core.Organisation;
+	/**
+	Milliseconds between admission and the end of the request.
+	*/
 	readonly latencyMilliseconds: number;
 	readonly ending: ReleaseEnding;
 };
 
 /**
-A request that waits for its place.
+A request that waits for admission.
 */
 export type PendingAdmission = {
 	/**
-	Undefined when the request has its place.
+	Undefined when the request is admitted, else the reason of the refusal.
 	*/
 	readonly result: Promise<RequestFailure | undefined>;
 	/**
-	Withdraws the request, when its caller has left or its deadline is over: the result is there at once, and is a failure.
+	Withdraws the request when its caller has disconnected or its deadline has passed: `result` resolves at once with a failure.
 	*/
 	readonly cancel: () => void;
 };
 
 /**
-The retry budget of a service, and what is known of its latency.
+Retry budget and usual latency of a service.
 */
 export type RetryPort = {
+	/**
+	Returns whether the budget allows another retry.
+	*/
 	readonly hasBudget: () => boolean;
+	/**
+	Deducts one retry from the budget.
+	*/
 	readonly spend: () => void;
 	/**
-	Milliseconds that an answer usually takes, 0 when it is not known.
+	Usual latency of an answer in milliseconds, 0 when unknown.
 	*/
 	readonly getUsualMilliseconds: () => number;
 	/**
-	Milliseconds after which the answer to a request that may be repeated is overdue, so that it moves to another target. Absent: never.
+	Milliseconds after which the answer to an idempotent request is overdue, so that the request moves to another target. Absent: never.
 	*/
 	readonly getOverdueMilliseconds?: () => number;
 };
 
 /**
-How an attempt ended, as evidence about the target.
+Result of an attempt as evidence about its target.
 
-`overdue`: the answer took so long that the request moved. `timeout` is a deadline of the service's own making, `impatience` one that the caller chose shorter: that says nothing about
-the target.
+`overdue`: the answer took so long that the request was moved to another target. `timeout`: the timeout of the route passed.
+`impatience`: a shorter deadline set by the caller passed, which is no evidence about the target.
 */
 export type AttemptEnding =
 	| 'success'
@@ -82,92 +91,101 @@
 	| 'cancelled';
 
 /**
-One ended attempt.
+Report of one finished attempt.
 */
 export type AttemptReport = {
 	readonly target: Target;
 	readonly ending: AttemptEnding;
 	/**
-	Milliseconds until the answer's header section, or until the end without one.
+	Milliseconds from the start of the attempt to the header section of the answer, or to the end of an attempt without one.
 	*/
 	readonly latencyMilliseconds: number;
+	/**
+	Identifies what the request asks for; empty for a target that was released without an attempt.
+	*/
 	readonly fingerprint: string;
 	/**
-	The upstream crashed with requests in flight of which one may be the cause: no evidence against the upstream.
+	The upstream crashed, and one of the requests in flight may be the cause: no evidence against the upstream.
 	*/
 	readonly hasCrashed: boolean;
 	/**
-	Absent when the caller got the answer.
+	Absent when the answer was relayed to the caller.
 	*/
 	readonly failure?: RequestFailureKind;
 };
 
 /**
-Asks for a place among the requests of a service.
+Asks for admission of a request to a service.
 */
 export type AdmissionRequest = {
 	readonly organisation: core.Organisation;
 	/**
-	Milliseconds until the deadline.
+	Milliseconds until the request's deadline.
 	*/
 	readonly remainingMilliseconds: number;
 	readonly requestClass: core.RequestClass;
 };
 
 /**
-Bounds of the requests of one route.
+Limits of the requests of one route.
 */
 export type RequestLimits = {
 	readonly timeoutMilliseconds: number;
+	/**
+	Maximum size of a request body in bytes.
+	*/
 	readonly bodyBytes: number;
+	/**
+	Maximum number of connections from this host to one upstream.
+	*/
 	readonly connectionsPerUpstream: number;
 	/**
-	Most targets that one request is sent to; that of the retries package when absent.
+	Maximum number of attempts per request; `MAX_ATTEMPTS` of the retries package when absent.
 	*/
 	readonly attempts?: number;
 };
 
 /**
-Asks for the target of an attempt.
+Asks for the target of the next attempt.
 */
 export type ChoiceRequest = {
 	/**
-	Targets that had the request already.
+	Identifiers of the targets that were already tried.
 	*/
 	readonly excluded: ReadonlySet<string>;
 	readonly requestClass: core.RequestClass;
 	readonly requestId?: string;
 	/**
-	Milliseconds until the deadline.
+	Milliseconds until the request's deadline.
 	*/
 	readonly remainingMilliseconds: number;
 	/**
-	Milliseconds since the request came.
+	Milliseconds since the request arrived.
 	*/
 	readonly waitedMilliseconds: number;
 	/**
-	A target got the request before, whether or not it ran it.
+	The request was sent to a target before, whether or not that target ran it.
 	*/
 	readonly isResend: boolean;
 	/**
-	Another target has the request and leaves it unanswered; it stays there unless there is a place at once.
+	The answer of another target is overdue. The request stays with that target unless a slot elsewhere is granted at once.
 	*/
 	readonly isMove: boolean;
 };
 
 /**
-A target that is waited for.
+A choice of a target that is still pending.
 */
 export type PendingTarget = {
 	readonly result: Promise<Target | RequestFailure>;
 	/**
-	Withdraws the request: a target that comes all the same is given back.
+	Withdraws the request; a target that is granted later nevertheless is released.
 	*/
 	readonly cancel: () => void;
 };
 
 /**
-Where a request belongs, as far as its way cares.
+Service and route of a request.
 */
 export type RouteMatch = {
 	readonly service: core.ServiceName;
@@ -178,50 +196,57 @@
 };
 
 /**
-A request's route, and what this host holds for its service.
+Route of a request and the port of its service.
 */
 export type RoutedRequest = {
 	readonly match: RouteMatch;
 	readonly service: ServicePort;
 	/**
-	Organisation of the caller as the catalogue tells it, empty on a route that needs no key; absent where the catalogue has no organisations.
+	Organisation that the catalogue assigns to the caller's key; empty on a public route when the request has no known key, absent where the catalogue has no organisations.
 	*/
 	readonly organisation?: core.Organisation;
 };
 
 /**
-What a host holds for one service in force.
+What a host provides for the requests of one service.
 */
 export type ServicePort = {
 	readonly limits: RequestLimits;
 	/**
-	This host carries the service; otherwise its targets are hosts that do.
+	Whether this host carries the service; otherwise its targets are hosts that do.
 	*/
 	readonly isCarried: boolean;
 	/**
-	Takes a place at once (undefined), waits for one a bounded time, or says why not.
+	Admits the request at once (undefined), queues it for a bounded time, or refuses it.
 	*/
 	readonly admit: (request: AdmissionRequest) => RequestFailure | PendingAdmission | undefined;
 	readonly release: (release: AdmissionRelease) => void;
 	/**
-	Chooses a target for the next attempt, at once or after a wait.
+	Chooses the target of the next attempt, at once or after a wait. Undefined when there is none.
 	*/
 	readonly choose: (choice: ChoiceRequest) => Target | PendingTarget | undefined;
 	/**
-	Says whether there is a target beside the excluded ones, as far as is known at once.
+	Returns whether this host knows a target other than the excluded ones.
 	*/
 	readonly hasOtherTarget: (choice: ChoiceRequest) => boolean;
+	/**
+	Called when an attempt starts.
+	*/
 	readonly begin: (target: Target) => void;
 	/**
-	Called when the header section of an answer advertises something about the target.
+	Called when the header section of an answer carries advertisements of the target about itself.
 	*/
 	readonly recordAdvertisements?: (target: Target, advertisements: readonly core.Advertisement[]) => void;
+	/**
+	Called when an attempt ends, also for a target that was chosen and not used.
+	*/
 	readonly end: (report: AttemptReport) => void;
 	readonly retry: RetryPort;
 };
 
 /**
-What a claim of an idempotency key comes to.
+Result of a claim of an idempotency key. `granted`: the request may be sent while `isSendable` returns true, and `settle` reports its result.
+`stored`: an earlier request with the key ran and its answer is kept.
 */
 export type ClaimAnswer =
 	| {readonly kind: 'granted'; readonly isSendable: () => boolean; readonly settle: (settlement: Settlement) => void}
@@ -229,26 +254,26 @@
 	| {readonly kind: 'refused'; readonly failure: RequestFailure};
 
 /**
-A whole answer kept for a resend.
+A complete answer, kept for later requests with the same idempotency key.
 */
 export type StoredAnswer = {
 	readonly status: number;
 	readonly headers: Readonly<Record<string, string | string[]>>;
 	/**
-	Base64.
+	Body in base64.
 	*/
 	readonly body: string;
 };
 
 /**
-How a claimed execution ended. An answer too large to keep is settled as `ran` without one.
+Result of the execution under a claim. `ran` has no answer when the answer was too large to keep.
 */
 export type Settlement =
 	| {readonly outcome: 'ran'; readonly answer?: StoredAnswer}
 	| {readonly outcome: 'not-run' | 'unknown'};
 
 /**
-A claim of an idempotency key.
+Asks for a claim of an idempotency key. Method, request target, content length and body are compared with those of an earlier claim of the key.
 */
 export type ClaimRequest = {
 	readonly service: core.ServiceName;
@@ -256,13 +281,16 @@
 	readonly key: string;
 	readonly method: string;
 	readonly requestTarget: string;
+	/**
+	The body, or its first part when it is larger than what is buffered.
+	*/
 	readonly body: Uint8Array;
 	readonly contentLength?: number;
 	readonly timeoutMilliseconds: number;
 };
 
 /**
-Asks to send a request that may crash backend servers to one of them.
+Asks for permission to send a request that is suspected of crashing backend servers to one of them.
 */
 export type TrialRequest = {
 	readonly service: core.ServiceName;
@@ -272,7 +300,7 @@
 };
 
 /**
-Whether the request may be sent there. `busy`: another suspect is on trial there, ask with another one.
+Whether a suspect request may be sent to the upstream. `free`: it is no longer suspect. `busy`: another suspect is on trial at this upstream; another upstream may be asked for.
 */
 export type TrialAnswer =
 	| {readonly kind: 'free'}
@@ -281,7 +309,7 @@
 	| {readonly kind: 'refused'; readonly failure: RequestFailure};
 
 /**
-How a trial ended. `lost`: whether the upstream survives is not known.
+Result of a trial. `lost`: the connection was lost, so it is unknown whether the upstream survived.
 */
 export type TrialEnding = 'completed' | 'not-sent' | 'lost';
 
@@ -296,86 +324,86 @@
 };
 
 /**
-Guards backend servers from requests that crash them.
+Protects backend servers from requests that crash them.
 */
 export type CrashGuard = {
 	/**
-	Costs a look-up only.
+	Returns what is known of requests with this fingerprint. A local look-up, as it is called for each request.
 	*/
 	readonly getQuarantineStatus: (service: core.ServiceName, fingerprint: string) => 'free' | 'suspect' | 'quarantined';
 	readonly requestTrial: (request: TrialRequest) => Promise<TrialAnswer>;
 	/**
-	Looks into a loss and says whether the upstream has crashed. What became of the request is told only then: its caller
-	would send it again before the fleet knows what it does.
+	Determines whether the upstream has crashed. The caller is answered only after this resolves: otherwise it could resend the request
+	before the fleet knows that the request is suspect.
 	*/
 	readonly detectCrash: (attempt: LostAttempt) => Promise<boolean>;
 	/**
-	Notes that an upstream has survived a request.
+	Records that an upstream has answered a request without crashing.
 	*/
 	readonly recordSurvival: (service: core.ServiceName, fingerprint: string) => void;
 };
 
 /**
-Whether there are routes to choose from: not right after a start.
+Whether the host has loaded its routes; it has none directly after its start.
 */
 export type RoutesPort = {
 	readonly areKnown: () => boolean;
 	/**
-	Resolves when they are known, or after a bounded time.
+	Resolves when the routes are known, or after a bounded time.
 	*/
 	readonly wait: () => Promise<void>;
 };
 
 /**
-Everything the way of a request asks of the host.
+Everything that the traffic server requires from the host.
 */
 export type TrafficPorts = {
 	readonly hostId: core.HostId;
 	/**
-	Monotonic time in milliseconds.
+	Returns monotonic time in milliseconds.
 	*/
 	readonly now: () => number;
 	readonly dialect: Dialect;
 	/**
-	Finds the route of a request and its service.
+	Returns the route of a request and the port of its service.
 	*/
 	readonly route: (request: CallerRequest) => RoutedRequest | RequestFailure;
 	/**
-	Absent: routes are always known.
+	Absent when routes are known from the start.
 	*/
 	readonly routes?: RoutesPort;
 	readonly claim: (request: ClaimRequest) => Promise<ClaimAnswer>;
 	readonly guard: CrashGuard;
 	/**
-	Uniform in [0, 1).
+	Returns random numbers, uniform in [0, 1).
 	*/
 	readonly random: () => number;
 	/**
-	Answers the reserved paths.
+	Answers requests to the paths that the dialect reserves for the fleet.
 	*/
 	readonly answerReserved: (message: http.IncomingMessage, response: http.ServerResponse, path: string) => void;
 	readonly isDraining: () => boolean;
 	/**
-	Absent: bodies pass as fast as they come.
+	Limit the rate of large bodies on a slow link; absent when bodies are not paced.
 	*/
 	readonly pacers?: Pacers;
 	/**
-	Milliseconds that opening a connection to an upstream may take; the product's own bound when absent.
+	Connect timeout for upstreams in milliseconds; `CONNECT_TIMEOUT_MILLISECONDS` when absent.
 	*/
 	readonly connectTimeoutMilliseconds?: number;
 	/**
-	Told of each answer: the service, what was told, the status and the milliseconds it took.
+	Called once for each routed request, after it is answered or its caller has disconnected.
 	*/
 	readonly recordRequest: (report: RequestReport) => void;
 };
 
 /**
-An advertisement and the upstream whose answer held it.
+An advertisement and the upstream that sent it.
 */
 export type UpstreamAdvertisement = core.Advertisement & {readonly upstream: core.UpstreamId};
 
 /**
-One answered request, for reports.
+Report of one request, for logs and metrics.
 */
 export type RequestReport = {
 	readonly requestId?: string;
@@ -383,28 +411,37 @@
 	readonly requestClass: core.RequestClass;
 	readonly organisation?: core.Organisation;
 	/**
-	Attempts made, and the target of the last one.
+	Number of attempts.
 	*/
 	readonly attempts: number;
+	/**
+	Target of the last attempt.
+	*/
 	readonly upstream?: core.UpstreamId;
 	/**
-	What the answers to all attempts advertised.
+	Advertisements in the answers to all attempts.
 	*/
 	readonly advertised: readonly UpstreamAdvertisement[];
 	/**
-	Milliseconds for which it was waited for targets.
+	Milliseconds spent waiting for targets, over all attempts.
 	*/
 	readonly choosingMilliseconds: number;
+	/**
+	Outcome that the caller was told.
+	*/
 	readonly outcome: core.Outcome;
 	readonly status: number;
+	/**
+	Milliseconds from the arrival of the request to its end.
+	*/
 	readonly milliseconds: number;
 	readonly failure?: RequestFailure;
 	/**
-	The caller went away before it had the whole answer.
+	The caller disconnected before it had received the whole answer.
 	*/
 	readonly isCancelled: boolean;
 	/**
-	Another host sent it here: that host notes it too, so whoever counts a fleet's requests leaves this one out.
+	Another host forwarded the request and reports it too, so fleet-wide counts of requests must skip this report.
 	*/
 	readonly isForwarded: boolean;
 };
--- a/packages/wagtailroute-proxy/src/request-abort.ts
+++ b/packages/wagtailroute-proxy/src/request-abort.ts
@@ -1,34 +1,37 @@
 /**
-Giving a request up: its deadline is over or its caller has left. Whatever it waits for is left at once, so that its last
-answer is not held back by it.
+Abort of a request whose deadline has passed or whose caller has disconnected. Whatever the request waits for is cancelled at
+once, so that the final answer is not delayed by it.
 */
 
 /**
-Why a request was given up.
+Why a request was aborted. `cancelled`: the caller disconnected.
 */
 export type AbortReason = 'deadline' | 'cancelled';
 
 /**
-Whether a request was given up.
+Aborts one request and notifies what it waits for.
 */
 export type RequestAbortController = {
+	/**
+	Undefined while the request is not aborted.
+	*/
 	readonly getReason: () => AbortReason | undefined;
 	/**
-	The first reason stays.
+	Aborts the request. Later calls have no effect, so the first reason is kept.
 	*/
 	readonly abort: (reason: AbortReason) => void;
 	/**
-	Called when the request is given up, at once when it has been.
+	Sets the listener that is called on abort, at once when the request is aborted already. It replaces the listener before it.
 	*/
 	readonly setListener: (listener: (reason: AbortReason) => void) => void;
 	/**
-	Returns the value, or undefined as soon as the request is given up.
+	Resolves with the value, or with undefined as soon as the request is aborted.
 	*/
 	readonly race: <Value>(pending: Promise<Value>) => Promise<Value | undefined>;
 };
 
 /**
-Creates it for one request. It has one listener at a time: what the request waits for at present.
+Creates the controller of one request. It has a single listener, as a request waits for one thing at a time.
 */
 export function createRequestAbortController(): RequestAbortController {
 	const aborted = Promise.withResolvers<undefined>();
--- a/packages/wagtailroute-proxy/src/request-sender.ts
+++ b/packages/wagtailroute-proxy/src/request-sender.ts
@@ -1,8 +1,8 @@
 /**
-The attempts of one request: sent to a target, and to another one where the rules of the retries package allow it.
+Sends one request to a target, and to further ones where the rules of the retries package allow it.
 
-The outcome told follows from how far all attempts came, not only the last one. A request that is suspected of crashing
-backend servers is sent only on trial.
+The outcome reported to the caller takes all attempts into account, not only the last one. A request that is suspected of
+crashing backend servers is sent only on trial.
 */
 import type * as http from 'node:http';
 import * as timers from 'node:timers/promises';
@@ -14,14 +14,14 @@
 import type {AnswerKind} from './dialect.ts';
 import * as endings from './endings.ts';
 import * as failures from './failures.ts';
-import type {RequestAbortController} from './request-abort.ts';
 import type * as headers from './headers.ts';
 import type * as ports from './ports.ts';
+import type {RequestAbortController} from './request-abort.ts';
 import type * as requests from './requests.ts';
 import {type RequestClock, Targets} from './targets.ts';
 
 /**
-What the attempts of a request need.
+The request to send, its route, and the ports and connections that are used.
 */
 export type SenderContext = {
 	readonly ports: ports.TrafficPorts;
@@ -38,7 +38,7 @@
 };
 
 /**
-A claim that lets a keyed request be sent.
+A claim of an idempotency key under which the request may be sent.
 */
 export type GrantedClaim = Extract<ports.ClaimAnswer, {kind: 'granted'}>;
 
@@ -47,30 +47,30 @@
 type FailedAttempt = Exclude<attempts.AttemptResult, {kind: 'relayed'}>;
 
 /**
-The attempts of one request.
+Sends one request, in one or more attempts.
 */
 export class RequestSender {
 	/**
-	Names what the request asks for.
+	Identifies what the request asks for; set before `run`.
 	*/
 	fingerprint = '';
 	/**
-	What is known of all attempts: `not-run` until one may have run.
+	Merged outcome of all failed attempts: `not-run` until one may have run.
 	*/
 	outcome: core.Outcome = 'not-run';
 	/**
-	What the caller was told with a relayed answer.
+	Outcome that the caller was told with a relayed answer.
 	*/
 	reportedOutcome: core.Outcome = 'not-run';
 	lastResult: attempts.AttemptResult | undefined;
 	lastEnding: ports.AttemptEnding | undefined;
 	lastUpstream: core.UpstreamId | undefined;
 	/**
-	What the answers to all attempts advertised.
+	Advertisements in the answers to all attempts.
 	*/
 	readonly advertised: ports.UpstreamAdvertisement[] = [];
 	/**
-	Milliseconds for which it was waited for targets, over all attempts.
+	Milliseconds spent waiting for targets, over all attempts.
 	*/
 	choosingMilliseconds = 0;
 	readonly #context: SenderContext;
@@ -84,7 +84,7 @@
 	#isTrialBusy = false;
 	#isMoving = false;
 	/**
-	A target got the request, whether or not it ran it.
+	The request was sent to a target, whether or not that target ran it.
 	*/
 	#hasBeenSent = false;
 
@@ -96,7 +96,7 @@
 	}
 
 	/**
-	Sends until there is an answer or no more may be tried.
+	Makes attempts until an answer is relayed or no further attempt is allowed. Returns the failure to report, undefined when an answer was relayed.
 	*/
 	async run(body: bodies.Body, claim?: GrantedClaim): Promise<OptionalFailure> {
 		this.#body = body;
@@ -143,14 +143,14 @@
 	}
 
 	/**
-	Returns how many targets got the request.
+	Returns the number of attempts made.
 	*/
 	getAttemptCount(): number {
 		return this.#attemptCount;
 	}
 
 	/**
-	Describes why the request was given up, if it was.
+	Returns the failure that describes the abort of the request, if it was aborted.
 	*/
 	describeAbort(): OptionalFailure {
 		const reason = this.#abortController.getReason();
@@ -171,7 +171,7 @@
 	async #requestTrial(target: ports.Target): Promise<ports.TrialAnswer | undefined> {
 		const {service, match, ports: {guard}} = this.#context;
 		const {fingerprint} = this;
-		// Asked before each attempt: the attempt before may have made the request a suspect.
+		// Checked before each attempt, as the previous attempt may have made the request a suspect.
 		if (!service.isCarried || guard.getQuarantineStatus(match.service, fingerprint) === 'free') {
 			return undefined;
 		}
@@ -216,7 +216,8 @@
 	}
 
 	/**
-	This host was stopped between the grant and here: the key may be another's by now, or another copy be on trial.
+	Returns a result without sending when the claim or the trial has expired, as after a pause of this process: another host may hold the
+	key by now, or another copy of the request may be on trial.
 	*/
 	#checkExpiry(trial: GrantedTrial | undefined): FailedAttempt | undefined {
 		if (this.#claim?.isSendable() === false) {
@@ -304,14 +305,14 @@
 			body: bodies.getSendableBody(body, pacers?.sending),
 			response,
 			decideAnswer: (status, received) => this.#decideAnswer(status, received, target),
-			createAnswerHeaders: received => this.#createHeaders(received, target),
+			createAnswerHeaders: received => this.#createAnswerHeaders(received, target),
 			isAnswerStored: this.#claim !== undefined,
 			onAnswerHeaders,
 		};
 	}
 
 	/**
-	Decides on an answer when its header section is there: what is relayed can not be tried elsewhere any more.
+	Decides what is done with an answer when its header section has arrived. A relayed answer rules out further attempts.
 	*/
 	#decideAnswer(status: number, received: headers.HeaderFields, target: ports.Target): attempts.AnswerAction {
 		const {service, request, ports: {dialect}} = this.#context;
@@ -329,13 +330,13 @@
 			return isShed ? kind : 'repeat';
 		}
 
-		// A carrier says why it did not run the request, which is worth more to the caller than that it did not.
+		// The answer of a carrier states why the request was not run, which tells the caller more than a shed answer of this host.
 		const isRelayed = kind === 'answer' || (isShed && target.kind === 'host');
 		return isRelayed ? 'relay' : (isShed ? kind : 'repeat');
 	}
 
 	/**
-	Ignores answers that are not the target's own.
+	Records the advertisements of an upstream. Answers from another instance or to another request are ignored.
 	*/
 	#recordAdvertisements(
 		kind: AnswerKind,
@@ -354,7 +355,7 @@
 	}
 
 	/**
-	Decides whether the request is sent again, and pays for it.
+	Decides whether the request is sent again, and spends a retry of the budget if so.
 	*/
 	#decideRetry(failure: failures.RequestFailureKind, result: FailedAttempt): retries.RetryDecision {
 		const {service, request, match, ports: {dialect, random}} = this.#context;
@@ -382,7 +383,7 @@
 		return decision;
 	}
 
-	#createHeaders(received: headers.HeaderFields, target: ports.Target): Record<string, string | string[]> {
+	#createAnswerHeaders(received: headers.HeaderFields, target: ports.Target): Record<string, string | string[]> {
 		const targetOutcome = target.kind === 'host' ? endings.readOutcome(received) : 'ran';
 		this.reportedOutcome = retries.mergeOutcomes(this.outcome, targetOutcome);
 		return this.#context.ports.dialect.createAnswerHeaders(received, this.reportedOutcome);
@@ -405,7 +406,7 @@
 }
 
 /**
-The trial of a request that was given up meanwhile: nothing was sent, so another copy may be tried.
+Ends a trial that was granted after the request was aborted: nothing was sent, so another copy may be tried.
 */
 async function releaseLateTrial(pending: Promise<ports.TrialAnswer>): Promise<void> {
 	const answer = await pending;
--- a/packages/wagtailroute-proxy/src/requests.ts
+++ b/packages/wagtailroute-proxy/src/requests.ts
@@ -1,5 +1,5 @@
 /**
-A caller's request, checked: what the fleet needs to know of it before it goes anywhere.
+Parses and validates the requests of callers before anything is sent.
 */
 import type * as http from 'node:http';
 import type * as core from 'wagtailroute-core';
@@ -18,50 +18,50 @@
 import {createRequestFailure, type RequestFailure} from './failures.ts';
 
 /**
-A checked request.
+A validated request.
 */
 export type CallerRequest = {
 	/**
-	The caller's name for the request, for logs and to tell answers apart.
+	Request identifier set by the caller, for logs and to match answers with requests.
 	*/
 	readonly id?: string;
 	readonly method: string;
 	/**
-	Path with its query, as received.
+	Path with query, as received.
 	*/
 	readonly requestTarget: string;
 	/**
-	Path without its query.
+	Path without query.
 	*/
 	readonly path: string;
 	/**
-	Host name without its port, in lower case.
+	Host name without port, in lower case.
 	*/
 	readonly host: string;
 	/**
-	Empty where it follows from the key.
+	Organisation that the caller names; empty where it is derived from `key`.
 	*/
 	readonly organisation: core.Organisation;
 	/**
-	The secret by which the caller proves its organisation. It goes to no log and no backend server.
+	API key that authenticates the caller's organisation. Must not be logged or sent to backend servers.
 	*/
 	readonly key?: string;
 	readonly idempotencyKey?: string;
 	/**
-	The caller's own deadline in milliseconds from arrival.
+	Timeout set by the caller, in milliseconds from arrival.
 	*/
 	readonly timeoutMilliseconds?: number;
 	/**
-	Declared length of the body in bytes; absent when it is not declared.
+	Content-Length in bytes; absent when the request has none.
 	*/
 	readonly contentLength?: number;
 	readonly hasBody: boolean;
 	/**
-	Another host of the fleet sent it here.
+	Whether another host of the fleet forwarded the request to this host.
 	*/
 	readonly isForwarded: boolean;
 	/**
-	Sends that another tier made before this one, as it says; absent for a first send.
+	Value of the Wagtailroute-Retry header: number of earlier attempts by another tier; absent for a first attempt.
 	*/
 	readonly tierRetry?: string;
 };
@@ -71,7 +71,7 @@
 const PORT_PATTERN = /:\d+$/v;
 
 /**
-Checks a request. Every failure is told before anything was sent.
+Parses and validates a request. All failures are of stage `receiving`: nothing has been sent.
 */
 export function parseRequest(message: http.IncomingMessage): results.Result<CallerRequest, RequestFailure> {
 	const failure = findRequestTargetFailure(message) ?? findHeaderFailure(message.headers);
--- a/packages/wagtailroute-proxy/src/targets.ts
+++ b/packages/wagtailroute-proxy/src/targets.ts
@@ -1,17 +1,17 @@
 /**
-The targets of one request: which had it, which gets it next, and which takes it from one that leaves it unanswered.
+The targets of one request: those already tried, the next one, and the one to which it moves when an answer is overdue.
 */
 import * as core from 'wagtailroute-core';
 import * as retries from 'wagtailroute-retries';
 import type {Attempt} from './attempts.ts';
 import type * as failures from './failures.ts';
-import type {RequestAbortController} from './request-abort.ts';
 import {type OverdueWatch, startOverdueWatch} from './overdue.ts';
 import type * as ports from './ports.ts';
+import type {RequestAbortController} from './request-abort.ts';
 import type * as requests from './requests.ts';
 
 /**
-What choosing targets needs.
+The request whose targets are chosen.
 */
 export type TargetsContext = {
 	readonly request: requests.CallerRequest;
@@ -20,35 +20,35 @@
 };
 
 /**
-What is known of an attempt that may be moved.
+Properties of an attempt that decide whether it may be moved.
 */
 export type MovableAttempt = {
 	/**
-	Targets that got the request, this one included.
+	Number of attempts made, this one included.
 	*/
 	readonly count: number;
 	/**
-	Its body is still at hand, whole.
+	The whole body is buffered, so that it can be sent again.
 	*/
 	readonly isReplayable: boolean;
 };
 
 /**
-The time of a request, in milliseconds.
+Remaining and elapsed time of a request.
 */
 export type RequestClock = {
 	/**
-	Until its deadline.
+	Milliseconds until the deadline.
 	*/
 	readonly getRemainingMilliseconds: () => number;
 	/**
-	Since it came.
+	Milliseconds since the request arrived.
 	*/
 	readonly getElapsedMilliseconds: () => number;
 };
 
 /**
-The targets of one request.
+Chooses the targets of one request.
 */
 export class Targets {
 	readonly #tried = new Set<string>();
@@ -57,7 +57,7 @@
 	readonly #getRemainingMilliseconds: () => number;
 	readonly #getElapsedMilliseconds: () => number;
 	/**
-	Granted already, to a request that moves.
+	Target already granted to a request that moves, used by the next attempt.
 	*/
 	#nextTarget: ports.Target | undefined;
 
@@ -69,14 +69,16 @@
 	}
 
 	/**
-	Leaves a target out from now on.
+	Excludes a target from all later choices.
 	*/
 	exclude(target: ports.Target): void {
 		this.#tried.add(target.id);
 	}
 
 	/**
-	Returns the next target, or why there is none.
+	Returns the target of the next attempt, or the reason why there is none; undefined when the service has no other target.
+
+	@param isResend The request was sent to a target before.
 	*/
 	async choose(isResend: boolean): Promise<ports.Target | failures.RequestFailure | undefined> {
 		const next = this.#nextTarget;
@@ -90,7 +92,7 @@
 			return chosen;
 		}
 
-		// Whoever gave up waiting gives the target back.
+		// A target that is granted after the cancellation is released by the port.
 		this.#abortController.setListener(() => {
 			chosen.cancel();
 		});
@@ -99,6 +101,9 @@
 		return target;
 	}
 
+	/**
+	Creates the request for a target, with the tried ones excluded.
+	*/
 	createChoice(isResend: boolean): ports.ChoiceRequest {
 		const {match, request} = this.#context;
 		return {
@@ -113,7 +118,8 @@
 	}
 
 	/**
-	Watches an attempt that may be moved: it may be repeated, another attempt is allowed, and its time suffices.
+	Starts a watch over an attempt that may be moved: the request is idempotent and its body buffered, another attempt is allowed, and
+	the time left suffices for one. Returns undefined for other attempts.
 	*/
 	watch(attempt: Attempt, {count, isReplayable}: MovableAttempt): OverdueWatch | undefined {
 		const {service: {retry, limits, choose}, match} = this.#context;
@@ -135,7 +141,7 @@
 	}
 
 	/**
-	Takes what came of a watch; returns whether the request moves.
+	Keeps the target to which a watch moved the request, for the next attempt. Returns whether the request moves.
 	*/
 	recordMove(watch: OverdueWatch | undefined): boolean {
 		this.#nextTarget = watch?.getNextTarget();
@@ -143,7 +149,7 @@
 	}
 
 	/**
-	The request is not sent any more. A target that was granted and never used would stay taken until somebody looked for it.
+	Releases a granted target when the request is not sent any more. Otherwise its slot would stay occupied until a check finds it unused.
 	*/
 	releaseUnused(): void {
 		if (this.#nextTarget === undefined) {
--- a/packages/wagtailroute-proxy/src/traffic.ts
+++ b/packages/wagtailroute-proxy/src/traffic.ts
@@ -1,5 +1,5 @@
 /**
-The server that callers and backend servers talk to.
+HTTP server that receives the requests of callers.
 */
 import * as http from 'node:http';
 import type * as net from 'node:net';
@@ -8,10 +8,10 @@
 import {answerFailure} from './answers.ts';
 import {type ConnectionPools, createConnectionPools} from './connections.ts';
 import {
-	MAX_HEADER_BYTES,
 	HEADERS_TIMEOUT_MILLISECONDS,
 	KEEP_ALIVE_MILLISECONDS,
 	MAX_CALLER_CONNECTIONS,
+	MAX_HEADER_BYTES,
 	PACED_CHUNK_BYTES,
 	REQUEST_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
@@ -20,34 +20,34 @@
 import type {TrafficPorts} from './ports.ts';
 
 /**
-The traffic server of a host.
+A running traffic server.
 */
 export type TrafficServer = {
 	readonly connections: ConnectionPools;
 	/**
-	The address it listens on, with the port that the system chose for port 0.
+	Address on which the server listens, with the port that the system chose for port 0.
 	*/
 	readonly address: core.Address;
 	/**
-	Requests under way.
+	Returns the number of requests in progress.
 	*/
 	readonly getInFlight: () => number;
 	/**
-	Bytes of ended requests and their answers so far, as callers' connections carried them.
+	Returns the total number of bytes received from and sent to callers for finished requests.
 	*/
 	readonly getTransferredBytes: () => number;
 	/**
-	Bytes of large bodies of the requests under way, as far as they are declared.
+	Returns the sum of the Content-Lengths of large request bodies in progress.
 	*/
 	readonly getLargeBodyBytes: () => number;
 	/**
-	Takes no new connections, finishes every request in flight, then closes.
+	Accepts no new connections, and resolves when all requests in progress are finished and the connections closed.
 	*/
 	readonly drain: () => Promise<void>;
 };
 
 /**
-Opens the server.
+Opens the server and the connection pools to upstreams.
 */
 export async function openTrafficServer(address: core.Address, ports: TrafficPorts): Promise<TrafficServer> {
 	const connections = createConnectionPools(ports.connectTimeoutMilliseconds);
@@ -79,8 +79,8 @@
 			countedBytesBySocket.set(socket, socketBytes);
 			inFlightBySocket.set(socket, (inFlightBySocket.get(socket) ?? 1) - 1);
 			if (isClosing) {
-				// The answer may have begun before the drain and kept its connection: Node closes what is idle only once, at the
-				// close, so the host would wait for its caller's next request or the keep-alive time.
+				// `server.close()` closes idle connections only once. A connection whose answer began before the drain stays open
+				// after it, and the drain would wait for the caller's next request or the keep-alive timeout.
 				setImmediate(() => {
 					server.closeIdleConnections();
 				});
@@ -90,8 +90,8 @@
 	});
 	server.maxConnections = MAX_CALLER_CONNECTIONS;
 	server.on('clientError', (error: ClientError, socket: net.Socket) => {
-		// Bytes that follow a whole request may be malformed while it is under way. A `not-run` written then would be read as its
-		// answer although it runs, and be sent again; a connection that is cut says what is known, nothing.
+		// Malformed bytes may follow a complete request that is still running. A `not-run` answer written then would be taken as
+		// the answer to that request, and the caller would resend it; a destroyed connection promises nothing.
 		if ((inFlightBySocket.get(socket) ?? 0) > 0) {
 			socket.destroy();
 			return;
@@ -107,7 +107,7 @@
 		getTransferredBytes: () => transferredBytes,
 		getLargeBodyBytes: () => largeBodyBytes,
 		async drain() {
-			// Closes idle connections now and the others after their answer.
+			// Idle connections are closed now, the others after their answer.
 			isClosing = true;
 			await new Promise<void>(resolve => {
 				server.close(() => {
@@ -125,7 +125,7 @@
 	message: http.IncomingMessage,
 	response: http.ServerResponse,
 ): void {
-	// Without a listener an error on a caller's connection would end the process; 'close' tells all there is to know.
+	// Without a listener an error on a caller's connection would end the process. Exchanges react to the 'close' that follows.
 	message.on('error', () => undefined);
 	response.on('error', () => undefined);
 	const arrivedAt = ports.now();
@@ -166,7 +166,7 @@
 	}
 
 	if (ports.isDraining()) {
-		// The answer closes the connection, so that the caller asks for another address.
+		// The connection is closed after the answer, so that the caller looks up another address.
 		response.setHeader('connection', 'close');
 	}
 
@@ -192,7 +192,8 @@
 type ClientError = Error & {readonly code?: string};
 
 /**
-Answers what the parser refused: malformed requests, conflicting lengths, header sections that are too large or too slow.
+Answers requests that the HTTP parser rejected: malformed requests, conflicting lengths, header sections that are too large or
+received too slowly.
 */
 function answerClientError({dialect, random}: TrafficPorts, error: ClientError, socket: net.Socket): void {
 	if (!socket.writable || error.code === 'ECONNRESET') {
