--- a/packages/wagtailroute-proxy/src/attempts.ts
+++ b/packages/wagtailroute-proxy/src/attempts.ts
@@ -183,7 +183,7 @@
 			this.#relay(controller, chunk);
 		} else if (this.#phase === 'discarding' && this.#receivedBytes > MAX_DISCARDED_ANSWER_BYTES) {
 			this.#end(this.#createDiscarded());
-			controller.abort(new Error(`Discarded answer is longer than ${MAX_DISCARDED_ANSWER_BYTES} bytes`));
+			controller.abort(new Error('Discarded answer is too long to be read to its end'));
 		}
 	}
 
