--- a/packages/wagtailroute-proxy/src/__tests__/unit/pacing.test.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/pacing.test.ts
@@ -9,7 +9,7 @@
 import * as bodies from '../../bodies.ts';
 import * as proxy from '../../index.ts';
 
-test('bytes that pass without a delay keep to the rate limit', t => {
+test('bytes pass at the configured rate', t => {
 	let now = 0;
 	const pacer = proxy.createPacer(100_000, () => now);
 	let reservedBytes = 0;
