--- a/packages/wagtailroute-proxy/src/__tests__/unit/pacing.test.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/pacing.test.ts
@@ -1,7 +1,7 @@
 /**
 Tests of the pacing of large bodies on slow links.
 
-Guards against late requests and the loss of healthy dispatchers: without pacing an upload fills the host's link for a second, and an ask to a dispatcher
+Guards against late requests and the loss of healthy dispatchers: without pacing an upload fills the host's link for a second, and a slot request to a dispatcher
 queues behind it for longer than its timeout.
 */
 import * as buffer from 'node:buffer';
--- a/packages/wagtailroute-proxy/src/pacing.ts
+++ b/packages/wagtailroute-proxy/src/pacing.ts
@@ -1,7 +1,7 @@
 /**
 Rate limit of large bodies, so that they do not queue on a host's link.
 
-Without it an upload fills the link of a small host for a second, and all other traffic queues behind it, including the asks to dispatchers. Requests of the
+Without it an upload fills the link of a small host for a second, and all other traffic queues behind it, including the slot requests to dispatchers. Requests of the
 host are then late, and it considers healthy control hosts lost.
 */
 import {
