--- a/packages/wagtailroute-allotments/src/__tests__/unit/allotments.test.ts
+++ b/packages/wagtailroute-allotments/src/__tests__/unit/allotments.test.ts
@@ -6,55 +6,55 @@
 import * as utils from 'wagtailroute-utils';
 import * as allotments from '../../index.ts';
 import {
-	createLedger,
+	createLimiter,
 	type History,
-	type LedgerFactory,
+	type LimiterFactory,
 	play,
 } from './history.ts';
 
 const PARISH = {organisation: 'parish', ratePerSecond: 10, burst: 10};
 
-function create(changes: Partial<allotments.AllotmentSettings> = {}): allotments.Allotments {
-	const ledger = allotments.createAllotments({
-		slack: 20, windowMilliseconds: 5000, getShare: () => 1, isTold: true, random: () => 0.5, ...changes,
+function create(changes: Partial<allotments.AllotmentSettings> = {}): allotments.AllotmentLimiter {
+	const limiter = allotments.createAllotmentLimiter({
+		slack: 20, windowMilliseconds: 5000, getShare: () => 1, hasPeerReports: true, random: () => 0.5, ...changes,
 	}, 0);
-	ledger.setAllotments([PARISH], 0);
-	return ledger;
+	limiter.setAllotments([PARISH], 0);
+	return limiter;
 }
 
-function tell(ledger: allotments.Allotments, services: readonly string[], uses: readonly allotments.Use[], at: number): void {
-	ledger.hearUse({at, services, uses}, {at, now: at});
+function tell(limiter: allotments.AllotmentLimiter, services: readonly string[], uses: readonly allotments.Usage[], at: number): void {
+	limiter.applyReport({at, services, uses}, {at, now: at});
 }
 
 /**
 Returns how many of some requests that come at once are admitted.
 */
-function countAdmitted(ledger: allotments.Allotments, requests: number, {at, service = 'archive', organisation = 'parish'}: {
+function countAdmitted(limiter: allotments.AllotmentLimiter, requests: number, {at, service = 'archive', organisation = 'parish'}: {
 	readonly at: number;
 	readonly service?: string;
 	readonly organisation?: string;
 }): number {
 	let admitted = 0;
 	for (let request = 0; request < requests; request++) {
-		admitted += ledger.admit(organisation, service, at).kind === 'admitted' ? 1 : 0;
+		admitted += limiter.admit(organisation, service, at).kind === 'admitted' ? 1 : 0;
 	}
 
 	return admitted;
 }
 
 test('an organisation that was quiet may send its burst and a part of the slack at once, then a little more than its rate', t => {
-	const ledger = create();
-	t.is(countAdmitted(ledger, 100, {at: 10_000}), 18);
-	t.is(countAdmitted(ledger, 100, {at: 11_000}), 11);
+	const limiter = create();
+	t.is(countAdmitted(limiter, 100, {at: 10_000}), 18);
+	t.is(countAdmitted(limiter, 100, {at: 11_000}), 11);
 });
 
 test('one that sends more all the while gets its rate and most of its burst in every window', t => {
 	// Symptom: an organisation that floods is refused more than its allotment asks for. Sequence: it has used its burst once and sends on. Cause: from then on
 	// only the rate is given out, although each window may hold the rate and the burst.
-	const ledger = create();
+	const limiter = create();
 	const admittedAt: number[] = [];
 	for (let at = 10_000; at < 40_000; at += 10) {
-		if (countAdmitted(ledger, 1, {at}) === 1) {
+		if (countAdmitted(limiter, 1, {at}) === 1) {
 			admittedAt.push(at);
 		}
 	}
@@ -68,13 +68,13 @@
 });
 
 test('a refusal tells when the next token comes, and what was used', t => {
-	const ledger = create();
-	countAdmitted(ledger, 18, {at: 10_000});
-	t.like(ledger.admit('parish', 'archive', 10_000), {
+	const limiter = create();
+	countAdmitted(limiter, 18, {at: 10_000});
+	t.like(limiter.admit('parish', 'archive', 10_000), {
 		kind: 'refused', ratePerSecond: 10, used: 18, ageMilliseconds: undefined,
 	});
-	t.is(ledger.admit('parish', 'archive', 10_080).kind, 'refused');
-	t.is(ledger.admit('parish', 'archive', 10_090).kind, 'admitted');
+	t.is(limiter.admit('parish', 'archive', 10_080).kind, 'refused');
+	t.is(limiter.admit('parish', 'archive', 10_090).kind, 'admitted');
 });
 
 const UNBOUND = [
@@ -84,10 +84,10 @@
 
 for (const {name, organisation} of UNBOUND) {
 	test(`nothing bounds ${name}, and the others are told nothing of it`, t => {
-		const ledger = create();
-		ledger.setAllotments([PARISH, {organisation: 'friends', ratePerSecond: 0, burst: 0}], 0);
-		t.is(countAdmitted(ledger, 1000, {at: 10_000, organisation}), 1000);
-		t.is(ledger.takeNews(10_000), undefined);
+		const limiter = create();
+		limiter.setAllotments([PARISH, {organisation: 'friends', ratePerSecond: 0, burst: 0}], 0);
+		t.is(countAdmitted(limiter, 1000, {at: 10_000, organisation}), 1000);
+		t.is(limiter.collectReport(10_000), undefined);
 	});
 }
 
@@ -98,38 +98,38 @@
 });
 
 test('a request that was granted no place gives its token back', t => {
-	const ledger = create();
-	countAdmitted(ledger, 20, {at: 10_000});
-	ledger.giveBack('parish', 'archive', 10_000);
-	t.is(countAdmitted(ledger, 5, {at: 10_000}), 1);
+	const limiter = create();
+	countAdmitted(limiter, 20, {at: 10_000});
+	limiter.refund('parish', 'archive', 10_000);
+	t.is(countAdmitted(limiter, 5, {at: 10_000}), 1);
 });
 
 test('what other dispatchers admitted is taken from the account', t => {
-	const ledger = create();
-	tell(ledger, ['media'], [['media', 'parish', 15]], 10_000);
-	t.is(countAdmitted(ledger, 100, {at: 10_000}), 3);
+	const limiter = create();
+	tell(limiter, ['media'], [['media', 'parish', 15]], 10_000);
+	t.is(countAdmitted(limiter, 100, {at: 10_000}), 3);
 });
 
 test('a host that stood still takes what it hears then as of when it was told', t => {
 	// Symptom: a dispatcher refuses nearly everything for seconds after it was frozen. Sequence: another one dispatches meanwhile and tells each 0.2 s what it
 	// admits, 6 of 10 a second; all of it arrives at the end of the freeze. Cause: four seconds of use are taken from one account at once.
-	const ledger = create();
-	countAdmitted(ledger, 1, {at: 10_000});
+	const limiter = create();
+	countAdmitted(limiter, 1, {at: 10_000});
 	for (let at = 10_200; at <= 14_000; at += 200) {
-		ledger.hearUse({at, services: ['archive'], uses: [['archive', 'parish', 1.2]]}, {at, now: 14_000});
+		limiter.applyReport({at, services: ['archive'], uses: [['archive', 'parish', 1.2]]}, {at, now: 14_000});
 	}
 
-	t.is(countAdmitted(ledger, 100, {at: 14_000}), 16);
+	t.is(countAdmitted(limiter, 100, {at: 14_000}), 16);
 });
 
 test('of what was held up only the last half second is owed by an account that was asked before it heard', t => {
-	const ledger = create();
-	countAdmitted(ledger, 1, {at: 14_000});
+	const limiter = create();
+	countAdmitted(limiter, 1, {at: 14_000});
 	for (let at = 10_200; at <= 14_000; at += 200) {
-		ledger.hearUse({at, services: ['archive'], uses: [['archive', 'parish', 1.2]]}, {at, now: 14_000});
+		limiter.applyReport({at, services: ['archive'], uses: [['archive', 'parish', 1.2]]}, {at, now: 14_000});
 	}
 
-	t.is(countAdmitted(ledger, 100, {at: 14_000}), 13);
+	t.is(countAdmitted(limiter, 100, {at: 14_000}), 13);
 });
 
 const CLOCKS = [
@@ -155,84 +155,84 @@
 }
 
 test('what was admitted is told once, and a service without use is named', t => {
-	const ledger = create();
-	countAdmitted(ledger, 3, {at: 10_000});
-	t.deepEqual(ledger.takeNews(10_100), {at: 10_100, services: ['archive'], uses: [['archive', 'parish', 3]]});
-	t.deepEqual(ledger.takeNews(10_200), {at: 10_200, services: ['archive'], uses: []});
-	t.is(ledger.takeNews(12_000), undefined);
+	const limiter = create();
+	countAdmitted(limiter, 3, {at: 10_000});
+	t.deepEqual(limiter.collectReport(10_100), {at: 10_100, services: ['archive'], uses: [['archive', 'parish', 3]]});
+	t.deepEqual(limiter.collectReport(10_200), {at: 10_200, services: ['archive'], uses: []});
+	t.is(limiter.collectReport(12_000), undefined);
 });
 
 test('a flood is told at once', t => {
-	const ledger = create();
-	const urgent = Array.from({length: 8}, () => ledger.admit('parish', 'archive', 10_000)).map(admission => admission.kind === 'admitted' && admission.isUrgent);
+	const limiter = create();
+	const urgent = Array.from({length: 8}, () => limiter.admit('parish', 'archive', 10_000)).map(admission => admission.kind === 'admitted' && admission.isReportUrgent);
 	t.deepEqual(urgent, [false, false, false, false, false, true, true, true]);
 });
 
 test('a dispatcher that misses the news of a service leaves that service its part', t => {
 	// Symptom: an organisation gets twice its rate. Sequence: the dispatchers of its two services are cut off from each other, the organisation
 	// floods both. Cause: each one gives out the whole rate, since it hears of no other use.
-	const ledger = create();
+	const limiter = create();
 	for (let at = 10_000; at < 15_000; at += 200) {
-		t.is(countAdmitted(ledger, 1, {at}), 1);
-		tell(ledger, ['media'], [['media', 'parish', 1]], at);
+		t.is(countAdmitted(limiter, 1, {at}), 1);
+		tell(limiter, ['media'], [['media', 'parish', 1]], at);
 	}
 
-	countAdmitted(ledger, 100, {at: 16_000});
-	t.is(countAdmitted(ledger, 100, {at: 16_000}), 0);
-	t.is(countAdmitted(ledger, 100, {at: 17_000}), 4, 'eight tenths of half of the rate');
-	t.is(countAdmitted(ledger, 100, {at: 18_000}), 4);
-	tell(ledger, ['media'], [], 18_000);
-	t.is(countAdmitted(ledger, 100, {at: 18_000}), 0);
-	t.is(countAdmitted(ledger, 100, {at: 18_400}), 4, 'heard again, the whole rate');
+	countAdmitted(limiter, 100, {at: 16_000});
+	t.is(countAdmitted(limiter, 100, {at: 16_000}), 0);
+	t.is(countAdmitted(limiter, 100, {at: 17_000}), 4, 'eight tenths of half of the rate');
+	t.is(countAdmitted(limiter, 100, {at: 18_000}), 4);
+	tell(limiter, ['media'], [], 18_000);
+	t.is(countAdmitted(limiter, 100, {at: 18_000}), 0);
+	t.is(countAdmitted(limiter, 100, {at: 18_400}), 4, 'heard again, the whole rate');
 });
 
 test('an organisation that used other services only is not shut out by a cut', t => {
 	// Symptom: a refusal tells to come back after an infinite time. Sequence: an organisation uses one service; the dispatcher of another one is cut off from
 	// that of the first; the organisation turns to the other service. Cause: its part of what was used there is nothing.
-	const ledger = create();
+	const limiter = create();
 	for (let at = 10_000; at < 15_000; at += 200) {
-		tell(ledger, ['media'], [['media', 'parish', 2]], at);
+		tell(limiter, ['media'], [['media', 'parish', 2]], at);
 	}
 
-	countAdmitted(ledger, 100, {at: 20_000});
-	const refusal = ledger.admit('parish', 'archive', 20_000);
+	countAdmitted(limiter, 100, {at: 20_000});
+	const refusal = limiter.admit('parish', 'archive', 20_000);
 	t.is(refusal.kind, 'refused');
 	t.true(refusal.kind === 'refused' && refusal.retryAfterMilliseconds <= 5000);
-	t.is(countAdmitted(ledger, 100, {at: 24_000}), 1);
+	t.is(countAdmitted(limiter, 100, {at: 24_000}), 1);
 });
 
 test('whoever is asked for a service sets nothing aside for the one that dispatched it before', t => {
 	// Symptom: requests are refused although their organisation is within its allotment. Sequence: the dispatcher of a service is lost, the next one
 	// is asked. Cause: it takes the lost one for one that is cut off and still gives out its part.
-	const ledger = create();
+	const limiter = create();
 	for (let at = 10_000; at < 15_000; at += 200) {
-		tell(ledger, ['archive'], [['archive', 'parish', 1]], at);
+		tell(limiter, ['archive'], [['archive', 'parish', 1]], at);
 	}
 
 	let admitted = 0;
 	for (let at = 16_000; at < 20_000; at += 160) {
-		admitted += countAdmitted(ledger, 1, {at});
+		admitted += countAdmitted(limiter, 1, {at});
 	}
 
 	t.is(admitted, 25);
 });
 
 test('a lower limit binds at once', t => {
-	const ledger = create();
-	countAdmitted(ledger, 1, {at: 10_000});
-	ledger.setAllotments([{...PARISH, ratePerSecond: 2, burst: 2}], 10_000);
-	t.is(countAdmitted(ledger, 100, {at: 10_000}), 10, 'the lower burst and a part of the slack');
-	t.is(countAdmitted(ledger, 100, {at: 11_000}), 2);
+	const limiter = create();
+	countAdmitted(limiter, 1, {at: 10_000});
+	limiter.setAllotments([{...PARISH, ratePerSecond: 2, burst: 2}], 10_000);
+	t.is(countAdmitted(limiter, 100, {at: 10_000}), 10, 'the lower burst and a part of the slack');
+	t.is(countAdmitted(limiter, 100, {at: 11_000}), 2);
 });
 
 test('many hosts that dispatch alone give out no more than the rate and the slack together', t => {
 	const hosts = 116;
 	const random = utils.createRandom(1);
-	const ledgers = Array.from({length: hosts}, () => create({getShare: () => 1 / hosts, isTold: false, random}));
+	const limiters = Array.from({length: hosts}, () => create({getShare: () => 1 / hosts, hasPeerReports: false, random}));
 	let admitted = 0;
 	for (let at = 0; at < 5000; at += 10) {
-		for (const ledger of ledgers) {
-			admitted += countAdmitted(ledger, 1, {at});
+		for (const limiter of limiters) {
+			admitted += countAdmitted(limiter, 1, {at});
 		}
 	}
 
@@ -241,9 +241,9 @@
 });
 
 test('a host that dispatched long ago begins anew', t => {
-	const ledger = create({isTold: false});
-	countAdmitted(ledger, 1, {at: 0});
-	t.is(countAdmitted(ledger, 100, {at: 60_000}), 8);
+	const limiter = create({hasPeerReports: false});
+	countAdmitted(limiter, 1, {at: 0});
+	t.is(countAdmitted(limiter, 100, {at: 60_000}), 8);
 });
 
 const TAKING_OVER = [
@@ -267,31 +267,31 @@
 for (const {name, share, told, admitted} of TAKING_OVER) {
 	test(`a dispatcher that takes over admits for ${name} what is left of their share`, t => {
 		// Guards against a burst that is admitted once by the dispatcher that was lost, and once more by its successor.
-		const ledger = create({getShare: () => share, isTold: false});
+		const limiter = create({getShare: () => share, hasPeerReports: false});
 		if (told !== undefined) {
-			ledger.takeOver(told, share, 10_000);
+			limiter.recordPastUsage(told, share, 10_000);
 		}
 
-		t.is(countAdmitted(ledger, 100, {at: 10_000}), admitted);
+		t.is(countAdmitted(limiter, 100, {at: 10_000}), admitted);
 	});
 }
 
 test('of two dispatchers that are asked for one service each admits what the other has left', t => {
 	// Guards against refusals within an allotment: entry hosts that restart in turn ask another dispatcher for a moment each, and all others would get less for as long.
-	const ledger = create({getShare: () => 0.5});
-	countAdmitted(ledger, 100, {at: 10_000});
-	tell(ledger, ['archive'], [['archive', 'parish', 3]], 11_000);
-	t.is(countAdmitted(ledger, 100, {at: 11_000}), 8);
-	tell(ledger, ['archive'], [], 11_400);
-	t.is(countAdmitted(ledger, 100, {at: 12_000}), 12, 'the whole rate, and what was left');
+	const limiter = create({getShare: () => 0.5});
+	countAdmitted(limiter, 100, {at: 10_000});
+	tell(limiter, ['archive'], [['archive', 'parish', 3]], 11_000);
+	t.is(countAdmitted(limiter, 100, {at: 11_000}), 8);
+	tell(limiter, ['archive'], [], 11_400);
+	t.is(countAdmitted(limiter, 100, {at: 12_000}), 12, 'the whole rate, and what was left');
 });
 
 test('who held the whole burst is brought none by entry hosts', t => {
 	// Guards against a burst that is given out once more by a dispatcher that has given it out before.
-	const ledger = create({getShare: () => 1});
-	countAdmitted(ledger, 100, {at: 10_000});
-	ledger.takeOver([], 1, 10_000);
-	t.is(countAdmitted(ledger, 100, {at: 10_000}), 0);
+	const limiter = create({getShare: () => 1});
+	countAdmitted(limiter, 100, {at: 10_000});
+	limiter.recordPastUsage([], 1, 10_000);
+	t.is(countAdmitted(limiter, 100, {at: 10_000}), 0);
 });
 
 type AbsenceCase = {
@@ -322,11 +322,11 @@
 for (const {name, absences, admittedBefore, admitted} of ABSENCES) {
 	test(`a control host that does not hear ${name} leaves out their shares`, t => {
 		// Guards against the whole allotment being given out beside the part that entry hosts give out which are cut off from it.
-		const ledger = create({listAbsences: now => absences.filter(({since}) => since <= now)});
-		t.is(countAdmitted(ledger, admittedBefore, {at: 10_000}), admittedBefore);
+		const limiter = create({listAbsences: now => absences.filter(({since}) => since <= now)});
+		t.is(countAdmitted(limiter, admittedBefore, {at: 10_000}), admittedBefore);
 		let count = 0;
 		for (let at = 10_010; at < 15_000; at += 10) {
-			count += countAdmitted(ledger, 1, {at});
+			count += countAdmitted(limiter, 1, {at});
 		}
 
 		t.is(count, admitted);
@@ -335,10 +335,10 @@
 
 test('what an absent host used counts once it is back', t => {
 	// Guards against a burst that is given out once more to hosts that were cut off and had theirs from others.
-	const ledger = create({listAbsences: () => []});
-	countAdmitted(ledger, 0, {at: 10_000});
-	ledger.takeOver([['archive', 'parish', 60, 1000]], 0.5, 20_000, 18_000);
-	t.is(countAdmitted(ledger, 100, {at: 20_000}), 8);
+	const limiter = create({listAbsences: () => []});
+	countAdmitted(limiter, 0, {at: 10_000});
+	limiter.recordPastUsage([['archive', 'parish', 60, 1000]], 0.5, 20_000, 18_000);
+	t.is(countAdmitted(limiter, 100, {at: 20_000}), 8);
 });
 
 const SIBLINGS = [
@@ -353,12 +353,12 @@
 for (const {name, share, left} of SIBLINGS) {
 	test(`an entry host that dispatches for half of the hosts takes what another admitted for another service of ${name}`, t => {
 		// Guards against two thirds of a part that are given out by two dispatchers for two services of the same hosts.
-		const ledger = create({getShare: () => 0.5, isTold: false});
-		ledger.takeOver([], 0.5, 10_000);
-		ledger.hearUse({
+		const limiter = create({getShare: () => 0.5, hasPeerReports: false});
+		limiter.recordPastUsage([], 0.5, 10_000);
+		limiter.applyReport({
 			at: 10_000, services: ['media'], uses: [['media', 'parish', 8]], share,
 		}, {at: 10_000, now: 10_000});
-		t.is(countAdmitted(ledger, 100, {at: 10_000}), left);
+		t.is(countAdmitted(limiter, 100, {at: 10_000}), left);
 	});
 }
 
@@ -397,7 +397,7 @@
 
 type Defect = {
 	readonly name: string;
-	readonly create: LedgerFactory;
+	readonly create: LimiterFactory;
 };
 
 /**
@@ -406,25 +406,25 @@
 const DEFECTS: readonly Defect[] = [
 	{
 		name: 'hears nothing of the others',
-		create: (now, random) => ({...wrap(createLedger(now, random)), hearUse: () => undefined}),
+		create: (now, random) => ({...wrap(createLimiter(now, random)), applyReport: () => undefined}),
 	},
 	{
 		name: 'begins with a full account',
 		create(now, random) {
-			const ledger = createLedger(now - 60_000, random);
-			return wrap(ledger);
+			const limiter = createLimiter(now - 60_000, random);
+			return wrap(limiter);
 		},
 	},
 	{
 		name: 'gives back the tokens of one request in four that ran',
 		create(now, random) {
-			const ledger = createLedger(now, random);
+			const limiter = createLimiter(now, random);
 			return {
-				...wrap(ledger),
+				...wrap(limiter),
 				admit(organisation, service, at) {
-					const admission = ledger.admit(organisation, service, at);
+					const admission = limiter.admit(organisation, service, at);
 					if (admission.kind === 'admitted' && random() < 0.25) {
-						ledger.giveBack(organisation, service, at);
+						limiter.refund(organisation, service, at);
 					}
 
 					return admission;
@@ -434,27 +434,27 @@
 	},
 ];
 
-function wrap(ledger: allotments.Allotments): allotments.Allotments {
+function wrap(limiter: allotments.AllotmentLimiter): allotments.AllotmentLimiter {
 	return {
 		setAllotments(items, now) {
-			ledger.setAllotments(items, now);
+			limiter.setAllotments(items, now);
 		},
-		admit: (organisation, service, now) => ledger.admit(organisation, service, now),
-		giveBack(organisation, service, now) {
-			ledger.giveBack(organisation, service, now);
+		admit: (organisation, service, now) => limiter.admit(organisation, service, now),
+		refund(organisation, service, now) {
+			limiter.refund(organisation, service, now);
 		},
-		hearUse(news, time) {
-			ledger.hearUse(news, time);
+		applyReport(news, time) {
+			limiter.applyReport(news, time);
 		},
-		takeOver(uses, share, now) {
-			ledger.takeOver(uses, share, now);
+		recordPastUsage(uses, share, now) {
+			limiter.recordPastUsage(uses, share, now);
 		},
-		takeNews: now => ledger.takeNews(now),
+		collectReport: now => limiter.collectReport(now),
 	};
 }
 
 for (const {name, create: createDefective} of DEFECTS) {
-	test(`a ledger that ${name} is found`, t => {
+	test(`a limiter that ${name} is found`, t => {
 		const found = fc.check(fc.property(histories, history => play(history, createDefective).excess <= 0), {seed: 1, numRuns: 150});
 		t.true(found.failed);
 		t.log(`after ${found.numRuns} histories`);
--- a/packages/wagtailroute-allotments/src/__tests__/unit/history.ts
+++ b/packages/wagtailroute-allotments/src/__tests__/unit/history.ts
@@ -48,7 +48,7 @@
 const FAULTS: readonly Fault[] = ['none', 'kill', 'freeze', 'suspend', 'split', 'disagree', 'restart'];
 
 type Host = {
-	ledger: allotments.Allotments;
+	limiter: allotments.AllotmentLimiter;
 	/**
 	What its clock shows; it stands still while the host is suspended.
 	*/
@@ -59,38 +59,38 @@
 };
 
 /**
-Creates the ledger of a dispatcher.
+Creates the limiter of a dispatcher.
 */
-export type LedgerFactory = (now: number, random: () => number) => allotments.Allotments;
+export type LimiterFactory = (now: number, random: () => number) => allotments.AllotmentLimiter;
 
 /**
-Creates the ledger that is tested.
+Creates the limiter that is tested.
 */
-export const createLedger: LedgerFactory = (now, random) => allotments.createAllotments({
-	slack: SLACK, windowMilliseconds: WINDOW_MILLISECONDS, getShare: () => 1, isTold: true, random,
+export const createLimiter: LimiterFactory = (now, random) => allotments.createAllotmentLimiter({
+	slack: SLACK, windowMilliseconds: WINDOW_MILLISECONDS, getShare: () => 1, hasPeerReports: true, random,
 }, now);
 
 /**
 Plays a history.
 */
-export function play(history: History, create: LedgerFactory = createLedger): Outcome {
+export function play(history: History, create: LimiterFactory = createLimiter): Outcome {
 	return new Play(history, create).run();
 }
 
 class Play {
 	readonly #history: History;
-	readonly #create: LedgerFactory;
+	readonly #create: LimiterFactory;
 	readonly #random: utils.Random;
 	readonly #hosts: Host[];
 	readonly #admittedAt: number[] = [];
-	#news: Array<{readonly at: number; readonly from: Host; readonly to: Host; readonly news: allotments.UseNews}> = [];
+	#news: Array<{readonly at: number; readonly from: Host; readonly to: Host; readonly news: allotments.UsageReport}> = [];
 	readonly #clocks = new Map<Host, allotments.SenderClocks>();
 	#splitUntil = 0;
 	#disagreeUntil = 0;
 	#sent = 0;
 	#refused = 0;
 
-	constructor(history: History, create: LedgerFactory) {
+	constructor(history: History, create: LimiterFactory) {
 		this.#history = history;
 		this.#create = create;
 		this.#random = utils.createRandom(history.seed);
@@ -115,10 +115,10 @@
 	}
 
 	#start(now: number): Host {
-		const ledger = this.#create(now, this.#random);
-		ledger.setAllotments([{organisation: ORGANISATION, ratePerSecond: this.#history.ratePerSecond, burst: this.#history.ratePerSecond}], now);
+		const limiter = this.#create(now, this.#random);
+		limiter.setAllotments([{organisation: ORGANISATION, ratePerSecond: this.#history.ratePerSecond, burst: this.#history.ratePerSecond}], now);
 		return {
-			ledger, clock: now, downUntil: 0, frozenUntil: 0, toldAt: now + Math.floor(this.#random() * allotments.TELL_MILLISECONDS),
+			limiter, clock: now, downUntil: 0, frozenUntil: 0, toldAt: now + Math.floor(this.#random() * allotments.REPORT_INTERVAL_MILLISECONDS),
 		};
 	}
 
@@ -184,14 +184,14 @@
 		}
 
 		host.clock += STEP_MILLISECONDS;
-		if (now - host.toldAt >= allotments.TELL_MILLISECONDS) {
+		if (now - host.toldAt >= allotments.REPORT_INTERVAL_MILLISECONDS) {
 			this.#tell(index, host, now);
 		}
 	}
 
 	#tell(index: number, host: Host, now: number): void {
 		host.toldAt = now;
-		const news = host.ledger.takeNews(host.clock);
+		const news = host.limiter.collectReport(host.clock);
 		if (news === undefined) {
 			return;
 		}
@@ -217,7 +217,7 @@
 
 			const clocks = this.#clocks.get(to) ?? allotments.createSenderClocks();
 			this.#clocks.set(to, clocks);
-			to.ledger.hearUse(news, {at: clocks.convert(from, news.at, to.clock), now: to.clock});
+			to.limiter.applyReport(news, {at: clocks.convert(from, news.at, to.clock), now: to.clock});
 		}
 	}
 
@@ -230,14 +230,14 @@
 		}
 
 		this.#sent++;
-		const admission = host.ledger.admit(ORGANISATION, SERVICES[service], host.clock);
+		const admission = host.limiter.admit(ORGANISATION, SERVICES[service], host.clock);
 		if (admission.kind === 'refused') {
 			this.#refused++;
 			return;
 		}
 
 		this.#admittedAt.push(now);
-		if (admission.isUrgent) {
+		if (admission.isReportUrgent) {
 			this.#tell(this.#hosts.indexOf(host), host, now);
 		}
 	}
--- a/packages/wagtailroute-allotments/src/allotments.ts
+++ b/packages/wagtailroute-allotments/src/allotments.ts
@@ -1,6 +1,6 @@
 /**
 The allotments of organisations at one dispatcher. Each service has its dispatcher, so an organisation that calls several services is
-admitted by several; each tells the others what it admitted, and takes what it is told from its own account.
+admitted by several; each tells the others what it admitted, and takes what it is told from its own limiter.
 
 Who may give out which part of an allotment:
 
@@ -25,40 +25,40 @@
 import type * as core from 'wagtailroute-core';
 import {
 	type Absence,
-	Account,
+	OrganisationLimiter,
 	type Allotment,
-	type Extent,
-	getCapacity,
+	type AdmissionLimits,
+	getBucketCapacity,
 	getPresentShare,
-} from './account.ts';
+} from './organisation-limiter.ts';
 import {
-	ACTIVE_MILLISECONDS,
-	FORGET_MILLISECONDS,
-	FRESH_MILLISECONDS,
+	SERVICE_IDLE_MILLISECONDS,
+	SERVICE_EXPIRY_MILLISECONDS,
+	FRESH_REPORT_MILLISECONDS,
 	MILLISECONDS_PER_SECOND,
-	SILENT_BURST_PART,
-	SILENT_LEAST_PART,
-	SILENT_MILLISECONDS,
-	SILENT_PART,
-	SLACK_PART,
-	UNTOLD_MOST,
-	UNTOLD_SECONDS,
+	MISSING_REPORT_BURST_FRACTION,
+	MIN_MISSING_REPORT_FRACTION,
+	REPORT_TIMEOUT_MILLISECONDS,
+	MISSING_REPORT_FRACTION,
+	SLACK_FRACTION,
+	MAX_UNREPORTED_REQUESTS,
+	MAX_UNREPORTED_SECONDS,
 } from './constants.ts';
 
 /**
 Requests that were admitted for a service on behalf of an organisation.
 */
-export type Use = readonly [service: core.ServiceName, organisation: core.Organisation, requests: number];
+export type Usage = readonly [service: core.ServiceName, organisation: core.Organisation, requests: number];
 
 /**
 Requests that an entry host was admitted a while ago.
 */
-export type PastUse = readonly [service: core.ServiceName, organisation: core.Organisation, requests: number, ageMilliseconds: number];
+export type PastUsage = readonly [service: core.ServiceName, organisation: core.Organisation, requests: number, ageMilliseconds: number];
 
 /**
 What a dispatcher tells the others. A service without use is named all the same: its dispatcher can be heard.
 */
-export type UseNews = {
+export type UsageReport = {
 	/**
 	Clock of the dispatcher that tells it.
 	*/
@@ -68,7 +68,7 @@
 	*/
 	readonly share?: number;
 	readonly services: readonly core.ServiceName[];
-	readonly uses: readonly Use[];
+	readonly uses: readonly Usage[];
 };
 
 /**
@@ -80,11 +80,11 @@
 		/**
 		The organisation has an allotment, of which the others are told.
 		*/
-		readonly isBound: boolean;
+		readonly isLimited: boolean;
 		/**
 		So much was admitted since the last telling that the others are to be told at once.
 		*/
-		readonly isUrgent: boolean;
+		readonly isReportUrgent: boolean;
 	}
 	| {
 		readonly kind: 'refused';
@@ -100,17 +100,17 @@
 		/**
 		Part of the allotment that is given out here, 0 to 1.
 		*/
-		readonly part: number;
+		readonly fraction: number;
 		/**
 		Milliseconds since another dispatcher told its use; absent when none ever did.
 		*/
-		readonly ageMilliseconds?: number;
+		readonly reportAgeMilliseconds?: number;
 	};
 
 /**
 Allotments at one dispatcher. Times are in milliseconds of a monotonic clock.
 */
-export type Allotments = {
+export type AllotmentLimiter = {
 	/**
 	Takes the allotments in force; organisations that are not named have none, so that nothing bounds them.
 	*/
@@ -122,22 +122,22 @@
 	/**
 	Gives back what was taken for a request that was sent nowhere and never will be.
 	*/
-	readonly giveBack: (organisation: core.Organisation, service: core.ServiceName, now: number) => void;
+	readonly refund: (organisation: core.Organisation, service: core.ServiceName, now: number) => void;
 	/**
 	@param at When it was told, by this dispatcher's clock. A host that stood still hears of seconds at once: taken as of now, they would use up all accounts.
 	*/
-	readonly hearUse: (news: UseNews, time: {readonly at: number; readonly now: number}) => void;
+	readonly applyReport: (news: UsageReport, time: {readonly at: number; readonly now: number}) => void;
 	/**
 	Takes all that an entry host was admitted by other dispatchers in the last window, before it asks here for the first time.
 
 	@param share Share of the entry hosts that this one is, 0 to 1.
 	@param absentSince When it was last heard here; absent: it was heard all the while.
 	*/
-	readonly takeOver: (uses: readonly PastUse[], share: number, now: number, absentSince?: number) => void;
+	readonly recordPastUsage: (uses: readonly PastUsage[], share: number, now: number, absentSince?: number) => void;
 	/**
 	Returns what was not told yet, undefined when this dispatcher speaks for no service.
 	*/
-	readonly takeNews: (now: number) => UseNews | undefined;
+	readonly collectReport: (now: number) => UsageReport | undefined;
 };
 
 /**
@@ -161,7 +161,7 @@
 	/**
 	This dispatcher hears of all use even while it is not asked, as control hosts do.
 	*/
-	readonly isTold: boolean;
+	readonly hasPeerReports: boolean;
 	/**
 	Uniform in [0, 1).
 	*/
@@ -169,57 +169,57 @@
 };
 
 const NO_ABSENCES: readonly Absence[] = [];
-const ADMITTED: Admission = {kind: 'admitted', isBound: false, isUrgent: false};
+const UNLIMITED: Admission = {kind: 'admitted', isLimited: false, isReportUrgent: false};
 
 /**
 Creates allotments of a dispatcher that knows none.
 */
-export function createAllotments(settings: AllotmentSettings, now: number): Allotments {
-	return new DispatcherAllotments(settings, now);
+export function createAllotmentLimiter(settings: AllotmentSettings, now: number): AllotmentLimiter {
+	return new DispatcherAllotmentLimiter(settings, now);
 }
 
-class DispatcherAllotments implements Allotments {
+class DispatcherAllotmentLimiter implements AllotmentLimiter {
 	readonly #settings: AllotmentSettings;
 	#allotments: ReadonlyMap<core.Organisation, Allotment> = new Map();
-	readonly #accounts = new Map<core.Organisation, Account>();
+	readonly #limiters = new Map<core.Organisation, OrganisationLimiter>();
 	/**
 	When each service was last asked for here.
 	*/
-	readonly #askedAt = new Map<core.ServiceName, number>();
+	readonly #requestedAt = new Map<core.ServiceName, number>();
 	/**
 	When another dispatcher last told of each service.
 	*/
-	readonly #heardAt = new Map<core.ServiceName, number>();
+	readonly #reportedAt = new Map<core.ServiceName, number>();
 	/**
 	Accounts with use that the others may not know of yet.
 	*/
-	readonly #unsettled = new Set<Account>();
-	readonly #untold = new Map<core.ServiceName, Map<core.Organisation, number>>();
+	readonly #unconfirmed = new Set<OrganisationLimiter>();
+	readonly #unreported = new Map<core.ServiceName, Map<core.Organisation, number>>();
 	/**
 	Since when this dispatcher has heard of all use.
 	*/
-	#knowsSince: number;
+	#usageKnownSince: number;
 	/**
 	Share of the entry hosts that have told what they were admitted before.
 	*/
-	#toldShare = 0;
-	#lastAskedAt: number;
-	#lastHeardAt: number | undefined;
+	#reportedShare = 0;
+	#lastRequestAt: number;
+	#lastReportAt: number | undefined;
 
 	constructor(settings: AllotmentSettings, now: number) {
 		this.#settings = settings;
-		this.#knowsSince = now;
-		this.#lastAskedAt = now;
+		this.#usageKnownSince = now;
+		this.#lastRequestAt = now;
 	}
 
 	setAllotments(allotments: readonly Allotment[], now: number): void {
 		this.#allotments = new Map(allotments.filter(({ratePerSecond}) => ratePerSecond > 0).map(allotment => [allotment.organisation, allotment]));
-		for (const [organisation, account] of this.#accounts) {
+		for (const [organisation, limiter] of this.#limiters) {
 			const allotment = this.#allotments.get(organisation);
 			if (allotment === undefined) {
-				this.#accounts.delete(organisation);
+				this.#limiters.delete(organisation);
 			} else {
-				account.setBounds(allotment, this.#getExtent(account, now), now);
+				limiter.setLimits(allotment, this.#getLimits(limiter, now), now);
 			}
 		}
 	}
@@ -227,48 +227,48 @@
 	admit(organisation: core.Organisation, service: core.ServiceName, now: number): Admission {
 		const allotment = this.#allotments.get(organisation);
 		if (allotment === undefined) {
-			return ADMITTED;
+			return UNLIMITED;
 		}
 
-		this.#noteAsked(service, now);
-		const account = this.#getAccount(allotment, now);
-		const extent = this.#getExtent(account, now);
-		account.setBounds(allotment, extent, now);
-		if (account.hasToken(now)) {
-			account.use(service, 1, now);
-			this.#unsettled.add(account);
-			const untold = this.#noteUntold(service, organisation, 1);
-			return {kind: 'admitted', isBound: true, isUrgent: untold >= UNTOLD_MOST + (allotment.ratePerSecond * UNTOLD_SECONDS)};
+		this.#recordRequest(service, now);
+		const limiter = this.#getLimiter(allotment, now);
+		const limits = this.#getLimits(limiter, now);
+		limiter.setLimits(allotment, limits, now);
+		if (limiter.hasToken(now)) {
+			limiter.recordAdmitted(service, 1, now);
+			this.#unconfirmed.add(limiter);
+			const unreported = this.#recordUnreported(service, organisation, 1);
+			return {kind: 'admitted', isLimited: true, isReportUrgent: unreported >= MAX_UNREPORTED_REQUESTS + (allotment.ratePerSecond * MAX_UNREPORTED_SECONDS)};
 		}
 
 		return {
 			kind: 'refused',
-			retryAfterMilliseconds: Math.min(account.getDelay(now), this.#settings.windowMilliseconds),
+			retryAfterMilliseconds: Math.min(limiter.getDelay(now), this.#settings.windowMilliseconds),
 			ratePerSecond: allotment.ratePerSecond,
-			used: account.getUse(now),
-			part: extent.part,
-			ageMilliseconds: this.#lastHeardAt === undefined ? undefined : now - this.#lastHeardAt,
+			used: limiter.getUsage(now),
+			fraction: limits.fraction,
+			reportAgeMilliseconds: this.#lastReportAt === undefined ? undefined : now - this.#lastReportAt,
 		};
 	}
 
-	giveBack(organisation: core.Organisation, service: core.ServiceName, now: number): void {
-		const account = this.#accounts.get(organisation);
-		if (account === undefined) {
+	refund(organisation: core.Organisation, service: core.ServiceName, now: number): void {
+		const limiter = this.#limiters.get(organisation);
+		if (limiter === undefined) {
 			return;
 		}
 
-		account.use(service, -1, now);
-		this.#noteUntold(service, organisation, -1);
+		limiter.recordAdmitted(service, -1, now);
+		this.#recordUnreported(service, organisation, -1);
 	}
 
-	hearUse({services, uses, share}: UseNews, {at, now}: {readonly at: number; readonly now: number}): void {
-		this.#lastHeardAt = now;
+	applyReport({services, uses, share}: UsageReport, {at, now}: {readonly at: number; readonly now: number}): void {
+		this.#lastReportAt = now;
 		for (const service of services) {
-			this.#heardAt.set(service, now);
+			this.#reportedAt.set(service, now);
 		}
 
-		if (this.#isWhole(now)) {
-			this.#settle();
+		if (this.#isEveryServiceReported(now)) {
+			this.#confirmUsage();
 		}
 
 		// Entry hosts dispatch for those that are absent here, out of the shares that are not given out for these.
@@ -282,123 +282,123 @@
 				continue;
 			}
 
-			const account = this.#getAccount(allotment, now);
-			const part = this.#getSharedPart(service, share, now);
-			if (part === undefined) {
-				account.hearUse(service, requests, {at, now});
+			const limiter = this.#getLimiter(allotment, now);
+			const fraction = this.#getSharedFraction(service, share, now);
+			if (fraction === undefined) {
+				limiter.recordRemoteUsage(service, requests, {at, now});
 			} else {
-				account.hearSharedUse(service, requests, {at, now, part});
+				limiter.recordSharedUsage(service, requests, {at, now, fraction});
 			}
 		}
 	}
 
-	takeOver(uses: readonly PastUse[], share: number, now: number, absentSince = Infinity): void {
-		this.#wake(now);
-		this.#toldShare += share;
+	recordPastUsage(uses: readonly PastUsage[], share: number, now: number, absentSince = Infinity): void {
+		this.#resetAfterIdle(now);
+		this.#reportedShare += share;
 		for (const [service, organisation, requests, ageMilliseconds] of uses) {
 			const at = now - ageMilliseconds;
 			const allotment = this.#allotments.get(organisation);
 			// What was admitted later was told by the dispatcher that admitted it, unless it spoke for hosts that were absent here.
-			const isUntold = at <= this.#knowsSince + SILENT_MILLISECONDS || at >= absentSince;
-			if (allotment === undefined || !isUntold) {
+			const isUnreported = at <= this.#usageKnownSince + REPORT_TIMEOUT_MILLISECONDS || at >= absentSince;
+			if (allotment === undefined || !isUnreported) {
 				continue;
 			}
 
-			this.#getAccount(allotment, now).recordPast(service, requests, at);
-			this.#expectNews(service, now);
+			this.#getLimiter(allotment, now).recordPastUsage(service, requests, at);
+			this.#expectReports(service, now);
 		}
 	}
 
-	takeNews(now: number): UseNews | undefined {
-		const services = this.#askedAt.entries().filter(([, askedAt]) => now - askedAt < ACTIVE_MILLISECONDS).map(([service]) => service).toArray();
-		const uses = this.#untold.entries()
-			.flatMap(([service, organisations]) => organisations.entries().map(([organisation, requests]): Use => [service, organisation, requests]))
-			.filter(use => use[2] !== 0)
+	collectReport(now: number): UsageReport | undefined {
+		const services = this.#requestedAt.entries().filter(([, requestedAt]) => now - requestedAt < SERVICE_IDLE_MILLISECONDS).map(([service]) => service).toArray();
+		const uses = this.#unreported.entries()
+			.flatMap(([service, organisations]) => organisations.entries().map(([organisation, requests]): Usage => [service, organisation, requests]))
+			.filter(usage => usage[2] !== 0)
 			.toArray();
-		this.#untold.clear();
+		this.#unreported.clear();
 		return services.length === 0 && uses.length === 0
 			? undefined
 			: {
-				at: now, services, uses, ...!this.#settings.isTold && {share: this.#settings.getShare(now)},
+				at: now, services, uses, ...!this.#settings.hasPeerReports && {share: this.#settings.getShare(now)},
 			};
 	}
 
-	#noteAsked(service: core.ServiceName, now: number): void {
-		this.#wake(now);
-		this.#askedAt.set(service, now);
+	#recordRequest(service: core.ServiceName, now: number): void {
+		this.#resetAfterIdle(now);
+		this.#requestedAt.set(service, now);
 	}
 
 	/**
 	Others may have dispatched while this host was not asked and not told: what it holds is worth nothing then.
 	*/
-	#wake(now: number): void {
-		if (!this.#settings.isTold && now - this.#lastAskedAt > ACTIVE_MILLISECONDS) {
-			this.#accounts.clear();
-			this.#heardAt.clear();
-			this.#toldShare = 0;
-			this.#knowsSince = now;
+	#resetAfterIdle(now: number): void {
+		if (!this.#settings.hasPeerReports && now - this.#lastRequestAt > SERVICE_IDLE_MILLISECONDS) {
+			this.#limiters.clear();
+			this.#reportedAt.clear();
+			this.#reportedShare = 0;
+			this.#usageKnownSince = now;
 		}
 
-		this.#lastAskedAt = now;
+		this.#lastRequestAt = now;
 	}
 
 	/**
 	Whoever dispatches a service that was used lately is to be heard soon, or counts as cut off.
 	*/
-	#expectNews(service: core.ServiceName, now: number): void {
-		if (!this.#heardAt.has(service)) {
-			this.#heardAt.set(service, now);
+	#expectReports(service: core.ServiceName, now: number): void {
+		if (!this.#reportedAt.has(service)) {
+			this.#reportedAt.set(service, now);
 		}
 	}
 
-	#noteUntold(service: core.ServiceName, organisation: core.Organisation, requests: number): number {
-		const uses = this.#untold.get(service) ?? new Map<core.Organisation, number>();
-		this.#untold.set(service, uses);
-		const untold = (uses.get(organisation) ?? 0) + requests;
-		uses.set(organisation, untold);
-		return untold;
+	#recordUnreported(service: core.ServiceName, organisation: core.Organisation, requests: number): number {
+		const uses = this.#unreported.get(service) ?? new Map<core.Organisation, number>();
+		this.#unreported.set(service, uses);
+		const unreported = (uses.get(organisation) ?? 0) + requests;
+		uses.set(organisation, unreported);
+		return unreported;
 	}
 
 	/**
-	An account that nothing was taken from has filled since this dispatcher began to hear of all use.
+	An limiter that nothing was taken from has filled since this dispatcher began to hear of all use.
 	*/
-	#getAccount(allotment: Allotment, now: number): Account {
-		const known = this.#accounts.get(allotment.organisation);
+	#getLimiter(allotment: Allotment, now: number): OrganisationLimiter {
+		const known = this.#limiters.get(allotment.organisation);
 		if (known !== undefined) {
 			return known;
 		}
 
-		const extent = this.#getFullExtent(now);
-		const filled = this.#drawStart(extent) + ((now - this.#knowsSince) * allotment.ratePerSecond * extent.part / MILLISECONDS_PER_SECOND);
-		const tokens = Math.min(getCapacity(allotment, extent), filled);
-		const account = new Account(allotment, extent, tokens, now);
-		this.#accounts.set(allotment.organisation, account);
-		return account;
+		const limits = this.#getFullLimits(now);
+		const filled = this.#drawInitialTokens(limits) + ((now - this.#usageKnownSince) * allotment.ratePerSecond * limits.fraction / MILLISECONDS_PER_SECOND);
+		const tokens = Math.min(getBucketCapacity(allotment, limits), filled);
+		const limiter = new OrganisationLimiter(allotment, limits, tokens, now);
+		this.#limiters.set(allotment.organisation, limiter);
+		return limiter;
 	}
 
 	/**
-	Tokens of an account that begins. A host's part of them may be less than one: then some hosts begin with one, and each of the others somewhere on the
+	Tokens of an limiter that begins. A host's part of them may be less than one: then some hosts begin with one, and each of the others somewhere on the
 	way to its first, so that all together give out the rate from the beginning on.
 	*/
-	#drawStart({part, extra}: Extent): number {
-		const start = extra * part;
+	#drawInitialTokens({fraction, extraTokens}: AdmissionLimits): number {
+		const start = extraTokens * fraction;
 		const {random} = this.#settings;
 		return start >= 1 ? start : Number(random() < start) + random();
 	}
 
-	#getFullExtent(now: number): Extent {
+	#getFullLimits(now: number): AdmissionLimits {
 		const {slack, windowMilliseconds} = this.#settings;
-		const isWhole = this.#hasHeardWindow(now);
-		const share = isWhole ? 1 : this.#settings.getShare(now);
+		const hasWholeWindow = this.#hasWholeWindow(now);
+		const share = hasWholeWindow ? 1 : this.#settings.getShare(now);
 		const absences = this.#listAbsences(now);
 		return {
-			part: share * getPresentShare(absences),
-			burstPart: 1,
+			fraction: share * getPresentShare(absences),
+			burstFraction: 1,
 			share,
 			absences,
-			toldShare: isWhole ? 0 : Math.min(share, this.#toldShare),
-			extra: slack * SLACK_PART,
-			isWhole,
+			reportedShare: hasWholeWindow ? 0 : Math.min(share, this.#reportedShare),
+			extraTokens: slack * SLACK_FRACTION,
+			isAllUsageKnown: hasWholeWindow,
 			windowMilliseconds,
 		};
 	}
@@ -407,65 +407,65 @@
 	Lists the entry hosts whose shares are not given out here. One that gives out the share of those that ask leaves out the others anyway.
 	*/
 	#listAbsences(now: number): readonly Absence[] {
-		return (this.#hasHeardWindow(now) ? this.#settings.listAbsences?.(now) : undefined) ?? NO_ABSENCES;
+		return (this.#hasWholeWindow(now) ? this.#settings.listAbsences?.(now) : undefined) ?? NO_ABSENCES;
 	}
 
 	/**
 	Returns which part of the use of another entry host's dispatcher may be that of hosts that ask here too; undefined where those that ask it ask nobody here. A host
 	asks one dispatcher for each service, so two dispatchers of different services speak for the same hosts.
 	*/
-	#getSharedPart(service: core.ServiceName, share: number | undefined, now: number): number | undefined {
-		const isOwn = now - (this.#askedAt.get(service) ?? -Infinity) < ACTIVE_MILLISECONDS;
-		return share === undefined || isOwn || this.#hasHeardWindow(now) ? undefined : Math.min(1, this.#settings.getShare(now) / share);
+	#getSharedFraction(service: core.ServiceName, share: number | undefined, now: number): number | undefined {
+		const isOwn = now - (this.#requestedAt.get(service) ?? -Infinity) < SERVICE_IDLE_MILLISECONDS;
+		return share === undefined || isOwn || this.#hasWholeWindow(now) ? undefined : Math.min(1, this.#settings.getShare(now) / share);
 	}
 
 	/**
 	Says whether this dispatcher has heard of all use for a window.
 	*/
-	#hasHeardWindow(now: number): boolean {
-		const {isTold, windowMilliseconds} = this.#settings;
-		return isTold && now - this.#knowsSince >= windowMilliseconds;
+	#hasWholeWindow(now: number): boolean {
+		const {hasPeerReports, windowMilliseconds} = this.#settings;
+		return hasPeerReports && now - this.#usageKnownSince >= windowMilliseconds;
 	}
 
-	#getExtent(account: Account, now: number): Extent {
-		const full = this.#getFullExtent(now);
-		const silent = this.#listSilent(now, SILENT_MILLISECONDS);
+	#getLimits(limiter: OrganisationLimiter, now: number): AdmissionLimits {
+		const full = this.#getFullLimits(now);
+		const silent = this.#listUnreportedServices(now, REPORT_TIMEOUT_MILLISECONDS);
 		if (silent.size === 0) {
 			return full;
 		}
 
-		const left = Math.max(SILENT_LEAST_PART, (1 - account.getPart(silent)) * SILENT_PART);
+		const fraction = Math.max(MIN_MISSING_REPORT_FRACTION, (1 - limiter.getUsageFraction(silent)) * MISSING_REPORT_FRACTION);
 		return {
-			...full, isWhole: false, part: full.part * left, burstPart: SILENT_BURST_PART,
+			...full, isAllUsageKnown: false, fraction: full.fraction * fraction, burstFraction: MISSING_REPORT_BURST_FRACTION,
 		};
 	}
 
-	#settle(): void {
-		for (const account of this.#unsettled) {
-			account.settle();
+	#confirmUsage(): void {
+		for (const limiter of this.#unconfirmed) {
+			limiter.confirmUsage();
 		}
 
-		this.#unsettled.clear();
+		this.#unconfirmed.clear();
 	}
 
 	/**
 	Says whether the use of all services is heard.
 	*/
-	#isWhole(now: number): boolean {
-		return this.#listSilent(now, FRESH_MILLISECONDS).size === 0;
+	#isEveryServiceReported(now: number): boolean {
+		return this.#listUnreportedServices(now, FRESH_REPORT_MILLISECONDS).size === 0;
 	}
 
 	/**
 	Lists the services whose dispatcher was heard before, is not heard now, and is not this one.
 	*/
-	#listSilent(now: number, longest: number): ReadonlySet<core.ServiceName> {
+	#listUnreportedServices(now: number, maxSilence: number): ReadonlySet<core.ServiceName> {
 		const silent = new Set<core.ServiceName>();
-		for (const [service, heardAt] of this.#heardAt) {
-			const isOwn = now - (this.#askedAt.get(service) ?? -Infinity) < ACTIVE_MILLISECONDS;
+		for (const [service, heardAt] of this.#reportedAt) {
+			const isOwn = now - (this.#requestedAt.get(service) ?? -Infinity) < SERVICE_IDLE_MILLISECONDS;
 			const silence = now - heardAt;
-			if (silence > FORGET_MILLISECONDS) {
-				this.#heardAt.delete(service);
-			} else if (!isOwn && silence > longest) {
+			if (silence > SERVICE_EXPIRY_MILLISECONDS) {
+				this.#reportedAt.delete(service);
+			} else if (!isOwn && silence > maxSilence) {
 				silent.add(service);
 			}
 		}
--- a/packages/wagtailroute-allotments/src/bench/admitting.bench.ts
+++ b/packages/wagtailroute-allotments/src/bench/admitting.bench.ts
@@ -26,17 +26,17 @@
 }
 
 function measure(count: number): number {
-	const ledger = allotments.createAllotments({
-		slack: 20, windowMilliseconds: WINDOW_MILLISECONDS, getShare: () => 1, isTold: true, random: () => 0.5,
+	const limiter = allotments.createAllotmentLimiter({
+		slack: 20, windowMilliseconds: WINDOW_MILLISECONDS, getShare: () => 1, hasPeerReports: true, random: () => 0.5,
 	}, 0);
 	const names = Array.from({length: count}, (_item, index) => `organisation-${index}`);
-	ledger.setAllotments(names.map(organisation => ({organisation, ratePerSecond: 100, burst: 100})), 0);
+	limiter.setAllotments(names.map(organisation => ({organisation, ratePerSecond: 100, burst: 100})), 0);
 	const startedAt = performance.now();
 	for (let request = 0; request < REQUESTS; request++) {
 		const now = 10_000 + (request / 10);
-		ledger.admit(names[request % count]!, 'archive', now);
+		limiter.admit(names[request % count]!, 'archive', now);
 		if (request % 1000 === 0) {
-			ledger.takeNews(now);
+			limiter.collectReport(now);
 		}
 	}
 
--- a/packages/wagtailroute-allotments/src/index.ts
+++ b/packages/wagtailroute-allotments/src/index.ts
@@ -1,15 +1,15 @@
 /**
 Allotments of organisations over all dispatchers of a fleet.
 */
-export type {Absence, Allotment} from './account.ts';
+export type {Absence, Allotment} from './organisation-limiter.ts';
 export {
 	type Admission,
-	type Allotments,
+	type AllotmentLimiter,
 	type AllotmentSettings,
-	createAllotments,
-	type PastUse,
-	type Use,
-	type UseNews,
+	createAllotmentLimiter,
+	type PastUsage,
+	type Usage,
+	type UsageReport,
 } from './allotments.ts';
 export {createSenderClocks, type SenderClocks} from './sender-clocks.ts';
-export {TELL_MILLISECONDS} from './constants.ts';
+export {REPORT_INTERVAL_MILLISECONDS} from './constants.ts';
--- a/packages/wagtailroute-allotments/src/use-window.ts
+++ b/packages/wagtailroute-allotments/src/usage-window.ts
@@ -7,7 +7,7 @@
 /**
 The requests of a sliding window. Times are in milliseconds of a monotonic clock.
 */
-export type UseWindow = {
+export type UsageWindow = {
 	/**
 	Counts requests; a negative number takes back.
 
@@ -27,15 +27,15 @@
 /**
 Creates an empty window.
 */
-export function createUseWindow(windowMilliseconds: number): UseWindow {
+export function createUsageWindow(windowMilliseconds: number): UsageWindow {
 	const sliceMilliseconds = windowMilliseconds / WINDOW_SLICES;
 	/**
 	Requests by number of slice, in the order in which they came.
 	*/
 	const slices = new Map<number, number>();
-	const getNumber = (time: number) => Math.floor(time / sliceMilliseconds);
-	const forget = (now: number) => {
-		const oldest = getNumber(now - windowMilliseconds);
+	const getSliceNumber = (time: number) => Math.floor(time / sliceMilliseconds);
+	const evictExpired = (now: number) => {
+		const oldest = getSliceNumber(now - windowMilliseconds);
 		for (const number of slices.keys()) {
 			if (number < oldest) {
 				slices.delete(number);
@@ -45,15 +45,15 @@
 
 	return {
 		add(requests, at) {
-			const number = getNumber(at);
+			const number = getSliceNumber(at);
 			slices.set(number, (slices.get(number) ?? 0) + requests);
 		},
 		count(now, getWeight = () => 1) {
-			forget(now);
+			evictExpired(now);
 			return Math.max(0, slices.entries().reduce((sum, [number, requests]) => sum + (requests * getWeight(number * sliceMilliseconds)), 0));
 		},
 		getDelay(now) {
-			forget(now);
+			evictExpired(now);
 			const oldest = Math.min(...slices.keys());
 			return Number.isFinite(oldest) ? ((oldest + 1) * sliceMilliseconds) + windowMilliseconds - now : 0;
 		},
--- a/packages/wagtailroute-fleet/src/__tests__/unit/absences.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/absences.test.ts
@@ -2,7 +2,7 @@
 Tests of which entry hosts a control host counts as absent, and for how long.
 */
 import test from 'ava';
-import {type HeardHost, startAbsences} from '../../absences.ts';
+import {type LinkedHost, startAbsenceTracker} from '../../absences.ts';
 
 const WINDOW_MILLISECONDS = 5000;
 const SHARE = 0.1;
@@ -134,15 +134,15 @@
 	test(`an entry host counts as absent: ${name}`, t => {
 		// Guards against control hosts that give out the share of an entry host beside itself, and against shares that nobody gives out for long.
 		let time = 0;
-		let hosts: readonly HeardHost[] = [];
+		let hosts: readonly LinkedHost[] = [];
 		let look = () => undefined as void;
 		const repeat = (_milliseconds: number, run: () => void) => {
 			look = run;
 			return () => undefined;
 		};
 
-		const absences = startAbsences({now: () => time, repeat}, {
-			listHosts: () => hosts, getOneShare: () => SHARE, windowMilliseconds: WINDOW_MILLISECONDS,
+		const absences = startAbsenceTracker({now: () => time, repeat}, {
+			listHosts: () => hosts, getHostShare: () => SHARE, windowMilliseconds: WINDOW_MILLISECONDS,
 		});
 		for (const {
 			at, silence, isReady = true, does, since, isPaused = false,
@@ -154,13 +154,13 @@
 			}
 
 			time = at;
-			const host: HeardHost = {id: 'entry', isReady, silence: silence ?? 0};
+			const host: LinkedHost = {id: 'entry', isReady, silenceMilliseconds: silence ?? 0};
 			hosts = silence === undefined || does === 'close' ? [] : [host];
 			const actions = {
-				ask: absences.recordAsk.bind(undefined, host.id),
-				close: absences.recordClosed.bind(undefined, host),
-				'close-other': absences.recordClosed.bind(undefined, {...host, silence: LINK_SILENCE_MILLISECONDS}),
-				tell: absences.end.bind(undefined, host.id),
+				ask: absences.recordSlotRequest.bind(undefined, host.id),
+				close: absences.recordLinkClosed.bind(undefined, host),
+				'close-other': absences.recordLinkClosed.bind(undefined, {...host, silenceMilliseconds: LINK_SILENCE_MILLISECONDS}),
+				tell: absences.endAbsence.bind(undefined, host.id),
 				reconnect: absences.recordHello.bind(undefined, host.id, at + RAN_BEFORE_MILLISECONDS),
 				restart: absences.recordHello.bind(undefined, host.id, RESTARTED_MILLISECONDS),
 			};
@@ -169,7 +169,7 @@
 			}
 
 			t.deepEqual(absences.list(), since === undefined ? [] : [{since, share: SHARE}], `at ${at}`);
-			t.is(absences.findStart('entry'), since, `at ${at}`);
+			t.is(absences.findAbsentSince('entry'), since, `at ${at}`);
 		}
 	});
 }
@@ -177,9 +177,9 @@
 test('hosts that were last heard at about the same time are listed together, as of the earliest', t => {
 	let time = 0;
 	let silences: readonly number[] = [0, 0, 0];
-	const absences = startAbsences({now: () => time, repeat: () => () => undefined}, {
-		listHosts: () => silences.map((silence, index): HeardHost => ({id: `entry-${index}`, isReady: true, silence})),
-		getOneShare: () => SHARE,
+	const absences = startAbsenceTracker({now: () => time, repeat: () => () => undefined}, {
+		listHosts: () => silences.map((silence, index): LinkedHost => ({id: `entry-${index}`, isReady: true, silenceMilliseconds: silence})),
+		getHostShare: () => SHARE,
 		windowMilliseconds: WINDOW_MILLISECONDS,
 	});
 	while (time < 2000) {
@@ -188,7 +188,7 @@
 	}
 
 	for (let host = 0; host < silences.length; host++) {
-		absences.recordAsk(`entry-${host}`);
+		absences.recordSlotRequest(`entry-${host}`);
 	}
 
 	time = 2100;
--- a/packages/wagtailroute-fleet/src/__tests__/unit/caller-times.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/caller-deadlines.test.ts
@@ -3,7 +3,7 @@
 */
 import test from 'ava';
 import type * as generations from 'wagtailroute-generations';
-import {createCallerTimes} from '../../caller-times.ts';
+import {createCallerDeadlines} from '../../caller-deadlines.ts';
 
 const ROUTE: generations.GenerationRoute = {
 	name: 'r',
@@ -27,13 +27,13 @@
 
 for (const {name, given, waited} of CASES) {
 	test(`${name} has waited ${waited} ms`, t => {
-		const times = createCallerTimes();
-		t.is(given.map(milliseconds => times.guessWaited(ROUTE, milliseconds)).at(-1), waited);
+		const times = createCallerDeadlines();
+		t.is(given.map(milliseconds => times.estimateWaited(ROUTE, milliseconds)).at(-1), waited);
 	});
 }
 
 test('each route has its own', t => {
-	const times = createCallerTimes();
-	times.guessWaited(ROUTE, 4000);
-	t.is(times.guessWaited({...ROUTE, name: 'other'}, 1000), 0);
+	const times = createCallerDeadlines();
+	times.estimateWaited(ROUTE, 4000);
+	t.is(times.estimateWaited({...ROUTE, name: 'other'}, 1000), 0);
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
@@ -32,7 +32,7 @@
 What dispatching needs of a host whose dispatcher is the only one.
 */
 export const ONLY_DISPATCHER: Pick<DispatchingPlan, 'requestShare' | 'isTold'> = {
-	requestShare: {record: () => undefined, get: () => 1, getOne: () => 1}, isTold: true,
+	requestShare: {record: () => undefined, get: () => 1, getHostShare: () => 1}, isTold: true,
 };
 
 /**
--- a/packages/wagtailroute-fleet/src/__tests__/unit/held-places.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/held-places.test.ts
@@ -17,7 +17,7 @@
 	const first = fixture.createFakeLink(() => undefined);
 	const second = fixture.createFakeLink(() => undefined);
 	const host = {id: 'c', address: {ip: '10.0.0.2', port: 1}};
-	const places = createHeldPlaces(() => 500, {advertisements: {list: () => []}, recentUses: {takeUntold: () => undefined}, countEntryHosts: () => 3});
+	const places = createHeldPlaces(() => 500, {advertisements: {list: () => []}, recentUses: {collectUnreported: () => undefined}, countEntryHosts: () => 3});
 	places.add({ask: ASK, upstream: 'u', grantedAt: 100});
 	places.add({ask: {...ASK, id: 'h:2', service: 'media'}, upstream: 'v', grantedAt: 100});
 	for (const link of [first, first, second]) {
--- a/packages/wagtailroute-fleet/src/__tests__/unit/load.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/load.test.ts
@@ -2,7 +2,7 @@
 Tests of the measurement of load.
 */
 import test from 'ava';
-import {LOAD_MILLISECONDS} from '../../constants.ts';
+import {LOAD_INTERVAL_MILLISECONDS} from '../../constants.ts';
 import {startLoadMeter} from '../../load.ts';
 import {createFakeContext} from './fixture.ts';
 
@@ -11,13 +11,13 @@
 		name: 'an idle host', busy: 0, bytes: 0, load: 0,
 	},
 	{
-		name: 'a loop that is busy for half of the time', busy: LOAD_MILLISECONDS / 2, bytes: 10, load: 0.5,
+		name: 'a loop that is busy for half of the time', busy: LOAD_INTERVAL_MILLISECONDS / 2, bytes: 10, load: 0.5,
 	},
 	{
 		name: 'a link that is full while the loop idles', busy: 10, bytes: 1000, load: 4,
 	},
 	{
-		name: 'a link and a loop that are used alike', busy: LOAD_MILLISECONDS / 10, bytes: 100, load: 0.4,
+		name: 'a link and a loop that are used alike', busy: LOAD_INTERVAL_MILLISECONDS / 10, bytes: 100, load: 0.4,
 	},
 ];
 
@@ -36,7 +36,7 @@
 		});
 		total.busy += busy;
 		total.bytes += bytes;
-		await context.pass(LOAD_MILLISECONDS);
+		await context.pass(LOAD_INTERVAL_MILLISECONDS);
 		t.is(measured, 1);
 		t.is(meter.getLoad(), load);
 	});
--- a/packages/wagtailroute-fleet/src/__tests__/unit/recent-uses.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/recent-usage.test.ts
@@ -3,7 +3,7 @@
 */
 import test from 'ava';
 import {createHostCount} from '../../host-count.ts';
-import {createRecentUses} from '../../recent-uses.ts';
+import {createRecentUsage} from '../../recent-usage.ts';
 
 const WINDOW_MILLISECONDS = 5000;
 const FIRST = {};
@@ -11,16 +11,16 @@
 
 function setUp() {
 	let time = 0;
-	const uses = createRecentUses(() => time, WINDOW_MILLISECONDS);
+	const uses = createRecentUsage(() => time, WINDOW_MILLISECONDS);
 	return {
 		uses,
 		admit(at: number, organisation: string, by: object) {
 			time = at;
-			uses.record({service: 'archive', organisation, by});
+			uses.record({service: 'archive', organisation, admittedBy: by});
 		},
 		tell(at: number, dispatcher: object) {
 			time = at;
-			return uses.takeUntold(dispatcher);
+			return uses.collectUnreported(dispatcher);
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/__tests__/unit/stop-times.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/stop-times.test.ts
@@ -2,7 +2,7 @@
 Tests of how an entry host divides the time that it has to stop.
 */
 import test from 'ava';
-import {divideStop} from '../../stop-times.ts';
+import {divideStopTime} from '../../stop-times.ts';
 
 const CASES = [
 	{
@@ -19,7 +19,7 @@
 for (const {name, milliseconds, accepting, draining} of CASES) {
 	test(`of the time to stop, ${name} leaves ${draining} ms for what is under way`, t => {
 		// Guards against hosts that give requests up while they have a third of their time left.
-		const {acceptingMilliseconds, drainingMilliseconds} = divideStop(milliseconds);
+		const {acceptingMilliseconds, drainingMilliseconds} = divideStopTime(milliseconds);
 		t.deepEqual([acceptingMilliseconds, drainingMilliseconds], [accepting, draining]);
 		t.true(acceptingMilliseconds + drainingMilliseconds >= milliseconds * 5 / 6, 'given up in the last sixth only');
 	});
--- a/packages/wagtailroute-fleet/src/absences.ts
+++ b/packages/wagtailroute-fleet/src/absences.ts
@@ -8,13 +8,13 @@
 import type * as core from 'wagtailroute-core';
 import type * as utils from 'wagtailroute-utils';
 import {
-	ABSENCE_LOOK_MILLISECONDS,
-	ABSENCE_MOST_MILLISECONDS,
-	ABSENCE_REPEAT_MILLISECONDS,
-	ABSENCE_SLICE_MILLISECONDS,
+	MIN_ABSENCE_CHECK_MILLISECONDS,
+	MAX_ABSENCE_MILLISECONDS,
+	ABSENCE_CHECK_INTERVAL_MILLISECONDS,
+	ABSENCE_GROUP_MILLISECONDS,
 	ASKER_MILLISECONDS,
 	PAUSE_MILLISECONDS,
-	SILENT_ASKER_MILLISECONDS,
+	SILENT_REQUESTER_MILLISECONDS,
 	SILENT_FAR_ENTRY_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
@@ -22,7 +22,7 @@
 /**
 An entry host with a link here.
 */
-export type HeardHost = {
+export type LinkedHost = {
 	readonly id: core.HostId;
 	/**
 	It serves callers, as far as it has told.
@@ -31,13 +31,13 @@
 	/**
 	Milliseconds since it was last heard.
 	*/
-	readonly silence: number;
+	readonly silenceMilliseconds: number;
 };
 
 /**
 The absent hosts.
 */
-export type Absences = {
+export type AbsenceTracker = {
 	/**
 	A host has opened a link. A process that has started since the host was last heard has used nothing meanwhile.
 	*/
@@ -45,19 +45,19 @@
 	/**
 	A host has asked this host's dispatcher.
 	*/
-	readonly recordAsk: (host: core.HostId) => void;
+	readonly recordSlotRequest: (host: core.HostId) => void;
 	/**
 	The link of a host is closed.
 	*/
-	readonly recordClosed: (host: HeardHost) => void;
+	readonly recordLinkClosed: (host: LinkedHost) => void;
 	/**
 	Returns when an absent host was last heard; undefined for one that is not absent.
 	*/
-	readonly findStart: (host: core.HostId) => number | undefined;
+	readonly findAbsentSince: (host: core.HostId) => number | undefined;
 	/**
 	A host has told what it used meanwhile.
 	*/
-	readonly end: (host: core.HostId) => void;
+	readonly endAbsence: (host: core.HostId) => void;
 	/**
 	Returns the absent hosts together with those that were last heard at about the same time; the same list for as long as nothing changes.
 	*/
@@ -68,23 +68,23 @@
 /**
 What absences are found by.
 */
-export type AbsencesPlan = {
-	readonly listHosts: () => Iterable<HeardHost>;
+export type AbsenceTrackerPlan = {
+	readonly listHosts: () => Iterable<LinkedHost>;
 	/**
 	Returns the share of the entry hosts that one of them is.
 	*/
-	readonly getOneShare: () => number;
+	readonly getHostShare: () => number;
 	/**
 	Milliseconds after which what a host used meanwhile no longer counts.
 	*/
 	readonly windowMilliseconds: number;
 };
 
-type Absent = allotments.Absence & {
+type AbsentHost = allotments.Absence & {
 	/**
 	Since when its link is heard again.
 	*/
-	heardAgainAt?: number;
+	recoveredAt?: number;
 };
 
 /**
@@ -92,51 +92,51 @@
 
 Looks for them now and then, too: while nobody asks here, nothing else would notice a silence that ends before its link does.
 */
-export function startAbsences({now, repeat}: Pick<FleetContext, 'now' | 'repeat'>, plan: AbsencesPlan): Absences {
-	const askedAt = new Map<core.HostId, number>();
-	const absent = new Map<core.HostId, Absent>();
-	let listed: readonly allotments.Absence[] = [];
-	let lookedAt = now();
-	let resumedAt = -Infinity;
-
-	const isSilent = ({id, silence}: HeardHost) => {
-		const isAsker = now() - (askedAt.get(id) ?? -Infinity) < ASKER_MILLISECONDS;
-		return Math.min(silence, now() - resumedAt) > (isAsker ? SILENT_ASKER_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS);
+export function startAbsenceTracker({now, repeat}: Pick<FleetContext, 'now' | 'repeat'>, plan: AbsenceTrackerPlan): AbsenceTracker {
+	const requestedAt = new Map<core.HostId, number>();
+	const absent = new Map<core.HostId, AbsentHost>();
+	let listedAbsences: readonly allotments.Absence[] = [];
+	let checkedAt = now();
+	let processResumedAt = -Infinity;
+
+	const isSilent = ({id, silenceMilliseconds}: LinkedHost) => {
+		const isRequester = now() - (requestedAt.get(id) ?? -Infinity) < ASKER_MILLISECONDS;
+		return Math.min(silenceMilliseconds, now() - processResumedAt) > (isRequester ? SILENT_REQUESTER_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS);
 	};
 
-	const add = ({id, silence}: HeardHost) => {
+	const markAbsent = ({id, silenceMilliseconds}: LinkedHost) => {
 		const known = absent.get(id);
 		if (known === undefined) {
-			absent.set(id, {since: now() - silence, share: plan.getOneShare()});
+			absent.set(id, {since: now() - silenceMilliseconds, share: plan.getHostShare()});
 		} else {
-			known.heardAgainAt = undefined;
+			known.recoveredAt = undefined;
 		}
 	};
 
 	/**
 	One that is heard again stays absent until it has told what it used meanwhile, or that no longer counts. Asks that arrive may have been held up.
 	*/
-	const noteHeard = (id: core.HostId, known: Absent) => {
-		known.heardAgainAt ??= now();
-		if (now() - known.heardAgainAt > plan.windowMilliseconds) {
+	const recordRecovery = (id: core.HostId, known: AbsentHost) => {
+		known.recoveredAt ??= now();
+		if (now() - known.recoveredAt > plan.windowMilliseconds) {
 			absent.delete(id);
 		}
 	};
 
-	const lookAt = (host: HeardHost) => {
+	const checkHost = (host: LinkedHost) => {
 		const known = absent.get(host.id);
 		if (!host.isReady) {
 			absent.delete(host.id);
 		} else if (isSilent(host)) {
-			add(host);
+			markAbsent(host);
 		} else if (known !== undefined) {
-			noteHeard(host.id, known);
+			recordRecovery(host.id, known);
 		}
 	};
 
-	const forget = () => {
+	const evictExpired = () => {
 		for (const [id, {since}] of absent) {
-			if (now() - since > ABSENCE_MOST_MILLISECONDS) {
+			if (now() - since > MAX_ABSENCE_MILLISECONDS) {
 				absent.delete(id);
 			}
 		}
@@ -145,64 +145,64 @@
 	/**
 	Half of the hosts may be absent at once, and each admission looks at all entries of the list.
 	*/
-	const renew = () => {
-		const groups = Map.groupBy(absent.values(), ({since}) => Math.floor(since / ABSENCE_SLICE_MILLISECONDS) * ABSENCE_SLICE_MILLISECONDS);
+	const updateList = () => {
+		const groups = Map.groupBy(absent.values(), ({since}) => Math.floor(since / ABSENCE_GROUP_MILLISECONDS) * ABSENCE_GROUP_MILLISECONDS);
 		const shares = groups.entries().map(([since, hosts]): allotments.Absence => ({since, share: hosts.reduce((sum, {share}) => sum + share, 0)})).toArray();
-		const isSame = shares.length === listed.length && shares.every(({since, share}, index) => since === listed[index]!.since && share === listed[index]!.share);
-		listed = isSame ? listed : shares;
+		const isSame = shares.length === listedAbsences.length && shares.every(({since, share}, index) => since === listedAbsences[index]!.since && share === listedAbsences[index]!.share);
+		listedAbsences = isSame ? listedAbsences : shares;
 	};
 
-	const look = () => {
+	const checkHosts = () => {
 		// A process that was paused looks before it reads what has come meanwhile.
-		resumedAt = now() - lookedAt > ABSENCE_REPEAT_MILLISECONDS + PAUSE_MILLISECONDS ? now() : resumedAt;
-		lookedAt = now();
+		processResumedAt = now() - checkedAt > ABSENCE_CHECK_INTERVAL_MILLISECONDS + PAUSE_MILLISECONDS ? now() : processResumedAt;
+		checkedAt = now();
 		for (const host of plan.listHosts()) {
-			lookAt(host);
+			checkHost(host);
 		}
 
-		forget();
-		renew();
+		evictExpired();
+		updateList();
 	};
 
-	const end = (host: core.HostId) => {
+	const endAbsence = (host: core.HostId) => {
 		if (absent.delete(host)) {
-			renew();
+			updateList();
 		}
 	};
 
 	return {
-		teardown: repeat(ABSENCE_REPEAT_MILLISECONDS, look),
+		teardown: repeat(ABSENCE_CHECK_INTERVAL_MILLISECONDS, checkHosts),
 		recordHello(host, runningMilliseconds) {
 			if (now() - runningMilliseconds > (absent.get(host)?.since ?? Infinity)) {
-				end(host);
+				endAbsence(host);
 			}
 		},
-		recordAsk(host) {
-			askedAt.set(host, now());
+		recordSlotRequest(host) {
+			requestedAt.set(host, now());
 		},
-		end,
-		recordClosed(host) {
+		endAbsence,
+		recordLinkClosed(host) {
 			// It has opened another link: connections can go silent for good while new ones work.
 			if (Iterator.from(plan.listHosts()).some(({id}) => id === host.id)) {
 				return;
 			}
 
-			askedAt.delete(host.id);
+			requestedAt.delete(host.id);
 			if (host.isReady && isSilent(host)) {
-				add(host);
+				markAbsent(host);
 			} else {
 				absent.delete(host.id);
 			}
 
-			renew();
+			updateList();
 		},
-		findStart: host => absent.get(host)?.since,
+		findAbsentSince: host => absent.get(host)?.since,
 		list() {
-			if (now() - lookedAt >= ABSENCE_LOOK_MILLISECONDS) {
-				look();
+			if (now() - checkedAt >= MIN_ABSENCE_CHECK_MILLISECONDS) {
+				checkHosts();
 			}
 
-			return listed;
+			return listedAbsences;
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/allotting.ts
+++ b/packages/wagtailroute-fleet/src/allotment-enforcer.ts
@@ -6,9 +6,9 @@
 import type * as dispatch from 'wagtailroute-dispatch';
 import type * as generations from 'wagtailroute-generations';
 import * as utils from 'wagtailroute-utils';
-import type {Absences} from './absences.ts';
+import type {AbsenceTracker} from './absences.ts';
 import type {RequestShare} from './request-share.ts';
-import {ORGANISATION_LABELS_MOST, REFUSALS_TOLD_MILLISECONDS} from './constants.ts';
+import {MAX_ORGANISATION_LABELS, REFUSAL_LOG_INTERVAL_MILLISECONDS} from './constants.ts';
 import type {FleetContext} from './context.ts';
 import {type DecidedAnswer, METHODS} from './messages.ts';
 import type {FleetSettings} from './settings.ts';
@@ -16,7 +16,7 @@
 /**
 Allotments at a dispatcher.
 */
-export type Allotting = {
+export type AllotmentEnforcer = {
 	readonly setOrganisations: (organisations: readonly generations.GenerationOrganisation[] | undefined) => void;
 	/**
 	Takes an ask from its organisation's allotment; a refusal when there is nothing left.
@@ -25,142 +25,142 @@
 	/**
 	Gives back what was taken for an ask that was granted no place.
 	*/
-	readonly giveBack: (ask: dispatch.Ask) => void;
+	readonly refund: (ask: dispatch.Ask) => void;
 	/**
 	Takes all that an entry host was admitted by other dispatchers in the last window, before it asks here for the first time.
 	*/
-	readonly takeOver: (host: core.HostId, uses: readonly allotments.PastUse[]) => void;
+	readonly recordPastUsage: (host: core.HostId, uses: readonly allotments.PastUsage[]) => void;
 	/**
 	@param sender Stands for the host that tells it: times of one sender are compared with each other.
 	*/
-	readonly hearUse: (news: allotments.UseNews, sender: object) => void;
+	readonly applyReport: (news: allotments.UsageReport, sender: object) => void;
 };
 
 /**
 What allotting needs.
 */
-export type AllottingPlan = {
+export type AllotmentEnforcerPlan = {
 	readonly settings: FleetSettings['allotments'];
 	/**
 	Share of the entry hosts that ask this host's dispatcher: where others may be asked beside it, it gives out no more.
 	*/
-	readonly requestShare: Pick<RequestShare, 'get' | 'getOne'>;
+	readonly requestShare: Pick<RequestShare, 'get' | 'getHostShare'>;
 	/**
 	The entry hosts that are not heard here; absent on entry hosts.
 	*/
-	readonly absences?: Pick<Absences, 'recordAsk' | 'findStart' | 'end' | 'list'>;
+	readonly absences?: Pick<AbsenceTracker, 'recordSlotRequest' | 'findAbsentSince' | 'endAbsence' | 'list'>;
 	/**
 	This host hears of all use even while it is not asked, as control hosts do.
 	*/
-	readonly isTold: boolean;
+	readonly hasPeerReports: boolean;
 	/**
 	Sends to the other hosts that may dispatch.
 	*/
-	readonly tellDispatchers: (method: string, parameters: unknown) => void;
+	readonly notifyDispatchers: (method: string, parameters: unknown) => void;
 };
 
 /**
 Starts the allotments of a dispatcher.
 */
-export function startAllotting(context: FleetContext, plan: AllottingPlan): Allotting {
+export function startAllotmentEnforcer(context: FleetContext, plan: AllotmentEnforcerPlan): AllotmentEnforcer {
 	const {now} = context;
-	const ledger = allotments.createAllotments({
+	const limiter = allotments.createAllotmentLimiter({
 		...plan.settings,
-		isTold: plan.isTold,
+		hasPeerReports: plan.hasPeerReports,
 		random: context.random,
 		getShare: plan.requestShare.get,
 		listAbsences: plan.absences?.list,
 	}, now());
 	const clocks = allotments.createSenderClocks();
-	const noteRefusal = createRefusalLog(context);
+	const logRefusal = createRefusalLog(context);
 
-	const tell = () => {
-		const news = ledger.takeNews(now());
-		if (news === undefined) {
+	const sendReport = () => {
+		const report = limiter.collectReport(now());
+		if (report === undefined) {
 			return;
 		}
 
-		plan.tellDispatchers(METHODS.use, news);
+		plan.notifyDispatchers(METHODS.use, report);
 		// Goes on until nothing was asked for a while: whoever misses it takes this host for cut off.
-		tellLater();
+		scheduleReport();
 	};
 
-	const tellLater = utils.coalesce(context.schedule, allotments.TELL_MILLISECONDS, tell);
+	const scheduleReport = utils.coalesce(context.schedule, allotments.REPORT_INTERVAL_MILLISECONDS, sendReport);
 
 	return {
 		setOrganisations(organisations = []) {
-			ledger.setAllotments(organisations.map(({name, ratePerSecond, burst}) => ({organisation: name, ratePerSecond, burst})), now());
+			limiter.setAllotments(organisations.map(({name, ratePerSecond, burst}) => ({organisation: name, ratePerSecond, burst})), now());
 		},
 		admit(ask) {
-			plan.absences?.recordAsk(ask.host);
+			plan.absences?.recordSlotRequest(ask.host);
 			if (ask.organisation === undefined) {
 				return undefined;
 			}
 
-			const admission = ledger.admit(ask.organisation, ask.service, now());
+			const admission = limiter.admit(ask.organisation, ask.service, now());
 			if (admission.kind === 'admitted') {
-				if (admission.isUrgent) {
-					tell();
-				} else if (admission.isBound) {
-					tellLater();
+				if (admission.isReportUrgent) {
+					sendReport();
+				} else if (admission.isLimited) {
+					scheduleReport();
 				}
 
 				return undefined;
 			}
 
-			noteRefusal(ask, admission);
+			logRefusal(ask, admission);
 			return {kind: 'refuse', reason: 'allotment', retryAfterMilliseconds: admission.retryAfterMilliseconds};
 		},
-		giveBack({organisation, service}) {
+		refund({organisation, service}) {
 			if (organisation !== undefined) {
-				ledger.giveBack(organisation, service, now());
+				limiter.refund(organisation, service, now());
 			}
 		},
-		takeOver(host, uses) {
-			ledger.takeOver(uses, plan.requestShare.getOne(), now(), plan.absences?.findStart(host));
-			plan.absences?.end(host);
+		recordPastUsage(host, uses) {
+			limiter.recordPastUsage(uses, plan.requestShare.getHostShare(), now(), plan.absences?.findAbsentSince(host));
+			plan.absences?.endAbsence(host);
 		},
-		hearUse(news, sender) {
-			ledger.hearUse(news, {at: clocks.convert(sender, news.at, now()), now: now()});
+		applyReport(report, sender) {
+			limiter.applyReport(report, {at: clocks.convert(sender, report.at, now()), now: now()});
 		},
 	};
 }
 
-type Refused = Extract<allotments.Admission, {kind: 'refused'}>;
+type Refusal = Extract<allotments.Admission, {kind: 'refused'}>;
 
 /**
 An organisation that floods is refused hundreds of times a second: each refusal is counted, one in a while is logged and tells how many there were.
 */
-function createRefusalLog(context: FleetContext): (ask: dispatch.Ask, refused: Refused) => void {
+function createRefusalLog(context: FleetContext): (ask: dispatch.Ask, refusal: Refusal) => void {
 	const log = context.logs('allotment');
 	const labels = new Set<string>();
-	const quiet = new Map<core.Organisation, {readonly loggedAt: number; refusals: number}>();
+	const lastLogged = new Map<core.Organisation, {readonly loggedAt: number; refusals: number}>();
 
 	const getLabel = (organisation: string) => {
-		if (labels.size < ORGANISATION_LABELS_MOST) {
+		if (labels.size < MAX_ORGANISATION_LABELS) {
 			labels.add(organisation);
 		}
 
 		return labels.has(organisation) ? organisation : 'other';
 	};
 
-	return ({id, service, organisation = ''}, {ratePerSecond, used, part, ageMilliseconds, retryAfterMilliseconds}) => {
+	return ({id, service, organisation = ''}, {ratePerSecond, used, fraction, reportAgeMilliseconds, retryAfterMilliseconds}) => {
 		context.metrics.count('allotment_refusals', {organisation: getLabel(organisation)});
-		const before = quiet.get(organisation);
-		if (before !== undefined && context.now() - before.loggedAt < REFUSALS_TOLD_MILLISECONDS) {
+		const before = lastLogged.get(organisation);
+		if (before !== undefined && context.now() - before.loggedAt < REFUSAL_LOG_INTERVAL_MILLISECONDS) {
 			before.refusals++;
 			return;
 		}
 
-		utils.setBounded(quiet, organisation, {loggedAt: context.now(), refusals: 0}, ORGANISATION_LABELS_MOST);
+		utils.setBounded(lastLogged, organisation, {loggedAt: context.now(), refusals: 0}, MAX_ORGANISATION_LABELS);
 		log.warn('Organisation over its allotment.', {
 			id,
 			service,
 			organisation,
 			ratePerSecond,
 			used: Math.round(used),
-			part: Number(part.toFixed(2)),
-			heardMillisecondsAgo: ageMilliseconds === undefined ? undefined : Math.round(ageMilliseconds),
+			part: Number(fraction.toFixed(2)),
+			heardMillisecondsAgo: reportAgeMilliseconds === undefined ? undefined : Math.round(reportAgeMilliseconds),
 			retryAfterMilliseconds: Math.round(retryAfterMilliseconds),
 			refusedBefore: before?.refusals ?? 0,
 		});
--- a/packages/wagtailroute-fleet/src/asking.ts
+++ b/packages/wagtailroute-fleet/src/asking.ts
@@ -39,7 +39,7 @@
 import {type AskAnswer, type DecidedAnswer, METHODS} from './messages.ts';
 import {createHeldPlaces, type Held, type HeldPlaces} from './held-places.ts';
 import type {EntrySettings} from './settings.ts';
-import {createRecentUses, type RecentUses} from './recent-uses.ts';
+import {createRecentUsage, type RecentUsage} from './recent-usage.ts';
 import type {Standbys} from './standbys.ts';
 
 /**
@@ -151,7 +151,7 @@
 	readonly #pending = new Map<dispatch.AskId, Pending>();
 	readonly #held: HeldPlaces;
 	readonly #advertisements: Advertisements;
-	readonly #recentUses: RecentUses;
+	readonly #recentUses: RecentUsage;
 	readonly #finder: DispatcherFinder;
 	readonly #routeNumbers = createRouteNumbers();
 	readonly #organisationNumbers = createOrganisationNumbers();
@@ -163,7 +163,7 @@
 		this.#context = context;
 		this.#plan = plan;
 		this.#advertisements = createAdvertisements(plan.settings.hostId, context.now);
-		this.#recentUses = createRecentUses(context.now, plan.settings.allotments.windowMilliseconds);
+		this.#recentUses = createRecentUsage(context.now, plan.settings.allotments.windowMilliseconds);
 		this.#held = createHeldPlaces(context.now, {
 			advertisements: this.#advertisements, recentUses: this.#recentUses, countEntryHosts: plan.countEntryHosts,
 		});
@@ -393,7 +393,7 @@
 		this.#context.metrics.count('asks_own', {reason});
 		this.#context.logs('dispatch').warn('Own dispatcher asked.', {id: ask.id, service: ask.service, reason});
 		this.#plan.own.applyUpdates({service: ask.service, updates: this.#advertisements.list(ask.service)});
-		const uses = this.#recentUses.takeUntold(this.#plan.own);
+		const uses = this.#recentUses.collectUnreported(this.#plan.own);
 		if (uses !== undefined) {
 			this.#plan.own.takeOver(this.#plan.settings.hostId, uses);
 		}
@@ -440,7 +440,7 @@
 	#recordUse({ask, dispatcher}: Held): void {
 		const {service, organisation} = ask;
 		if (organisation !== undefined && dispatch.isFirst(ask)) {
-			this.#recentUses.record({service, organisation, by: dispatcher?.link ?? this.#plan.own});
+			this.#recentUses.record({service, organisation, admittedBy: dispatcher?.link ?? this.#plan.own});
 		}
 	}
 
--- a/packages/wagtailroute-fleet/src/caller-times.ts
+++ b/packages/wagtailroute-fleet/src/caller-deadlines.ts
@@ -4,32 +4,32 @@
 */
 import type * as generations from 'wagtailroute-generations';
 import * as utils from 'wagtailroute-utils';
-import {ROUTES_MEASURED} from './constants.ts';
+import {MAX_MEASURED_ROUTES} from './constants.ts';
 
 /**
 Deadlines by route.
 */
-export type CallerTimes = {
+export type CallerDeadlines = {
 	/**
 	Takes note of the milliseconds that a caller gives, and returns those that it has probably waited before; 0 when it gives none.
 	*/
-	readonly guessWaited: (route: generations.GenerationRoute, timeoutMilliseconds: number | undefined) => number;
+	readonly estimateWaited: (route: generations.GenerationRoute, timeoutMilliseconds: number | undefined) => number;
 };
 
 /**
 Creates an empty table. A caller whose deadline is shorter than others' counts as one that has waited: under overload it stands behind those
 that can be answered in time, else it makes no difference.
 */
-export function createCallerTimes(): CallerTimes {
+export function createCallerDeadlines(): CallerDeadlines {
 	const longest = new Map<string, number>();
 	return {
-		guessWaited({name}, timeoutMilliseconds) {
+		estimateWaited({name}, timeoutMilliseconds) {
 			if (timeoutMilliseconds === undefined) {
 				return 0;
 			}
 
 			const known = Math.max(timeoutMilliseconds, longest.get(name) ?? 0);
-			utils.setBounded(longest, name, known, ROUTES_MEASURED);
+			utils.setBounded(longest, name, known, MAX_MEASURED_ROUTES);
 			return known - timeoutMilliseconds;
 		},
 	};
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -214,12 +214,12 @@
 /**
 Milliseconds between two measurements of an entry host's load.
 */
-export const LOAD_MILLISECONDS = 1000;
+export const LOAD_INTERVAL_MILLISECONDS = 1000;
 
 /**
 Share of a new measurement of load that is lower than the one before.
 */
-export const LOAD_SHARE = 0.3;
+export const LOAD_DECREASE_WEIGHT = 0.3;
 
 /**
 Change of load that the control hosts are told, a third of what is aimed at: a message to each costs as much as a request's.
@@ -261,13 +261,13 @@
 Part of the time between SIGTERM and the end for which a stopping entry host takes new requests: callers keep its address for a
 while, and whatever is taken in must have its answer before the end, also if it lasts as long as the longest timeouts.
 */
-export const ACCEPTING_PART = 0.48;
+export const ACCEPTING_FRACTION = 0.48;
 
 /**
 Milliseconds before the end of the time to stop at which a stopping host gives up what is still under way, and the part of that time that this is at most.
 */
 export const STOP_MARGIN_MILLISECONDS = 600;
-export const STOP_MARGIN_PART = 0.1;
+export const MAX_STOP_MARGIN_FRACTION = 0.1;
 
 /**
 Usual times of its route after which a request that may be repeated is asked another place for: with work times that spread by half, one in
@@ -283,7 +283,7 @@
 /**
 Routes whose usual time a host keeps: those it carries of 46,000.
 */
-export const ROUTES_MEASURED = 4096;
+export const MAX_MEASURED_ROUTES = 4096;
 
 /**
 Milliseconds after its last ask for which a host is told what a dispatcher believes.
@@ -346,12 +346,12 @@
 /**
 Slices of a window in which a host counts what its callers were admitted.
 */
-export const RECENT_USE_SLICES = 20;
+export const RECENT_USAGE_SLICES = 20;
 
 /**
 Milliseconds for which a number of entry hosts that another host told counts: a host that has just started knows all of them by then.
 */
-export const ENTRY_HOST_COUNT_MILLISECONDS = 6000;
+export const ENTRY_HOST_COUNT_TTL_MILLISECONDS = 6000;
 
 /**
 Entry hosts that a fleet is taken to have while a host was not told how many there are: one that dispatches alone may give out one part in so
@@ -362,17 +362,17 @@
 /**
 Organisations that have a label of their own in metrics, and whose refusals are collected between two log lines; the others count together.
 */
-export const ORGANISATION_LABELS_MOST = 20;
+export const MAX_ORGANISATION_LABELS = 20;
 
 /**
 Milliseconds between two log lines about refusals of one organisation.
 */
-export const REFUSALS_TOLD_MILLISECONDS = 1000;
+export const REFUSAL_LOG_INTERVAL_MILLISECONDS = 1000;
 
 /**
 Milliseconds between two looks whether the process runs late.
 */
-export const PAUSE_LOOK_MILLISECONDS = 1000;
+export const PAUSE_CHECK_MILLISECONDS = 1000;
 
 /**
 Milliseconds from which on a late timer is logged: a leader that is late by so much misses a heartbeat.
@@ -387,23 +387,23 @@
 /**
 Silence in milliseconds from which on an entry host that asks here counts as absent: two pings were missed.
 */
-export const SILENT_ASKER_MILLISECONDS = 1000;
+export const SILENT_REQUESTER_MILLISECONDS = 1000;
 
 /**
 Milliseconds between two looks at which entry hosts are heard: at least while a dispatcher is asked, at most while it is not.
 */
-export const ABSENCE_LOOK_MILLISECONDS = 50;
-export const ABSENCE_REPEAT_MILLISECONDS = 250;
+export const MIN_ABSENCE_CHECK_MILLISECONDS = 50;
+export const ABSENCE_CHECK_INTERVAL_MILLISECONDS = 250;
 
 /**
 Milliseconds of the slices of time in which absent hosts are put together.
 */
-export const ABSENCE_SLICE_MILLISECONDS = 250;
+export const ABSENCE_GROUP_MILLISECONDS = 250;
 
 /**
 Milliseconds after which an entry host that is not heard counts as gone: callers have turned to others.
 */
-export const ABSENCE_MOST_MILLISECONDS = 60_000;
+export const MAX_ABSENCE_MILLISECONDS = 60_000;
 
 /**
 Milliseconds between two lines on the upstreams of a service that get nothing, and how many of them a line names.
--- a/packages/wagtailroute-fleet/src/control.ts
+++ b/packages/wagtailroute-fleet/src/control.ts
@@ -8,8 +8,8 @@
 import * as link from 'wagtailroute-link';
 import * as results from 'ts-results-es';
 import * as utils from 'wagtailroute-utils';
-import {type HeardHost, startAbsences} from './absences.ts';
-import {startAllotting} from './allotting.ts';
+import {type LinkedHost, startAbsenceTracker} from './absences.ts';
+import {startAllotmentEnforcer} from './allotment-enforcer.ts';
 import {startControlLinks} from './control-links.ts';
 import {createAskMethods} from './ask-methods.ts';
 import {createBeliefStore} from './belief-store.ts';
@@ -96,17 +96,17 @@
 	const hostCount = createHostCount(context.now, () => countAddresses(directory.getTable()));
 	// After a restart of everything no entry host is known, and whoever asks is all there is.
 	const requestShare = createRequestShare(hostCount.get, 1);
-	const absences = startAbsences(context, {
+	const absences = startAbsenceTracker(context, {
 		listHosts: () => entries.listAll().map(host => describeHeard(host)),
-		getOneShare: requestShare.getOne,
+		getHostShare: requestShare.getHostShare,
 		windowMilliseconds: settings.allotments.windowMilliseconds,
 	});
-	const allotting = startAllotting(context, {
+	const allotting = startAllotmentEnforcer(context, {
 		settings: settings.allotments,
 		requestShare,
 		absences,
-		isTold: true,
-		tellDispatchers(method, parameters) {
+		hasPeerReports: true,
+		notifyDispatchers(method, parameters) {
 			links.notifyAll(method, parameters);
 		},
 	});
@@ -206,7 +206,7 @@
 		[messages.METHODS.beliefs](beliefs: readonly messages.Belief[]) {
 			dispatching.hearBeliefs(beliefs);
 		},
-		[messages.METHODS.use]: allotting.hearUse,
+		[messages.METHODS.use]: allotting.applyReport,
 		[messages.METHODS.probe]: () => ({}),
 		...createAskMethods(dispatching, entries.findByLink),
 	});
@@ -262,7 +262,7 @@
 				return;
 			}
 
-			absences.recordClosed(describeHeard(host));
+			absences.recordLinkClosed(describeHeard(host));
 			log.info('Entry host left.', describeEntryHost(host));
 			tellStandbys();
 		},
@@ -317,8 +317,8 @@
 	};
 }
 
-function describeHeard({id, state, link: over}: EntryHost): HeardHost {
-	return {id, isReady: state.isReady, silence: over.getSilence()};
+function describeHeard({id, state, link: over}: EntryHost): LinkedHost {
+	return {id, isReady: state.isReady, silenceMilliseconds: over.getSilence()};
 }
 
 function registerMethods(methods: Map<string, link.LinkMethod>, table: Readonly<Record<string, link.LinkMethod>>): void {
--- a/packages/wagtailroute-fleet/src/dispatching.ts
+++ b/packages/wagtailroute-fleet/src/dispatching.ts
@@ -14,7 +14,7 @@
 	IDLE_TOLD_MILLISECONDS,
 } from './constants.ts';
 import {getAskNumber, shortenAnswer} from './ask-wire.ts';
-import type {Allotting} from './allotting.ts';
+import type {AllotmentEnforcer} from './allotment-enforcer.ts';
 import type {RequestShare} from './request-share.ts';
 import type {FleetContext} from './context.ts';
 import {createPeerUpdates} from './peer-updates.ts';
@@ -27,7 +27,7 @@
 	METHODS,
 	type ServiceUpdates,
 } from './messages.ts';
-import {createRecentAskers, type RecentAskers} from './recent-askers.ts';
+import {createRecentRequesters, type RecentRequesters} from './recent-requesters.ts';
 import type {FleetSettings} from './settings.ts';
 
 /**
@@ -53,7 +53,7 @@
 	/**
 	Takes what a host was admitted by other dispatchers, before it asks here for the first time.
 	*/
-	readonly takeOver: (host: core.HostId, uses: readonly allotments.PastUse[]) => void;
+	readonly takeOver: (host: core.HostId, uses: readonly allotments.PastUsage[]) => void;
 	/**
 	Takes what the dispatcher on another control host believes.
 	*/
@@ -97,7 +97,7 @@
 	/**
 	Absent: nothing bounds what an organisation sends.
 	*/
-	readonly allotting?: Pick<Allotting, 'admit' | 'giveBack' | 'takeOver'>;
+	readonly allotting?: Pick<AllotmentEnforcer, 'admit' | 'refund' | 'recordPastUsage'>;
 	/**
 	A host told how many entry hosts serve callers.
 	*/
@@ -130,7 +130,7 @@
 	const {requestShare} = plan;
 	const dispatcher = dispatch.createDispatcher({...plan.settings, random, getShare: plan.isTold ? undefined : requestShare.get});
 	const known = new Set<core.ServiceName>();
-	const askers = new Map<core.ServiceName, RecentAskers>();
+	const askers = new Map<core.ServiceName, RecentRequesters>();
 
 	const listAskers = (service: core.ServiceName) => askers.get(service)?.list(now()) ?? [];
 
@@ -228,15 +228,15 @@
 	*/
 	const giveBack = (ask: dispatch.Ask) => {
 		if (dispatch.isFirst(ask)) {
-			plan.allotting?.giveBack(ask);
+			plan.allotting?.refund(ask);
 		}
 	};
 
 	const noteAsker = ({service, host}: dispatch.Ask) => {
 		requestShare.record(host, now());
-		const hosts = askers.get(service) ?? createRecentAskers(ASKER_MILLISECONDS);
+		const hosts = askers.get(service) ?? createRecentRequesters(ASKER_MILLISECONDS);
 		askers.set(service, hosts);
-		hosts.note(host, now());
+		hosts.record(host, now());
 	};
 
 	const carryOut = (list: readonly dispatch.Effect[]) => {
@@ -355,7 +355,7 @@
 			}
 
 			if (uses !== undefined) {
-				plan.allotting?.takeOver(host, uses);
+				plan.allotting?.recordPastUsage(host, uses);
 			}
 
 			dispatcher.hold(host, service, places, now());
@@ -363,7 +363,7 @@
 			tickWhileBusy();
 		},
 		takeOver(host, uses) {
-			plan.allotting?.takeOver(host, uses);
+			plan.allotting?.recordPastUsage(host, uses);
 		},
 		hearBelief,
 		hearBeliefNews(news) {
--- a/packages/wagtailroute-fleet/src/entry-domain.ts
+++ b/packages/wagtailroute-fleet/src/entry-domain.ts
@@ -31,20 +31,20 @@
 /**
 Chooses where a caller enters.
 
-@param own The caller's failure domain.
+@param ownDomain The caller's failure domain.
 @param upstreams Those of the service that takes its uploads.
 */
-export function chooseEntryDomain(own: core.FailureDomain, upstreams: readonly dispatch.UpstreamReport[]): core.FailureDomain {
+export function chooseEntryDomain(ownDomain: core.FailureDomain, upstreams: readonly dispatch.UpstreamReport[]): core.FailureDomain {
 	const slots = countUsableSlots(upstreams);
-	if (slots.has(own)) {
-		return own;
+	if (slots.has(ownDomain)) {
+		return ownDomain;
 	}
 
-	let best = own;
-	let most = 0;
+	let best = ownDomain;
+	let maxSlots = 0;
 	for (const [failureDomain, count] of slots) {
-		best = count > most ? failureDomain : best;
-		most = Math.max(most, count);
+		best = count > maxSlots ? failureDomain : best;
+		maxSlots = Math.max(maxSlots, count);
 	}
 
 	return best;
--- a/packages/wagtailroute-fleet/src/entry-hosts.ts
+++ b/packages/wagtailroute-fleet/src/entry-hosts.ts
@@ -29,10 +29,10 @@
 	/**
 	Returns the host as it was before.
 	*/
-	readonly setState: (of: link.Link, state: EntryState) => EntryHost | undefined;
-	readonly remove: (of: link.Link) => EntryHost | undefined;
+	readonly setState: (entryLink: link.Link, state: EntryState) => EntryHost | undefined;
+	readonly remove: (entryLink: link.Link) => EntryHost | undefined;
 	readonly find: (id: core.HostId) => EntryHost | undefined;
-	readonly findByLink: (of: link.Link) => EntryHost | undefined;
+	readonly findByLink: (entryLink: link.Link) => EntryHost | undefined;
 	readonly notifyAll: (method: string, parameters: unknown) => void;
 	readonly count: () => number;
 	readonly listAll: () => readonly EntryHost[];
@@ -49,10 +49,10 @@
 /**
 Creates an empty table.
 
-@param own Failure domain of this control host.
+@param ownDomain Failure domain of this control host.
 @param now Monotonic time in milliseconds.
 */
-export function createEntryHosts(own: core.FailureDomain, now: () => number): EntryHosts {
+export function createEntryHosts(ownDomain: core.FailureDomain, now: () => number): EntryHosts {
 	const widths = new Map<core.FailureDomain, Width>();
 	const byLink = new Map<link.Link, EntryHost>();
 	const byId = new Map<core.HostId, EntryHost>();
@@ -63,32 +63,32 @@
 	};
 
 	const isServing = (host: EntryHost) => {
-		const silence = host.failureDomain === own ? SILENT_ENTRY_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS;
+		const silence = host.failureDomain === ownDomain ? SILENT_ENTRY_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS;
 		return host.state.isReady && host.link.getSilence() < silence;
 	};
 
 	return {
 		add: set,
-		setState(of, state) {
-			const present = byLink.get(of);
-			if (present !== undefined) {
-				set({...present, state});
+		setState(entryLink, state) {
+			const host = byLink.get(entryLink);
+			if (host !== undefined) {
+				set({...host, state});
 			}
 
-			return present;
+			return host;
 		},
-		remove(of) {
-			const present = byLink.get(of);
-			byLink.delete(of);
+		remove(entryLink) {
+			const host = byLink.get(entryLink);
+			byLink.delete(entryLink);
 			// The host may have opened another link already.
-			if (present !== undefined && byId.get(present.id)?.link === of) {
-				byId.delete(present.id);
+			if (host !== undefined && byId.get(host.id)?.link === entryLink) {
+				byId.delete(host.id);
 			}
 
-			return present;
+			return host;
 		},
 		find: id => byId.get(id),
-		findByLink: of => byLink.get(of),
+		findByLink: entryLink => byLink.get(entryLink),
 		notifyAll(method, parameters) {
 			for (const host of byId.values()) {
 				host.link.notify(method, parameters);
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -9,8 +9,8 @@
 import * as utils from 'wagtailroute-utils';
 import type {ShortAnswer} from './ask-wire.ts';
 import {createAskMethods} from './ask-methods.ts';
-import {startAllotting} from './allotting.ts';
-import {createAskers} from './askers.ts';
+import {startAllotmentEnforcer} from './allotment-enforcer.ts';
+import {createRequesterLinks} from './requester-links.ts';
 import {createAsking} from './asking.ts';
 import {createBeginning} from './beginning.ts';
 import {
@@ -36,13 +36,13 @@
 import {startLoadMeter} from './load.ts';
 import {createMessageOrder} from './message-order.ts';
 import * as messages from './messages.ts';
-import {createNoting} from './noting.ts';
+import {createRequestLog} from './request-log.ts';
 import {watchPauses} from './pauses.ts';
 import {createRequestShare} from './request-share.ts';
 import {createRouter} from './routing.ts';
 import type {ControlHost, EntrySettings, StandbyHost} from './settings.ts';
 import {createStandbys} from './standbys.ts';
-import {divideStop} from './stop-times.ts';
+import {divideStopTime} from './stop-times.ts';
 
 /**
 A running entry host.
@@ -128,16 +128,16 @@
 
 	const hostCount = createHostCount(context.now, () => countAddresses(directory));
 	const requestShare = createRequestShare(hostCount.get, UNKNOWN_ENTRY_HOSTS);
-	const allotting = startAllotting(context, {
+	const allotting = startAllotmentEnforcer(context, {
 		settings: settings.allotments,
 		requestShare,
-		isTold: false,
-		tellDispatchers(method, parameters) {
+		hasPeerReports: false,
+		notifyDispatchers(method, parameters) {
 			links.notifyAll(method, parameters);
 			standbys.notifyAll(method, parameters);
 		},
 	});
-	const askers = createAskers();
+	const askers = createRequesterLinks();
 	const own = startDispatching(context, {
 		settings: {...settings, budget: {...settings.budget, extra: STANDBY_EXTRA_RESENDS}},
 		allotting,
@@ -178,7 +178,7 @@
 			asking.hearAnswer(ask, answer);
 		},
 		[messages.METHODS.updates]: own.applyUpdates,
-		[messages.METHODS.use]: allotting.hearUse,
+		[messages.METHODS.use]: allotting.applyReport,
 		[messages.METHODS.believe]: own.hearBelief,
 		[messages.METHODS.beliefNews]: own.hearBeliefNews,
 		[messages.METHODS.standbys](hosts: readonly StandbyHost[]) {
@@ -268,7 +268,7 @@
 		isDraining: () => isStopping,
 		connectMilliseconds: UPSTREAM_CONNECT_MILLISECONDS,
 		paces: proxy.createPaces(settings.linkBytesPerSecond, context.now),
-		note: createNoting(context),
+		note: createRequestLog(context),
 	});
 	opened.traffic = traffic;
 	context.metrics.registerGauge('requests_in_flight', traffic.getInFlight);
@@ -287,7 +287,7 @@
 			isStopping = true;
 			tellState();
 			log.info('Host stopping.', {inFlight: traffic.getInFlight()});
-			const {acceptingMilliseconds, drainingMilliseconds} = divideStop(settings.stopMilliseconds);
+			const {acceptingMilliseconds, drainingMilliseconds} = divideStopTime(settings.stopMilliseconds);
 			await timers.setTimeout(acceptingMilliseconds);
 			await Promise.race([traffic.drain(), timers.setTimeout(drainingMilliseconds)]);
 			log.info('Host stopped.', {inFlight: traffic.getInFlight()});
--- a/packages/wagtailroute-fleet/src/held-places.ts
+++ b/packages/wagtailroute-fleet/src/held-places.ts
@@ -9,7 +9,7 @@
 import type {OpenControl} from './control-links.ts';
 import {type Holding, METHODS} from './messages.ts';
 import type {Advertisements} from './advertisements.ts';
-import type {RecentUses} from './recent-uses.ts';
+import type {RecentUsage} from './recent-usage.ts';
 
 /**
 A place that was granted.
@@ -52,7 +52,7 @@
 */
 export type HeldPlacesPlan = {
 	readonly advertisements: Pick<Advertisements, 'list'>;
-	readonly recentUses: Pick<RecentUses, 'takeUntold'>;
+	readonly recentUses: Pick<RecentUsage, 'collectUnreported'>;
 	/**
 	Returns how many entry hosts serve callers, 0 when it is not known.
 	*/
@@ -97,7 +97,7 @@
 			lastLinks.set(service, dispatcher.link);
 			const held = places.values().filter(({ask}) => ask.service === service).map(place => describe(place)).toArray();
 			const updates = advertisements.list(service);
-			const uses = recentUses.takeUntold(dispatcher.link);
+			const uses = recentUses.collectUnreported(dispatcher.link);
 			dispatcher.link.notify(METHODS.hold, {
 				service,
 				places: held,
--- a/packages/wagtailroute-fleet/src/host-count.ts
+++ b/packages/wagtailroute-fleet/src/host-count.ts
@@ -4,7 +4,7 @@
 A control host that has just started knows few entry hosts yet. Taken for all, those few would make the share of each dispatcher too large, so the largest number that
 entry hosts told lately counts.
 */
-import {ENTRY_HOST_COUNT_MILLISECONDS} from './constants.ts';
+import {ENTRY_HOST_COUNT_TTL_MILLISECONDS} from './constants.ts';
 
 /**
 A number of entry hosts.
@@ -30,20 +30,20 @@
 	/**
 	When each number was told last.
 	*/
-	const toldAt = new Map<number, number>();
+	const reportedAt = new Map<number, number>();
 
 	return {
 		record(hosts) {
-			toldAt.set(hosts, now());
+			reportedAt.set(hosts, now());
 		},
 		get() {
-			for (const [hosts, at] of toldAt) {
-				if (now() - at > ENTRY_HOST_COUNT_MILLISECONDS) {
-					toldAt.delete(hosts);
+			for (const [hosts, at] of reportedAt) {
+				if (now() - at > ENTRY_HOST_COUNT_TTL_MILLISECONDS) {
+					reportedAt.delete(hosts);
 				}
 			}
 
-			return Math.max(countOwn(), ...toldAt.keys());
+			return Math.max(countOwn(), ...reportedAt.keys());
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/index.ts
+++ b/packages/wagtailroute-fleet/src/index.ts
@@ -11,9 +11,9 @@
 	STANDBYS_TOLD,
 	UPSTREAM_CONNECT_MILLISECONDS,
 } from './constants.ts';
-export {type Absences, startAbsences} from './absences.ts';
-export {type Allotting, startAllotting} from './allotting.ts';
-export {createAskers} from './askers.ts';
+export {type AbsenceTracker, startAbsenceTracker} from './absences.ts';
+export {type AllotmentEnforcer, startAllotmentEnforcer} from './allotment-enforcer.ts';
+export {createRequesterLinks} from './requester-links.ts';
 export {createAskMethods} from './ask-methods.ts';
 export type {ShortAnswer} from './ask-wire.ts';
 export {type Asking, createAsking} from './asking.ts';
--- a/packages/wagtailroute-fleet/src/load.ts
+++ b/packages/wagtailroute-fleet/src/load.ts
@@ -4,8 +4,8 @@
 import type * as utils from 'wagtailroute-utils';
 import {
 	LINK_LOAD_FACTOR,
-	LOAD_MILLISECONDS,
-	LOAD_SHARE,
+	LOAD_INTERVAL_MILLISECONDS,
+	LOAD_DECREASE_WEIGHT,
 	MILLISECONDS_PER_SECOND,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
@@ -45,17 +45,17 @@
 */
 export function startLoadMeter(context: FleetContext, plan: LoadMeterPlan): LoadMeter {
 	const {now} = context;
-	const look = () => ({at: now(), busy: plan.getBusyMilliseconds(), bytes: plan.getBytes()});
-	let last = look();
+	const sample = () => ({at: now(), busy: plan.getBusyMilliseconds(), bytes: plan.getBytes()});
+	let last = sample();
 	let load = 0;
 	const measure = () => {
-		const next = look();
+		const next = sample();
 		const milliseconds = Math.max(1, next.at - last.at);
 		const busy = (next.busy - last.busy) / milliseconds;
 		const sent = (next.bytes - last.bytes) * MILLISECONDS_PER_SECOND / milliseconds / plan.linkBytesPerSecond;
-		const present = Math.max(busy, sent * LINK_LOAD_FACTOR);
+		const current = Math.max(busy, sent * LINK_LOAD_FACTOR);
 		// Growth counts at once: callers keep an answer for seconds.
-		load = present > load ? present : (load * (1 - LOAD_SHARE)) + (present * LOAD_SHARE);
+		load = current > load ? current : (load * (1 - LOAD_DECREASE_WEIGHT)) + (current * LOAD_DECREASE_WEIGHT);
 		last = next;
 		plan.onMeasured();
 	};
@@ -63,6 +63,6 @@
 	context.metrics.registerGauge('load', () => load);
 	return {
 		getLoad: () => load,
-		teardown: context.repeat(LOAD_MILLISECONDS, measure),
+		teardown: context.repeat(LOAD_INTERVAL_MILLISECONDS, measure),
 	};
 }
--- a/packages/wagtailroute-fleet/src/messages.ts
+++ b/packages/wagtailroute-fleet/src/messages.ts
@@ -172,7 +172,7 @@
 	/**
 	All that the host's callers were admitted by other dispatchers in the last window; absent: it was told before, or is not known.
 	*/
-	readonly uses?: readonly allotments.PastUse[];
+	readonly uses?: readonly allotments.PastUsage[];
 	/**
 	Entry hosts that serve callers, as far as the host knows.
 	*/
--- a/packages/wagtailroute-fleet/src/recent-uses.ts
+++ b/packages/wagtailroute-fleet/src/recent-usage.ts
@@ -6,33 +6,33 @@
 */
 import type * as allotments from 'wagtailroute-allotments';
 import type * as core from 'wagtailroute-core';
-import {RECENT_USE_SLICES} from './constants.ts';
+import {RECENT_USAGE_SLICES} from './constants.ts';
 
 /**
 A request that was admitted.
 */
-export type AdmittedUse = {
+export type AdmittedRequest = {
 	readonly service: core.ServiceName;
 	readonly organisation: core.Organisation;
 	/**
 	Stands for the dispatcher that admitted it.
 	*/
-	readonly by: object;
+	readonly admittedBy: object;
 };
 
 /**
 Recent uses of a host.
 */
-export type RecentUses = {
-	readonly record: (use: AdmittedUse) => void;
+export type RecentUsage = {
+	readonly record: (request: AdmittedRequest) => void;
 	/**
 	Returns all that other dispatchers admitted in the last window; undefined for one that was told within it, and on a host that has not run for so long: what its
 	callers were admitted through other hosts before is unknown.
 	*/
-	readonly takeUntold: (dispatcher: object) => readonly allotments.PastUse[] | undefined;
+	readonly collectUnreported: (dispatcher: object) => readonly allotments.PastUsage[] | undefined;
 };
 
-type Slice = AdmittedUse & {
+type Slice = AdmittedRequest & {
 	/**
 	Time of its last request: taken for older, what it holds would be out of the dispatcher's window too soon.
 	*/
@@ -45,29 +45,29 @@
 
 @param now Monotonic time in milliseconds.
 */
-export function createRecentUses(now: () => number, windowMilliseconds: number): RecentUses {
+export function createRecentUsage(now: () => number, windowMilliseconds: number): RecentUsage {
 	const startedAt = now();
-	const sliceMilliseconds = windowMilliseconds / RECENT_USE_SLICES;
+	const sliceMilliseconds = windowMilliseconds / RECENT_USAGE_SLICES;
 	/**
 	In the order of their first times.
 	*/
 	const slices = new Map<string, Slice>();
-	const numbers = new WeakMap<object, number>();
-	const toldAt = new WeakMap<object, number>();
-	let count = 0;
+	const dispatcherNumbers = new WeakMap<object, number>();
+	const reportedAt = new WeakMap<object, number>();
+	let dispatcherCount = 0;
 
-	const getNumber = (dispatcher: object) => {
-		const known = numbers.get(dispatcher);
+	const getDispatcherNumber = (dispatcher: object) => {
+		const known = dispatcherNumbers.get(dispatcher);
 		if (known !== undefined) {
 			return known;
 		}
 
-		count++;
-		numbers.set(dispatcher, count);
-		return count;
+		dispatcherCount++;
+		dispatcherNumbers.set(dispatcher, dispatcherCount);
+		return dispatcherCount;
 	};
 
-	const forget = () => {
+	const evictExpired = () => {
 		for (const [key, {at}] of slices) {
 			if (now() - at <= windowMilliseconds) {
 				break;
@@ -78,28 +78,28 @@
 	};
 
 	return {
-		record({service, organisation, by}) {
-			forget();
-			const number = Math.floor(now() / sliceMilliseconds);
-			const key = `${number} ${getNumber(by)} ${service} ${organisation}`;
+		record({service, organisation, admittedBy}) {
+			evictExpired();
+			const sliceNumber = Math.floor(now() / sliceMilliseconds);
+			const key = `${sliceNumber} ${getDispatcherNumber(admittedBy)} ${service} ${organisation}`;
 			const slice = slices.get(key) ?? {
-				service, organisation, by, at: now(), requests: 0,
+				service, organisation, admittedBy, at: now(), requests: 0,
 			};
 			slice.at = now();
 			slice.requests++;
 			slices.set(key, slice);
 		},
-		takeUntold(dispatcher) {
-			const since = Math.max(startedAt, toldAt.get(dispatcher) ?? -Infinity);
-			toldAt.set(dispatcher, now());
+		collectUnreported(dispatcher) {
+			const since = Math.max(startedAt, reportedAt.get(dispatcher) ?? -Infinity);
+			reportedAt.set(dispatcher, now());
 			if (now() - since <= windowMilliseconds) {
 				return undefined;
 			}
 
-			forget();
+			evictExpired();
 			return slices.values()
-				.filter(({by}) => by !== dispatcher)
-				.map(({service, organisation, requests, at}): allotments.PastUse => [service, organisation, requests, Math.round(now() - at)])
+				.filter(({admittedBy}) => admittedBy !== dispatcher)
+				.map(({service, organisation, requests, at}): allotments.PastUsage => [service, organisation, requests, Math.round(now() - at)])
 				.toArray();
 		},
 	};
--- a/packages/wagtailroute-fleet/src/noting.ts
+++ b/packages/wagtailroute-fleet/src/request-log.ts
@@ -7,7 +7,7 @@
 /**
 Creates what is told of each answer.
 */
-export function createNoting(context: FleetContext): (note: proxy.RequestNote) => void {
+export function createRequestLog(context: FleetContext): (note: proxy.RequestNote) => void {
 	const log = context.logs('request');
 	return note => {
 		const {service, outcome, status, failure, milliseconds} = note;
--- a/packages/wagtailroute-fleet/src/request-share.ts
+++ b/packages/wagtailroute-fleet/src/request-share.ts
@@ -5,7 +5,7 @@
 */
 import type * as core from 'wagtailroute-core';
 import {REQUEST_SHARE_WINDOW_MILLISECONDS} from './constants.ts';
-import {createRecentAskers} from './recent-askers.ts';
+import {createRecentRequesters} from './recent-requesters.ts';
 
 /**
 A share, 0 to 1.
@@ -19,7 +19,7 @@
 	/**
 	Returns the share of one host.
 	*/
-	readonly getOne: () => number;
+	readonly getHostShare: () => number;
 };
 
 /**
@@ -29,15 +29,15 @@
 @param unknownHosts Entry hosts that there are taken to be then.
 */
 export function createRequestShare(countEntryHosts: () => number, unknownHosts: number): RequestShare {
-	const askers = createRecentAskers(REQUEST_SHARE_WINDOW_MILLISECONDS);
-	const getOne = () => {
+	const requesters = createRecentRequesters(REQUEST_SHARE_WINDOW_MILLISECONDS);
+	const getHostShare = () => {
 		const hosts = countEntryHosts();
 		return 1 / (hosts === 0 ? unknownHosts : hosts);
 	};
 
 	return {
-		record: askers.note,
-		get: now => Math.min(1, Math.max(1, askers.count(now)) * getOne()),
-		getOne,
+		record: requesters.record,
+		get: now => Math.min(1, Math.max(1, requesters.count(now)) * getHostShare()),
+		getHostShare,
 	};
 }
--- a/packages/wagtailroute-fleet/src/routing.ts
+++ b/packages/wagtailroute-fleet/src/routing.ts
@@ -9,7 +9,7 @@
 import {NO_GENERATION_MILLISECONDS, PATIENCE_MILLISECONDS, PATIENCE_RATIO} from './constants.ts';
 import type {FleetContext} from './context.ts';
 import type {Knowledge} from './knowledge.ts';
-import {createCallerTimes} from './caller-times.ts';
+import {createCallerDeadlines} from './caller-deadlines.ts';
 import {createUsualTimes, type UsualTimes} from './usual-times.ts';
 
 /**
@@ -57,7 +57,7 @@
 	const {knowledge} = plan;
 	const chooseShare = generations.createShareChooser(context.random);
 	const usualTimes = createUsualTimes();
-	const callerTimes = createCallerTimes();
+	const callerTimes = createCallerDeadlines();
 
 	return ({host, path, method, timeoutMilliseconds, key}) => {
 		const generation = knowledge.getGeneration();
@@ -77,7 +77,7 @@
 
 		const service = knowledge.findService(chooseShare(route))!;
 		const routeContext: RouteContext = {
-			route, service, bodyBytes: generation.limits.bodyBytes, waitedMilliseconds: callerTimes.guessWaited(route, timeoutMilliseconds), caller,
+			route, service, bodyBytes: generation.limits.bodyBytes, waitedMilliseconds: callerTimes.estimateWaited(route, timeoutMilliseconds), caller,
 		};
 		return {
 			match: {service: service.name, route: {class: route.class}},
@@ -167,7 +167,7 @@
 		},
 		end({target, ending, latencyMilliseconds, failure}) {
 			if (ending === 'success') {
-				usualTimes.learn(route, latencyMilliseconds);
+				usualTimes.record(route, latencyMilliseconds);
 			}
 
 			const id = granted.get(target);
--- a/packages/wagtailroute-fleet/src/stop-times.ts
+++ b/packages/wagtailroute-fleet/src/stop-times.ts
@@ -1,7 +1,7 @@
 /**
 How an entry host divides the time that it has to stop.
 */
-import {ACCEPTING_PART, STOP_MARGIN_MILLISECONDS, STOP_MARGIN_PART} from './constants.ts';
+import {ACCEPTING_FRACTION, STOP_MARGIN_MILLISECONDS, MAX_STOP_MARGIN_FRACTION} from './constants.ts';
 
 /**
 The parts of a stop, in milliseconds.
@@ -22,8 +22,8 @@
 
 @param milliseconds From the request to stop until the process is killed.
 */
-export function divideStop(milliseconds: number): StopTimes {
-	const acceptingMilliseconds = milliseconds * ACCEPTING_PART;
-	const margin = Math.min(STOP_MARGIN_MILLISECONDS, milliseconds * STOP_MARGIN_PART);
+export function divideStopTime(milliseconds: number): StopTimes {
+	const acceptingMilliseconds = milliseconds * ACCEPTING_FRACTION;
+	const margin = Math.min(STOP_MARGIN_MILLISECONDS, milliseconds * MAX_STOP_MARGIN_FRACTION);
 	return {acceptingMilliseconds, drainingMilliseconds: milliseconds - acceptingMilliseconds - margin};
 }
--- a/packages/wagtailroute-lab/src/fleet.ts
+++ b/packages/wagtailroute-lab/src/fleet.ts
@@ -87,21 +87,21 @@
 		dispatching.applyUpdates(updates as fleet.ServiceUpdates);
 	},
 	[fleet.METHODS.use]({allotting}, news, from) {
-		allotting.hearUse(news as allotments.UseNews, from);
+		allotting.applyReport(news as allotments.UsageReport, from);
 	},
 };
 
 type Control = {
 	readonly id: core.HostId;
 	readonly endpoint: Endpoint;
-	readonly allotting: fleet.Allotting;
-	readonly askers: ReturnType<typeof fleet.createAskers>;
+	readonly allotting: fleet.AllotmentEnforcer;
+	readonly askers: ReturnType<typeof fleet.createRequesterLinks>;
 	readonly dispatching: fleet.Dispatching;
 };
 
 type Entry = EntryHost & {
 	readonly endpoint: Endpoint;
-	readonly askers: ReturnType<typeof fleet.createAskers>;
+	readonly askers: ReturnType<typeof fleet.createRequesterLinks>;
 	readonly own: fleet.Dispatching;
 	readonly asking: fleet.Asking;
 	readonly controls: fleet.OpenControl[];
@@ -318,11 +318,11 @@
 			role: 'control', failureDomain, methods, state: 'up', frozenUntil: 0,
 		};
 		const id = `control-${index}`;
-		const askers = fleet.createAskers();
+		const askers = fleet.createRequesterLinks();
 		const requestShare = fleet.createRequestShare(() => this.#entries.length, 1);
-		const absences = fleet.startAbsences(createContext(this.#plan.clock, this.#plan.random, () => undefined), {
+		const absences = fleet.startAbsenceTracker(createContext(this.#plan.clock, this.#plan.random, () => undefined), {
 			listHosts: () => this.#listHeard(askers),
-			getOneShare: requestShare.getOne,
+			getHostShare: requestShare.getHostShare,
 			windowMilliseconds: ALLOTMENTS.windowMilliseconds,
 		});
 		const allotting = this.#startAllotting({
@@ -359,26 +359,26 @@
 		};
 	}
 
-	#listHeard(askers: ReturnType<typeof fleet.createAskers>): ReadonlyArray<Parameters<fleet.Absences['recordClosed']>[0]> {
+	#listHeard(askers: ReturnType<typeof fleet.createRequesterLinks>): ReadonlyArray<Parameters<fleet.AbsenceTracker['recordLinkClosed']>[0]> {
 		return this.#entries.flatMap(({id}) => {
 			const over = askers.find(id);
-			return over === undefined ? [] : [{id, isReady: true, silence: over.getSilence()}];
+			return over === undefined ? [] : [{id, isReady: true, silenceMilliseconds: over.getSilence()}];
 		});
 	}
 
 	#startAllotting({requestShare, absences, isTold, tellDispatchers}: {
 		readonly requestShare: fleet.RequestShare;
-		readonly absences?: fleet.Absences;
+		readonly absences?: fleet.AbsenceTracker;
 		readonly isTold: boolean;
 		readonly tellDispatchers: (message: Message) => void;
-	}): fleet.Allotting {
+	}): fleet.AllotmentEnforcer {
 		const {clock, random, onSuspended} = this.#plan;
-		const allotting = fleet.startAllotting(createContext(clock, random, onSuspended), {
+		const allotting = fleet.startAllotmentEnforcer(createContext(clock, random, onSuspended), {
 			settings: ALLOTMENTS,
 			requestShare,
 			absences,
-			isTold,
-			tellDispatchers(method, parameters) {
+			hasPeerReports: isTold,
+			notifyDispatchers(method, parameters) {
 				tellDispatchers({method, parameters});
 			},
 		});
@@ -403,8 +403,8 @@
 	}
 
 	#startDispatching({askers, allotting, requestShare, isTold, extra, listStandbys, tellControls, getState, onAnswer}: {
-		readonly askers: ReturnType<typeof fleet.createAskers>;
-		readonly allotting: fleet.Allotting;
+		readonly askers: ReturnType<typeof fleet.createRequesterLinks>;
+		readonly allotting: fleet.AllotmentEnforcer;
 		readonly requestShare: fleet.RequestShare;
 		readonly isTold: boolean;
 		readonly extra: number;
@@ -445,7 +445,7 @@
 		const endpoint: Endpoint = {
 			role: 'entry', failureDomain, methods, state: 'up', frozenUntil: 0,
 		};
-		const askers = fleet.createAskers();
+		const askers = fleet.createRequesterLinks();
 		const controls: fleet.OpenControl[] = [];
 		const standbys: fleet.OpenControl[] = [];
 		const notifyControls = (message: Message) => {
@@ -503,7 +503,7 @@
 			},
 			[fleet.METHODS.believe]: own.hearBelief,
 			[fleet.METHODS.updates]: own.applyUpdates,
-			[fleet.METHODS.use]: allotting.hearUse,
+			[fleet.METHODS.use]: allotting.applyReport,
 			[fleet.METHODS.beliefNews]: own.hearBeliefNews,
 			...fleet.createAskMethods(own, askers.findByLink),
 		});
