--- a/packages/wagtailroute-allotments/src/__tests__/unit/allotments.test.ts
+++ b/packages/wagtailroute-allotments/src/__tests__/unit/allotments.test.ts
@@ -16,7 +16,7 @@
 
 function create(changes: Partial<allotments.AllotmentSettings> = {}): allotments.AllotmentLimiter {
 	const limiter = allotments.createAllotmentLimiter({
-		slack: 20, windowMilliseconds: 5000, getShare: () => 1, hasPeerReports: true, random: () => 0.5, ...changes,
+		slack: 20, windowMilliseconds: 5000, getShare: () => 1, isReceivingReports: true, random: () => 0.5, ...changes,
 	}, 0);
 	limiter.setAllotments([PARISH], 0);
 	return limiter;
@@ -71,7 +71,7 @@
 	const limiter = create();
 	countAdmitted(limiter, 18, {at: 10_000});
 	t.like(limiter.admit('parish', 'archive', 10_000), {
-		kind: 'refused', ratePerSecond: 10, used: 18, ageMilliseconds: undefined,
+		kind: 'refused', ratePerSecond: 10, used: 18, reportAgeMilliseconds: undefined,
 	});
 	t.is(limiter.admit('parish', 'archive', 10_080).kind, 'refused');
 	t.is(limiter.admit('parish', 'archive', 10_090).kind, 'admitted');
@@ -228,7 +228,7 @@
 test('many hosts that dispatch alone give out no more than the rate and the slack together', t => {
 	const hosts = 116;
 	const random = utils.createRandom(1);
-	const limiters = Array.from({length: hosts}, () => create({getShare: () => 1 / hosts, hasPeerReports: false, random}));
+	const limiters = Array.from({length: hosts}, () => create({getShare: () => 1 / hosts, isReceivingReports: false, random}));
 	let admitted = 0;
 	for (let at = 0; at < 5000; at += 10) {
 		for (const limiter of limiters) {
@@ -241,7 +241,7 @@
 });
 
 test('a host that dispatched long ago begins anew', t => {
-	const limiter = create({hasPeerReports: false});
+	const limiter = create({isReceivingReports: false});
 	countAdmitted(limiter, 1, {at: 0});
 	t.is(countAdmitted(limiter, 100, {at: 60_000}), 8);
 });
@@ -267,9 +267,9 @@
 for (const {name, share, told, admitted} of TAKING_OVER) {
 	test(`a dispatcher that takes over admits for ${name} what is left of their share`, t => {
 		// Guards against a burst that is admitted once by the dispatcher that was lost, and once more by its successor.
-		const limiter = create({getShare: () => share, hasPeerReports: false});
+		const limiter = create({getShare: () => share, isReceivingReports: false});
 		if (told !== undefined) {
-			limiter.recordPastUsage(told, share, 10_000);
+			limiter.applyPastUsage(told, share, 10_000);
 		}
 
 		t.is(countAdmitted(limiter, 100, {at: 10_000}), admitted);
@@ -290,7 +290,7 @@
 	// Guards against a burst that is given out once more by a dispatcher that has given it out before.
 	const limiter = create({getShare: () => 1});
 	countAdmitted(limiter, 100, {at: 10_000});
-	limiter.recordPastUsage([], 1, 10_000);
+	limiter.applyPastUsage([], 1, 10_000);
 	t.is(countAdmitted(limiter, 100, {at: 10_000}), 0);
 });
 
@@ -337,7 +337,7 @@
 	// Guards against a burst that is given out once more to hosts that were cut off and had theirs from others.
 	const limiter = create({listAbsences: () => []});
 	countAdmitted(limiter, 0, {at: 10_000});
-	limiter.recordPastUsage([['archive', 'parish', 60, 1000]], 0.5, 20_000, 18_000);
+	limiter.applyPastUsage([['archive', 'parish', 60, 1000]], 0.5, 20_000, 18_000);
 	t.is(countAdmitted(limiter, 100, {at: 20_000}), 8);
 });
 
@@ -353,8 +353,8 @@
 for (const {name, share, left} of SIBLINGS) {
 	test(`an entry host that dispatches for half of the hosts takes what another admitted for another service of ${name}`, t => {
 		// Guards against two thirds of a part that are given out by two dispatchers for two services of the same hosts.
-		const limiter = create({getShare: () => 0.5, hasPeerReports: false});
-		limiter.recordPastUsage([], 0.5, 10_000);
+		const limiter = create({getShare: () => 0.5, isReceivingReports: false});
+		limiter.applyPastUsage([], 0.5, 10_000);
 		limiter.applyReport({
 			at: 10_000, services: ['media'], uses: [['media', 'parish', 8]], share,
 		}, {at: 10_000, now: 10_000});
@@ -446,8 +446,8 @@
 		applyReport(news, time) {
 			limiter.applyReport(news, time);
 		},
-		recordPastUsage(uses, share, now) {
-			limiter.recordPastUsage(uses, share, now);
+		applyPastUsage(uses, share, now) {
+			limiter.applyPastUsage(uses, share, now);
 		},
 		collectReport: now => limiter.collectReport(now),
 	};
--- a/packages/wagtailroute-allotments/src/__tests__/unit/history.ts
+++ b/packages/wagtailroute-allotments/src/__tests__/unit/history.ts
@@ -67,7 +67,7 @@
 Creates the limiter that is tested.
 */
 export const createLimiter: LimiterFactory = (now, random) => allotments.createAllotmentLimiter({
-	slack: SLACK, windowMilliseconds: WINDOW_MILLISECONDS, getShare: () => 1, hasPeerReports: true, random,
+	slack: SLACK, windowMilliseconds: WINDOW_MILLISECONDS, getShare: () => 1, isReceivingReports: true, random,
 }, now);
 
 /**
--- a/packages/wagtailroute-allotments/src/allotments.ts
+++ b/packages/wagtailroute-allotments/src/allotments.ts
@@ -133,7 +133,7 @@
 	@param share Share of the entry hosts that this one is, 0 to 1.
 	@param absentSince When it was last heard here; absent: it was heard all the while.
 	*/
-	readonly recordPastUsage: (uses: readonly PastUsage[], share: number, now: number, absentSince?: number) => void;
+	readonly applyPastUsage: (uses: readonly PastUsage[], share: number, now: number, absentSince?: number) => void;
 	/**
 	Returns what was not told yet, undefined when this dispatcher speaks for no service.
 	*/
@@ -161,7 +161,7 @@
 	/**
 	This dispatcher hears of all use even while it is not asked, as control hosts do.
 	*/
-	readonly hasPeerReports: boolean;
+	readonly isReceivingReports: boolean;
 	/**
 	Uniform in [0, 1).
 	*/
@@ -292,7 +292,7 @@
 		}
 	}
 
-	recordPastUsage(uses: readonly PastUsage[], share: number, now: number, absentSince = Infinity): void {
+	applyPastUsage(uses: readonly PastUsage[], share: number, now: number, absentSince = Infinity): void {
 		this.#resetAfterIdle(now);
 		this.#reportedShare += share;
 		for (const [service, organisation, requests, ageMilliseconds] of uses) {
@@ -319,7 +319,7 @@
 		return services.length === 0 && uses.length === 0
 			? undefined
 			: {
-				at: now, services, uses, ...!this.#settings.hasPeerReports && {share: this.#settings.getShare(now)},
+				at: now, services, uses, ...!this.#settings.isReceivingReports && {share: this.#settings.getShare(now)},
 			};
 	}
 
@@ -332,7 +332,7 @@
 	Others may have dispatched while this host was not asked and not told: what it holds is worth nothing then.
 	*/
 	#resetAfterIdle(now: number): void {
-		if (!this.#settings.hasPeerReports && now - this.#lastRequestAt > SERVICE_IDLE_MILLISECONDS) {
+		if (!this.#settings.isReceivingReports && now - this.#lastRequestAt > SERVICE_IDLE_MILLISECONDS) {
 			this.#limiters.clear();
 			this.#reportedAt.clear();
 			this.#reportedShare = 0;
@@ -423,8 +423,8 @@
 	Says whether this dispatcher has heard of all use for a window.
 	*/
 	#hasWholeWindow(now: number): boolean {
-		const {hasPeerReports, windowMilliseconds} = this.#settings;
-		return hasPeerReports && now - this.#usageKnownSince >= windowMilliseconds;
+		const {isReceivingReports, windowMilliseconds} = this.#settings;
+		return isReceivingReports && now - this.#usageKnownSince >= windowMilliseconds;
 	}
 
 	#getLimits(limiter: OrganisationLimiter, now: number): AdmissionLimits {
--- a/packages/wagtailroute-allotments/src/bench/admitting.bench.ts
+++ b/packages/wagtailroute-allotments/src/bench/admitting.bench.ts
@@ -27,7 +27,7 @@
 
 function measure(count: number): number {
 	const limiter = allotments.createAllotmentLimiter({
-		slack: 20, windowMilliseconds: WINDOW_MILLISECONDS, getShare: () => 1, hasPeerReports: true, random: () => 0.5,
+		slack: 20, windowMilliseconds: WINDOW_MILLISECONDS, getShare: () => 1, isReceivingReports: true, random: () => 0.5,
 	}, 0);
 	const names = Array.from({length: count}, (_item, index) => `organisation-${index}`);
 	limiter.setAllotments(names.map(organisation => ({organisation, ratePerSecond: 100, burst: 100})), 0);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/allotment-enforcer.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/allotment-enforcer.test.ts
@@ -6,7 +6,7 @@
 import type * as allotments from 'wagtailroute-allotments';
 import type * as dispatch from 'wagtailroute-dispatch';
 import * as telemetry from 'wagtailroute-telemetry';
-import {type AllotmentEnforcerPlan, startAllotmentEnforcer} from '../../allotment-enforcer.ts';
+import {type AllotmentEnforcerOptions, startAllotmentEnforcer} from '../../allotment-enforcer.ts';
 import {startDispatching} from '../../dispatching.ts';
 import {METHODS} from '../../messages.ts';
 import * as fixture from './fixture.ts';
@@ -20,7 +20,7 @@
 const FULL = 18;
 const FILLED_MILLISECONDS = 10_000;
 
-async function setUp(changes: Partial<AllotmentEnforcerPlan> = {}) {
+async function setUp(changes: Partial<AllotmentEnforcerOptions> = {}) {
 	const lines: string[] = [];
 	const output = new stream.Writable({
 		write(chunk, _encoding, done) {
@@ -38,7 +38,7 @@
 	const allotting = startAllotmentEnforcer(context, {
 		settings: fixture.ALLOTMENTS,
 		requestShare: {get: () => 1, getHostShare: () => 1},
-		hasPeerReports: true,
+		isReceivingReports: true,
 		notifyDispatchers(method, news) {
 			if (method === METHODS.use) {
 				told.push(news as allotments.UsageReport);
@@ -157,7 +157,7 @@
 });
 
 test('a dispatcher that others may be asked beside gives out the share of the entry hosts that ask it', async t => {
-	const {ask, dispatching, context} = await setUp({requestShare: {get: () => 0.2, getHostShare: () => 0.1}, hasPeerReports: false});
+	const {ask, dispatching, context} = await setUp({requestShare: {get: () => 0.2, getHostShare: () => 0.1}, isReceivingReports: false});
 	let granted = 0;
 	for (let turn = 0; turn < 500; turn++) {
 		const {id, answer} = ask({host: `front-${turn % 2}`});
--- a/packages/wagtailroute-fleet/src/__tests__/unit/standby-choice.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/standby-choice.test.ts
@@ -2,7 +2,7 @@
 Tests of which entry hosts dispatch while no control host does.
 */
 import test from 'ava';
-import {createRequesterLinks} from '../../requester-links.ts';
+import {createRequestingHosts} from '../../requesting-hosts.ts';
 import {STANDBYS_MOST} from '../../constants.ts';
 import type {EntryHost} from '../../entry-hosts.ts';
 import {chooseStandbys} from '../../standby-choice.ts';
@@ -50,7 +50,7 @@
 });
 
 test('an asking host that opened another link is found by the new one', t => {
-	const askers = createRequesterLinks();
+	const askers = createRequestingHosts();
 	const [old, next] = [fixture.createFakeLink(() => undefined), fixture.createFakeLink(() => undefined)];
 	askers.add({id: 'front', failureDomain: 'a'}, old);
 	askers.add({id: 'front', failureDomain: 'a'}, next);
--- a/packages/wagtailroute-fleet/src/absences.ts
+++ b/packages/wagtailroute-fleet/src/absences.ts
@@ -14,7 +14,7 @@
 	ABSENCE_GROUP_MILLISECONDS,
 	ASKER_MILLISECONDS,
 	PAUSE_MILLISECONDS,
-	SILENT_REQUESTER_MILLISECONDS,
+	SILENT_REQUESTING_HOST_MILLISECONDS,
 	SILENT_FAR_ENTRY_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
@@ -68,7 +68,7 @@
 /**
 What absences are found by.
 */
-export type AbsenceTrackerPlan = {
+export type AbsenceTrackerOptions = {
 	readonly listHosts: () => Iterable<LinkedHost>;
 	/**
 	Returns the share of the entry hosts that one of them is.
@@ -92,7 +92,7 @@
 
 Looks for them now and then, too: while nobody asks here, nothing else would notice a silence that ends before its link does.
 */
-export function startAbsenceTracker({now, repeat}: Pick<FleetContext, 'now' | 'repeat'>, plan: AbsenceTrackerPlan): AbsenceTracker {
+export function startAbsenceTracker({now, repeat}: Pick<FleetContext, 'now' | 'repeat'>, options: AbsenceTrackerOptions): AbsenceTracker {
 	const requestedAt = new Map<core.HostId, number>();
 	const absent = new Map<core.HostId, AbsentHost>();
 	let listedAbsences: readonly allotments.Absence[] = [];
@@ -100,14 +100,14 @@
 	let processResumedAt = -Infinity;
 
 	const isSilent = ({id, silenceMilliseconds}: LinkedHost) => {
-		const isRequester = now() - (requestedAt.get(id) ?? -Infinity) < ASKER_MILLISECONDS;
-		return Math.min(silenceMilliseconds, now() - processResumedAt) > (isRequester ? SILENT_REQUESTER_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS);
+		const isRequestingHost = now() - (requestedAt.get(id) ?? -Infinity) < ASKER_MILLISECONDS;
+		return Math.min(silenceMilliseconds, now() - processResumedAt) > (isRequestingHost ? SILENT_REQUESTING_HOST_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS);
 	};
 
 	const markAbsent = ({id, silenceMilliseconds}: LinkedHost) => {
 		const known = absent.get(id);
 		if (known === undefined) {
-			absent.set(id, {since: now() - silenceMilliseconds, share: plan.getHostShare()});
+			absent.set(id, {since: now() - silenceMilliseconds, share: options.getHostShare()});
 		} else {
 			known.recoveredAt = undefined;
 		}
@@ -118,7 +118,7 @@
 	*/
 	const recordRecovery = (id: core.HostId, known: AbsentHost) => {
 		known.recoveredAt ??= now();
-		if (now() - known.recoveredAt > plan.windowMilliseconds) {
+		if (now() - known.recoveredAt > options.windowMilliseconds) {
 			absent.delete(id);
 		}
 	};
@@ -156,7 +156,7 @@
 		// A process that was paused looks before it reads what has come meanwhile.
 		processResumedAt = now() - checkedAt > ABSENCE_CHECK_INTERVAL_MILLISECONDS + PAUSE_MILLISECONDS ? now() : processResumedAt;
 		checkedAt = now();
-		for (const host of plan.listHosts()) {
+		for (const host of options.listHosts()) {
 			checkHost(host);
 		}
 
@@ -183,7 +183,7 @@
 		endAbsence,
 		recordLinkClosed(host) {
 			// It has opened another link: connections can go silent for good while new ones work.
-			if (Iterator.from(plan.listHosts()).some(({id}) => id === host.id)) {
+			if (Iterator.from(options.listHosts()).some(({id}) => id === host.id)) {
 				return;
 			}
 
--- a/packages/wagtailroute-fleet/src/allotment-enforcer.ts
+++ b/packages/wagtailroute-fleet/src/allotment-enforcer.ts
@@ -29,7 +29,7 @@
 	/**
 	Takes all that an entry host was admitted by other dispatchers in the last window, before it asks here for the first time.
 	*/
-	readonly recordPastUsage: (host: core.HostId, uses: readonly allotments.PastUsage[]) => void;
+	readonly applyPastUsage: (host: core.HostId, uses: readonly allotments.PastUsage[]) => void;
 	/**
 	@param sender Stands for the host that tells it: times of one sender are compared with each other.
 	*/
@@ -39,7 +39,7 @@
 /**
 What allotting needs.
 */
-export type AllotmentEnforcerPlan = {
+export type AllotmentEnforcerOptions = {
 	readonly settings: FleetSettings['allotments'];
 	/**
 	Share of the entry hosts that ask this host's dispatcher: where others may be asked beside it, it gives out no more.
@@ -52,7 +52,7 @@
 	/**
 	This host hears of all use even while it is not asked, as control hosts do.
 	*/
-	readonly hasPeerReports: boolean;
+	readonly isReceivingReports: boolean;
 	/**
 	Sends to the other hosts that may dispatch.
 	*/
@@ -62,14 +62,14 @@
 /**
 Starts the allotments of a dispatcher.
 */
-export function startAllotmentEnforcer(context: FleetContext, plan: AllotmentEnforcerPlan): AllotmentEnforcer {
+export function startAllotmentEnforcer(context: FleetContext, options: AllotmentEnforcerOptions): AllotmentEnforcer {
 	const {now} = context;
 	const limiter = allotments.createAllotmentLimiter({
-		...plan.settings,
-		hasPeerReports: plan.hasPeerReports,
+		...options.settings,
+		isReceivingReports: options.isReceivingReports,
 		random: context.random,
-		getShare: plan.requestShare.get,
-		listAbsences: plan.absences?.list,
+		getShare: options.requestShare.get,
+		listAbsences: options.absences?.list,
 	}, now());
 	const clocks = allotments.createSenderClocks();
 	const logRefusal = createRefusalLog(context);
@@ -80,7 +80,7 @@
 			return;
 		}
 
-		plan.notifyDispatchers(METHODS.use, report);
+		options.notifyDispatchers(METHODS.use, report);
 		// Goes on until nothing was asked for a while: whoever misses it takes this host for cut off.
 		scheduleReport();
 	};
@@ -92,7 +92,7 @@
 			limiter.setAllotments(organisations.map(({name, ratePerSecond, burst}) => ({organisation: name, ratePerSecond, burst})), now());
 		},
 		admit(ask) {
-			plan.absences?.recordSlotRequest(ask.host);
+			options.absences?.recordSlotRequest(ask.host);
 			if (ask.organisation === undefined) {
 				return undefined;
 			}
@@ -116,9 +116,9 @@
 				limiter.refund(organisation, service, now());
 			}
 		},
-		recordPastUsage(host, uses) {
-			limiter.recordPastUsage(uses, plan.requestShare.getHostShare(), now(), plan.absences?.findAbsentSince(host));
-			plan.absences?.endAbsence(host);
+		applyPastUsage(host, uses) {
+			limiter.applyPastUsage(uses, options.requestShare.getHostShare(), now(), options.absences?.findAbsentSince(host));
+			options.absences?.endAbsence(host);
 		},
 		applyReport(report, sender) {
 			limiter.applyReport(report, {at: clocks.convert(sender, report.at, now()), now: now()});
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -387,7 +387,7 @@
 /**
 Silence in milliseconds from which on an entry host that asks here counts as absent: two pings were missed.
 */
-export const SILENT_REQUESTER_MILLISECONDS = 1000;
+export const SILENT_REQUESTING_HOST_MILLISECONDS = 1000;
 
 /**
 Milliseconds between two looks at which entry hosts are heard: at least while a dispatcher is asked, at most while it is not.
--- a/packages/wagtailroute-fleet/src/control.ts
+++ b/packages/wagtailroute-fleet/src/control.ts
@@ -105,7 +105,7 @@
 		settings: settings.allotments,
 		requestShare,
 		absences,
-		hasPeerReports: true,
+		isReceivingReports: true,
 		notifyDispatchers(method, parameters) {
 			links.notifyAll(method, parameters);
 		},
--- a/packages/wagtailroute-fleet/src/dispatching.ts
+++ b/packages/wagtailroute-fleet/src/dispatching.ts
@@ -27,7 +27,7 @@
 	METHODS,
 	type ServiceUpdates,
 } from './messages.ts';
-import {createRecentRequesters, type RecentRequesters} from './recent-requesters.ts';
+import {createRecentRequestingHosts, type RecentRequestingHosts} from './recent-requesting-hosts.ts';
 import type {FleetSettings} from './settings.ts';
 
 /**
@@ -97,7 +97,7 @@
 	/**
 	Absent: nothing bounds what an organisation sends.
 	*/
-	readonly allotting?: Pick<AllotmentEnforcer, 'admit' | 'refund' | 'recordPastUsage'>;
+	readonly allotting?: Pick<AllotmentEnforcer, 'admit' | 'refund' | 'applyPastUsage'>;
 	/**
 	A host told how many entry hosts serve callers.
 	*/
@@ -130,7 +130,7 @@
 	const {requestShare} = plan;
 	const dispatcher = dispatch.createDispatcher({...plan.settings, random, getShare: plan.isTold ? undefined : requestShare.get});
 	const known = new Set<core.ServiceName>();
-	const askers = new Map<core.ServiceName, RecentRequesters>();
+	const askers = new Map<core.ServiceName, RecentRequestingHosts>();
 
 	const listAskers = (service: core.ServiceName) => askers.get(service)?.list(now()) ?? [];
 
@@ -234,7 +234,7 @@
 
 	const noteAsker = ({service, host}: dispatch.Ask) => {
 		requestShare.record(host, now());
-		const hosts = askers.get(service) ?? createRecentRequesters(ASKER_MILLISECONDS);
+		const hosts = askers.get(service) ?? createRecentRequestingHosts(ASKER_MILLISECONDS);
 		askers.set(service, hosts);
 		hosts.record(host, now());
 	};
@@ -355,7 +355,7 @@
 			}
 
 			if (uses !== undefined) {
-				plan.allotting?.recordPastUsage(host, uses);
+				plan.allotting?.applyPastUsage(host, uses);
 			}
 
 			dispatcher.hold(host, service, places, now());
@@ -363,7 +363,7 @@
 			tickWhileBusy();
 		},
 		takeOver(host, uses) {
-			plan.allotting?.recordPastUsage(host, uses);
+			plan.allotting?.applyPastUsage(host, uses);
 		},
 		hearBelief,
 		hearBeliefNews(news) {
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -10,7 +10,7 @@
 import type {ShortAnswer} from './ask-wire.ts';
 import {createAskMethods} from './ask-methods.ts';
 import {startAllotmentEnforcer} from './allotment-enforcer.ts';
-import {createRequesterLinks} from './requester-links.ts';
+import {createRequestingHosts} from './requesting-hosts.ts';
 import {createAsking} from './asking.ts';
 import {createBeginning} from './beginning.ts';
 import {
@@ -131,13 +131,13 @@
 	const allotting = startAllotmentEnforcer(context, {
 		settings: settings.allotments,
 		requestShare,
-		hasPeerReports: false,
+		isReceivingReports: false,
 		notifyDispatchers(method, parameters) {
 			links.notifyAll(method, parameters);
 			standbys.notifyAll(method, parameters);
 		},
 	});
-	const askers = createRequesterLinks();
+	const askers = createRequestingHosts();
 	const own = startDispatching(context, {
 		settings: {...settings, budget: {...settings.budget, extra: STANDBY_EXTRA_RESENDS}},
 		allotting,
--- a/packages/wagtailroute-fleet/src/index.ts
+++ b/packages/wagtailroute-fleet/src/index.ts
@@ -13,7 +13,7 @@
 } from './constants.ts';
 export {type AbsenceTracker, startAbsenceTracker} from './absences.ts';
 export {type AllotmentEnforcer, startAllotmentEnforcer} from './allotment-enforcer.ts';
-export {createRequesterLinks} from './requester-links.ts';
+export {createRequestingHosts} from './requesting-hosts.ts';
 export {createAskMethods} from './ask-methods.ts';
 export type {ShortAnswer} from './ask-wire.ts';
 export {type Asking, createAsking} from './asking.ts';
--- a/packages/wagtailroute-fleet/src/load.ts
+++ b/packages/wagtailroute-fleet/src/load.ts
@@ -24,7 +24,7 @@
 /**
 What is measured.
 */
-export type LoadMeterPlan = {
+export type LoadMeterOptions = {
 	/**
 	Milliseconds so far in which the loop was at work.
 	*/
@@ -43,21 +43,21 @@
 /**
 Starts measuring.
 */
-export function startLoadMeter(context: FleetContext, plan: LoadMeterPlan): LoadMeter {
+export function startLoadMeter(context: FleetContext, options: LoadMeterOptions): LoadMeter {
 	const {now} = context;
-	const sample = () => ({at: now(), busy: plan.getBusyMilliseconds(), bytes: plan.getBytes()});
+	const sample = () => ({at: now(), busy: options.getBusyMilliseconds(), bytes: options.getBytes()});
 	let last = sample();
 	let load = 0;
 	const measure = () => {
 		const next = sample();
 		const milliseconds = Math.max(1, next.at - last.at);
 		const busy = (next.busy - last.busy) / milliseconds;
-		const sent = (next.bytes - last.bytes) * MILLISECONDS_PER_SECOND / milliseconds / plan.linkBytesPerSecond;
+		const sent = (next.bytes - last.bytes) * MILLISECONDS_PER_SECOND / milliseconds / options.linkBytesPerSecond;
 		const current = Math.max(busy, sent * LINK_LOAD_FACTOR);
 		// Growth counts at once: callers keep an answer for seconds.
 		load = current > load ? current : (load * (1 - LOAD_DECREASE_WEIGHT)) + (current * LOAD_DECREASE_WEIGHT);
 		last = next;
-		plan.onMeasured();
+		options.onMeasured();
 	};
 
 	context.metrics.registerGauge('load', () => load);
--- a/packages/wagtailroute-fleet/src/recent-requesters.ts
+++ b/packages/wagtailroute-fleet/src/recent-requesting-hosts.ts
@@ -6,7 +6,7 @@
 /**
 A table of hosts by the time of their last ask.
 */
-export type RecentRequesters = {
+export type RecentRequestingHosts = {
 	readonly record: (host: core.HostId, now: number) => void;
 	readonly list: (now: number) => readonly core.HostId[];
 	readonly count: (now: number) => number;
@@ -17,7 +17,7 @@
 
 @param retentionMilliseconds Time after its last ask for which a host counts.
 */
-export function createRecentRequesters(retentionMilliseconds: number): RecentRequesters {
+export function createRecentRequestingHosts(retentionMilliseconds: number): RecentRequestingHosts {
 	const requestedAt = new Map<core.HostId, number>();
 	const evictExpired = (now: number) => {
 		for (const [host, time] of requestedAt) {
--- a/packages/wagtailroute-fleet/src/request-share.ts
+++ b/packages/wagtailroute-fleet/src/request-share.ts
@@ -5,7 +5,7 @@
 */
 import type * as core from 'wagtailroute-core';
 import {REQUEST_SHARE_WINDOW_MILLISECONDS} from './constants.ts';
-import {createRecentRequesters} from './recent-requesters.ts';
+import {createRecentRequestingHosts} from './recent-requesting-hosts.ts';
 
 /**
 A share, 0 to 1.
@@ -29,15 +29,15 @@
 @param unknownHosts Entry hosts that there are taken to be then.
 */
 export function createRequestShare(countEntryHosts: () => number, unknownHosts: number): RequestShare {
-	const requesters = createRecentRequesters(REQUEST_SHARE_WINDOW_MILLISECONDS);
+	const recentHosts = createRecentRequestingHosts(REQUEST_SHARE_WINDOW_MILLISECONDS);
 	const getHostShare = () => {
 		const hosts = countEntryHosts();
 		return 1 / (hosts === 0 ? unknownHosts : hosts);
 	};
 
 	return {
-		record: requesters.record,
-		get: now => Math.min(1, Math.max(1, requesters.count(now)) * getHostShare()),
+		record: recentHosts.record,
+		get: now => Math.min(1, Math.max(1, recentHosts.count(now)) * getHostShare()),
 		getHostShare,
 	};
 }
--- a/packages/wagtailroute-fleet/src/requester-links.ts
+++ b/packages/wagtailroute-fleet/src/requesting-hosts.ts
@@ -8,8 +8,8 @@
 /**
 The table of asking hosts.
 */
-export type RequesterLinks = {
-	readonly add: (requester: Asker, hostLink: link.Link) => void;
+export type RequestingHosts = {
+	readonly add: (host: Asker, hostLink: link.Link) => void;
 	readonly remove: (hostLink: link.Link) => void;
 	readonly find: (id: core.HostId) => link.Link | undefined;
 	readonly findByLink: (hostLink: link.Link) => Asker | undefined;
@@ -19,20 +19,20 @@
 /**
 Creates an empty table.
 */
-export function createRequesterLinks(): RequesterLinks {
+export function createRequestingHosts(): RequestingHosts {
 	const byLink = new Map<link.Link, Asker>();
 	const byId = new Map<core.HostId, link.Link>();
 	return {
-		add(requester, hostLink) {
-			byLink.set(hostLink, requester);
-			byId.set(requester.id, hostLink);
+		add(host, hostLink) {
+			byLink.set(hostLink, host);
+			byId.set(host.id, hostLink);
 		},
 		remove(hostLink) {
-			const requester = byLink.get(hostLink);
+			const host = byLink.get(hostLink);
 			byLink.delete(hostLink);
 			// The host may have opened another link already.
-			if (requester !== undefined && byId.get(requester.id) === hostLink) {
-				byId.delete(requester.id);
+			if (host !== undefined && byId.get(host.id) === hostLink) {
+				byId.delete(host.id);
 			}
 		},
 		find: id => byId.get(id),
--- a/packages/wagtailroute-lab/src/fleet.ts
+++ b/packages/wagtailroute-lab/src/fleet.ts
@@ -95,13 +95,13 @@
 	readonly id: core.HostId;
 	readonly endpoint: Endpoint;
 	readonly allotting: fleet.AllotmentEnforcer;
-	readonly askers: ReturnType<typeof fleet.createRequesterLinks>;
+	readonly askers: ReturnType<typeof fleet.createRequestingHosts>;
 	readonly dispatching: fleet.Dispatching;
 };
 
 type Entry = EntryHost & {
 	readonly endpoint: Endpoint;
-	readonly askers: ReturnType<typeof fleet.createRequesterLinks>;
+	readonly askers: ReturnType<typeof fleet.createRequestingHosts>;
 	readonly own: fleet.Dispatching;
 	readonly asking: fleet.Asking;
 	readonly controls: fleet.OpenControl[];
@@ -318,7 +318,7 @@
 			role: 'control', failureDomain, methods, state: 'up', frozenUntil: 0,
 		};
 		const id = `control-${index}`;
-		const askers = fleet.createRequesterLinks();
+		const askers = fleet.createRequestingHosts();
 		const requestShare = fleet.createRequestShare(() => this.#entries.length, 1);
 		const absences = fleet.startAbsenceTracker(createContext(this.#plan.clock, this.#plan.random, () => undefined), {
 			listHosts: () => this.#listHeard(askers),
@@ -359,7 +359,7 @@
 		};
 	}
 
-	#listHeard(askers: ReturnType<typeof fleet.createRequesterLinks>): ReadonlyArray<Parameters<fleet.AbsenceTracker['recordLinkClosed']>[0]> {
+	#listHeard(askers: ReturnType<typeof fleet.createRequestingHosts>): ReadonlyArray<Parameters<fleet.AbsenceTracker['recordLinkClosed']>[0]> {
 		return this.#entries.flatMap(({id}) => {
 			const over = askers.find(id);
 			return over === undefined ? [] : [{id, isReady: true, silenceMilliseconds: over.getSilence()}];
@@ -377,7 +377,7 @@
 			settings: ALLOTMENTS,
 			requestShare,
 			absences,
-			hasPeerReports: isTold,
+			isReceivingReports: isTold,
 			notifyDispatchers(method, parameters) {
 				tellDispatchers({method, parameters});
 			},
@@ -403,7 +403,7 @@
 	}
 
 	#startDispatching({askers, allotting, requestShare, isTold, extra, listStandbys, tellControls, getState, onAnswer}: {
-		readonly askers: ReturnType<typeof fleet.createRequesterLinks>;
+		readonly askers: ReturnType<typeof fleet.createRequestingHosts>;
 		readonly allotting: fleet.AllotmentEnforcer;
 		readonly requestShare: fleet.RequestShare;
 		readonly isTold: boolean;
@@ -445,7 +445,7 @@
 		const endpoint: Endpoint = {
 			role: 'entry', failureDomain, methods, state: 'up', frozenUntil: 0,
 		};
-		const askers = fleet.createRequesterLinks();
+		const askers = fleet.createRequestingHosts();
 		const controls: fleet.OpenControl[] = [];
 		const standbys: fleet.OpenControl[] = [];
 		const notifyControls = (message: Message) => {
