--- a/packages/wagtailroute-fleet/src/askers.ts
+++ b/packages/wagtailroute-fleet/src/requesting-hosts.ts
@@ -8,35 +8,35 @@
 /**
 The table of asking hosts.
 */
-export type Askers = {
-	readonly add: (asker: Asker, over: link.Link) => void;
-	readonly remove: (over: link.Link) => void;
+export type RequestingHosts = {
+	readonly add: (host: Asker, hostLink: link.Link) => void;
+	readonly remove: (hostLink: link.Link) => void;
 	readonly find: (id: core.HostId) => link.Link | undefined;
-	readonly findByLink: (over: link.Link) => Asker | undefined;
+	readonly findByLink: (hostLink: link.Link) => Asker | undefined;
 	readonly count: () => number;
 };
 
 /**
 Creates an empty table.
 */
-export function createAskers(): Askers {
+export function createRequestingHosts(): RequestingHosts {
 	const byLink = new Map<link.Link, Asker>();
 	const byId = new Map<core.HostId, link.Link>();
 	return {
-		add(asker, over) {
-			byLink.set(over, asker);
-			byId.set(asker.id, over);
+		add(host, hostLink) {
+			byLink.set(hostLink, host);
+			byId.set(host.id, hostLink);
 		},
-		remove(over) {
-			const asker = byLink.get(over);
-			byLink.delete(over);
+		remove(hostLink) {
+			const host = byLink.get(hostLink);
+			byLink.delete(hostLink);
 			// The host may have opened another link already.
-			if (asker !== undefined && byId.get(asker.id) === over) {
-				byId.delete(asker.id);
+			if (host !== undefined && byId.get(host.id) === hostLink) {
+				byId.delete(host.id);
 			}
 		},
 		find: id => byId.get(id),
-		findByLink: over => byLink.get(over),
+		findByLink: hostLink => byLink.get(hostLink),
 		count: () => byLink.size,
 	};
 }
