--- a/packages/wagtailroute-fleet/src/__tests__/unit/advertisements.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/advertisements.test.ts
@@ -4,7 +4,7 @@
 import test from 'ava';
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
-import {createHeldPlaces} from '../../held-places.ts';
+import {createHeldSlots} from '../../held-slots.ts';
 import {type Closure, createAdvertisements} from '../../advertisements.ts';
 import * as fixture from './fixture.ts';
 
@@ -103,7 +103,7 @@
 	advertisements.record(SERVICE, 'u', RATE_LIMIT);
 	advertisements.record(SERVICE, 'u', BACKOFF);
 	const link = fixture.createFakeLink(() => undefined);
-	const places = createHeldPlaces(() => ADVERTISED_AT, {advertisements, recentUses: {takeUntold: () => undefined}, countEntryHosts: () => 3});
-	places.tell(SERVICE, {host: {id: 'c', address: {ip: '10.0.0.2', port: 1}}, link});
+	const heldSlots = createHeldSlots(() => ADVERTISED_AT, {advertisements, recentUses: {takeUntold: () => undefined}, countEntryHosts: () => 3});
+	heldSlots.reportTo(SERVICE, {host: {id: 'c', address: {ip: '10.0.0.2', port: 1}}, link});
 	t.deepEqual(link.notified, [['dispatch.hold', {service: SERVICE, places: [], updates: [createLimitUpdate(0), createBackoffUpdate(3000)]}]]);
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/allotting.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/allotting.test.ts
@@ -65,7 +65,7 @@
 		const id = `front:${count}`;
 		return {
 			id, answer: dispatching.ask({
-				...fixture.ASK_DRAFT, organisation: 'parish', id, host: 'front', failureDomain: 'x', ...more,
+				...fixture.SLOT_REQUEST_DRAFT, organisation: 'parish', id, host: 'front', failureDomain: 'x', ...more,
 			}),
 		};
 	};
--- a/packages/wagtailroute-fleet/src/__tests__/unit/belief-store.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/belief-store.test.ts
@@ -66,6 +66,6 @@
 	dispatching.hearBeliefs([...BELIEFS, {service: 'archive', upstream: 'v', doubt: 3.2}], 1500);
 	t.deepEqual(dispatching.report('archive').map(({upstream, isSuspended}) => [upstream, isSuspended]), [['u', true], ['v', false]]);
 	t.like(dispatching.ask({
-		...fixture.ASK_DRAFT, id: 'front:1', host: 'front', failureDomain: 'x',
+		...fixture.SLOT_REQUEST_DRAFT, id: 'front:1', host: 'front', failureDomain: 'x',
 	}), {kind: 'grant', upstream: 'v'});
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/asking.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/dispatch-client.test.ts
@@ -1,11 +1,11 @@
 /**
-Tests of asking: who is asked, and what happens when a dispatcher doesn't answer.
+Tests of client: who is asked, and what happens when a dispatcher doesn't answer.
 */
 import test from 'ava';
 import type * as dispatch from 'wagtailroute-dispatch';
-import {createAsking} from '../../asking.ts';
+import {createDispatchClient} from '../../dispatch-client.ts';
 import type {ShortAnswer, ShortAsk} from '../../ask-wire.ts';
-import type {OpenControl} from '../../control-links.ts';
+import type {LinkedHost} from '../../control-links.ts';
 import {startDispatching} from '../../dispatching.ts';
 import {orderDispatchers} from '../../dispatch-order.ts';
 import * as fixture from './fixture.ts';
@@ -24,9 +24,9 @@
 
 type Setup = {
 	readonly context: fixture.FakeContext;
-	readonly asking: ReturnType<typeof createAsking>;
+	readonly client: ReturnType<typeof createDispatchClient>;
 	readonly link: fixture.FakeLink;
-	readonly control: OpenControl;
+	readonly control: LinkedHost;
 	readonly retired: Set<string>;
 	/**
 	How long large bodies hold the host's own link.
@@ -36,12 +36,12 @@
 
 function setUp(
 	answer: (method: string, parameters: never) => unknown,
-	others: readonly OpenControl[] = [],
-	standbys: readonly OpenControl[] = [],
+	others: readonly LinkedHost[] = [],
+	standbys: readonly LinkedHost[] = [],
 ): Setup {
 	const context = fixture.createFakeContext();
 	const link = fixture.createFakeLink(answer);
-	const control: OpenControl = {host: {id: 'c', address: {ip: '10.0.0.2', port: 1}}, link};
+	const control: LinkedHost = {host: {id: 'c', address: {ip: '10.0.0.2', port: 1}}, link};
 	const retired = new Set<string>();
 	const delay = {milliseconds: 0};
 	const controls = [control, ...others];
@@ -51,58 +51,58 @@
 		listCandidates: () => [CANDIDATE],
 		listStandbys: () => [],
 		notify(_host, _method, parameters) {
-			asking.hearAnswer(...parameters as [number, ShortAnswer]);
+			client.handleAnswer(...parameters as [number, ShortAnswer]);
 		},
 		tellControls: () => undefined,
 	});
-	const asking = createAsking(context, {
+	const client = createDispatchClient(context, {
 		settings: {hostId: 'front', failureDomain: 'x', allotments: fixture.ALLOTMENTS},
 		countEntryHosts: () => 3,
-		getControls: () => controls.filter(({link: of}) => of.isOpen()),
+		getControlHosts: () => controls.filter(({link: of}) => of.isOpen()),
 		standbys: {
 			getOpen: () => standbys,
 			open: () => undefined,
 			waitForOne: async () => undefined,
-			isSelfNamed: () => false,
+			isOwnHostStandby: () => false,
 		},
-		own,
+		ownDispatcher: own,
 		isRetired: upstream => retired.has(upstream),
 		getLinkDelay: () => delay.milliseconds,
 	});
 	return {
-		context, asking, link, control, retired, delay,
+		context, client, link, control, retired, delay,
 	};
 }
 
 test('the dispatcher is told the route once, asked for each request and told each end', async t => {
-	const {asking, link} = setUp(() => GRANT);
-	const first = await asking.ask(fixture.ASK_DRAFT).answer;
-	await asking.ask(fixture.ASK_DRAFT).answer;
+	const {client, link} = setUp(() => GRANT);
+	const first = await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
+	await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 	t.like(first, {kind: 'grant', upstream: 'u', id: 'front:1'});
-	asking.end('front:1', 'success', 120);
+	client.reportEnd('front:1', 'success', 120);
 	t.deepEqual(link.called.map(([, parameters]) => parameters), [[1, 0, 2000], [2, 0, 2000]]);
 	t.deepEqual(link.notified.map(([method]) => method), ['dispatch.hold', 'dispatch.route', 'dispatch.end']);
 	t.deepEqual(link.notified.at(-1)?.[1], [1, 'success', 120]);
 });
 
 test('the dispatcher that granted a place receives the rate limit that its answer advertises at once', async t => {
-	const {asking, link} = setUp(() => GRANT);
-	await asking.ask(fixture.ASK_DRAFT).answer;
-	asking.recordAdvertisements('front:1', [{kind: 'rate-limit', ratePerSecond: 2.6}]);
+	const {client, link} = setUp(() => GRANT);
+	await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
+	client.recordAdvertisements('front:1', [{kind: 'rate-limit', ratePerSecond: 2.6}]);
 	t.deepEqual(link.notified.at(-1), ['dispatch.advertised', [1, [{kind: 'rate-limit', ratePerSecond: 2.6}]]]);
-	asking.end('front:1', 'success', 120);
-	asking.recordAdvertisements('front:1', [{kind: 'rate-limit', ratePerSecond: 1}]);
+	client.reportEnd('front:1', 'success', 120);
+	client.recordAdvertisements('front:1', [{kind: 'rate-limit', ratePerSecond: 1}]);
 	t.is(link.notified.at(-1)?.[0], 'dispatch.end', 'an attempt that has ended reports nothing');
 });
 
 test('a host that dispatches alone keeps to the rate limits that answers advertised', async t => {
 	// Guards against an upstream in need that every host fills as soon as no dispatcher answers.
-	const {asking} = setUp(() => undefined);
-	const draft = {...fixture.ASK_DRAFT, remainingMilliseconds: 200, objectiveMilliseconds: 100};
-	const first = await asking.ask(draft).answer;
+	const {client} = setUp(() => undefined);
+	const draft = {...fixture.SLOT_REQUEST_DRAFT, remainingMilliseconds: 200, objectiveMilliseconds: 100};
+	const first = await client.requestSlot(draft).answer;
 	t.is(first.kind, 'grant');
-	asking.recordAdvertisements(first.kind === 'grant' ? first.id : '', [{kind: 'rate-limit', ratePerSecond: 0.2}]);
-	const second = await asking.ask(draft).answer;
+	client.recordAdvertisements(first.kind === 'grant' ? first.id : '', [{kind: 'rate-limit', ratePerSecond: 0.2}]);
+	const second = await client.requestSlot(draft).answer;
 	t.like(second, {kind: 'refuse', reason: 'no-slot-in-time'});
 });
 
@@ -110,62 +110,62 @@
 	// Symptom: a host dispatches alone although all control hosts are well, 185 times in half a minute over the fleet. Sequence: a caller uploads 360 KB to it;
 	// an ask waits behind them; the host takes the dispatcher for silent, probes the others behind the same bytes, and leaves them all. Cause: the same
 	// limit for an answer whatever the host's own link carries.
-	const {asking, link, delay} = setUp(() => GRANT);
-	await asking.ask(fixture.ASK_DRAFT).answer;
+	const {client, link, delay} = setUp(() => GRANT);
+	await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 	delay.milliseconds = 400;
-	await asking.ask(fixture.ASK_DRAFT).answer;
+	await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 	t.deepEqual(link.limits, [250, 650]);
 });
 
 test('an ask that waits is answered later', async t => {
-	const {asking} = setUp(() => ['wait']);
-	const asked = asking.ask(fixture.ASK_DRAFT);
-	asking.hearAnswer(1, ['refuse', 'no-slot-in-time', 300]);
-	t.deepEqual(await asked.answer, {kind: 'refuse', reason: 'no-slot-in-time', retryAfterMilliseconds: 300});
+	const {client} = setUp(() => ['wait']);
+	const handle = client.requestSlot(fixture.SLOT_REQUEST_DRAFT);
+	client.handleAnswer(1, ['refuse', 'no-slot-in-time', 300]);
+	t.deepEqual(await handle.answer, {kind: 'refuse', reason: 'no-slot-in-time', retryAfterMilliseconds: 300});
 });
 
 test('without an answer in time the host dispatches alone, gives the late place back, and passes the dispatcher over for a while', async t => {
 	// Symptom: requests wait until their deadline although upstreams are free.
 	// Sequence: the control host that dispatches the service is stopped with its connections open.
 	// Cause: an ask had no time limit of its own.
-	const {asking, link, context} = setUp(() => undefined);
-	const first = await asking.ask(fixture.ASK_DRAFT).answer;
+	const {client, link, context} = setUp(() => undefined);
+	const first = await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 	t.like(first, {kind: 'grant', upstream: 'own'});
 	t.deepEqual(link.notified.slice(-2), [['dispatch.cancel', [1]], ['dispatch.end', [1, 'unused', 0]]]);
 	const countAsks = () => link.called.filter(([method]) => method === 'dispatch.ask').length;
 	const calls = countAsks();
-	const second = await asking.ask(fixture.ASK_DRAFT).answer;
+	const second = await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 	t.is(countAsks(), calls);
 	for (const answer of [first, second]) {
-		asking.end(answer.kind === 'grant' ? answer.id : '', 'success', 100);
+		client.reportEnd(answer.kind === 'grant' ? answer.id : '', 'success', 100);
 	}
 
 	await context.pass(1500);
-	await asking.ask(fixture.ASK_DRAFT).answer;
+	await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 	t.is(countAsks(), calls + 1);
 });
 
 test('what waits at a dispatcher whose link is lost is dispatched by the host itself when there is nobody else', async t => {
-	const {asking, control, context, link} = setUp(() => ['wait']);
-	const asked = asking.ask(fixture.ASK_DRAFT);
+	const {client, control, context, link} = setUp(() => ['wait']);
+	const handle = client.requestSlot(fixture.SLOT_REQUEST_DRAFT);
 	await context.pass(1);
 	link.close();
-	asking.loseDispatcher(control);
-	t.like(await asked.answer, {kind: 'grant', upstream: 'own'});
+	client.handleDispatcherLost(control);
+	t.like(await handle.answer, {kind: 'grant', upstream: 'own'});
 });
 
 test('what waits at a dispatcher whose link is lost is asked of the next one', async t => {
 	// Symptom: right after one control host is killed, requests are shed and lost though the others run.
 	// Sequence: requests wait there for a slot; its links are reset; each host dispatches what it had there by itself.
 	// Cause: only asks that ran into their time limit were taken to the next dispatcher.
-	const {asking, control, context, link} = setUp(() => ['wait'], [createOther('d')]);
+	const {client, control, context, link} = setUp(() => ['wait'], [createOther('d')]);
 	const service = Array.from({length: 50}, (_, index) => `service-${index}`)
 		.find(name => orderDispatchers(name, ['c', 'd'], id => id)[0] === 'c')!;
-	const asked = asking.ask({...fixture.ASK_DRAFT, service});
+	const handle = client.requestSlot({...fixture.SLOT_REQUEST_DRAFT, service});
 	await context.pass(1);
 	link.close();
-	asking.loseDispatcher(control);
-	t.like(await asked.answer, {kind: 'grant', upstream: 'd'});
+	client.handleDispatcherLost(control);
+	t.like(await handle.answer, {kind: 'grant', upstream: 'd'});
 });
 
 test('while no control host answers, one entry host dispatches for all', async t => {
@@ -174,8 +174,8 @@
 	// Sequence: the control hosts lose power; each entry host chooses upstreams by what it sees alone.
 	// Cause: nobody but control hosts dispatched for others.
 	const standby = createOther('standby');
-	const {asking, link} = setUp(() => undefined, ['d', 'e'].map(id => createSilent(id)), [standby]);
-	const answers = [await asking.ask(fixture.ASK_DRAFT).answer, await asking.ask(fixture.ASK_DRAFT).answer];
+	const {client, link} = setUp(() => undefined, ['d', 'e'].map(id => createSilent(id)), [standby]);
+	const answers = [await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer, await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer];
 	t.deepEqual(answers.map(answer => answer.kind === 'grant' && answer.upstream), ['standby', 'standby']);
 	// The first ask found one dispatcher silent; the probe found the others.
 	t.true(link.called.filter(([method]) => method === 'dispatch.ask').length <= 1);
@@ -185,8 +185,8 @@
 	// Symptom: for a second after a control host has started, requests are refused since no upstream is known.
 	// Sequence: its links open before it has heard of the upstreams; it comes first for a service again, and refuses at once.
 	// Cause: knowing no upstream was taken for there being none.
-	const {asking} = setUp(() => ['elsewhere'], [], [createOther('standby')]);
-	t.like(await asking.ask(fixture.ASK_DRAFT).answer, {kind: 'grant', upstream: 'standby'});
+	const {client} = setUp(() => ['elsewhere'], [], [createOther('standby')]);
+	t.like(await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer, {kind: 'grant', upstream: 'standby'});
 });
 
 const CLOSURES = [
@@ -197,16 +197,16 @@
 for (const {name, advertisement, endsAfter} of CLOSURES) {
 	test(`a place at an upstream that ${name} is given back and another one asked for`, async t => {
 		// Guards against dispatchers that do not know what an upstream told a host, and grant it all the same.
-		const {asking, link, context} = setUp((_method, ask: ShortAsk) => ask[3]?.includes('u') === true ? ['grant', 'v', '10.0.0.5:80', 0] : GRANT);
-		const first = await asking.ask(fixture.ASK_DRAFT).answer;
+		const {client, link, context} = setUp((_method, ask: ShortAsk) => ask[3]?.includes('u') === true ? ['grant', 'v', '10.0.0.5:80', 0] : GRANT);
+		const first = await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 		t.like(first, {kind: 'grant', upstream: 'u'});
-		asking.recordAdvertisements('front:1', [advertisement]);
-		asking.end('front:1', 'shed', 1);
-		t.true(asking.isClosed('u'));
-		t.like(await asking.ask(fixture.ASK_DRAFT).answer, {kind: 'grant', upstream: 'v', id: 'front:3'});
+		client.recordAdvertisements('front:1', [advertisement]);
+		client.reportEnd('front:1', 'shed', 1);
+		t.true(client.isClosed('u'));
+		t.like(await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer, {kind: 'grant', upstream: 'v', id: 'front:3'});
 		t.deepEqual(link.notified.at(-1), ['dispatch.end', [2, 'unused', 0]]);
 		await context.pass(3000);
-		t.is(asking.isClosed('u'), endsAfter === undefined);
+		t.is(client.isClosed('u'), endsAfter === undefined);
 	});
 }
 
@@ -215,30 +215,30 @@
 	// Sequence: the dispatcher is cut off from the other control hosts and does not hear of the retirement; this host does.
 	// Cause: the host trusted the dispatcher alone.
 	let asks = 0;
-	const {asking, link, retired} = setUp(() => {
+	const {client, link, retired} = setUp(() => {
 		asks++;
 		return asks === 1 ? GRANT : ['grant', 'v', '10.0.0.5:80', 0];
 	});
 	retired.add('u');
-	t.like(await asking.ask(fixture.ASK_DRAFT).answer, {kind: 'grant', upstream: 'v', id: 'front:2'});
+	t.like(await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer, {kind: 'grant', upstream: 'v', id: 'front:2'});
 	t.deepEqual(link.called.at(-1)?.[1], [2, 0, 2000, ['u'], false, false, 0, true]);
 	t.true(link.notified.some(([method, parameters]) => method === 'dispatch.end' && JSON.stringify(parameters) === '[1,"unused",0]'));
 });
 
 test('a request that is given up gives its place back, whenever it comes', async t => {
-	const {asking, link} = setUp(() => ['wait']);
-	const asked = asking.ask(fixture.ASK_DRAFT);
-	asked.cancel();
-	t.like(await asked.answer, {kind: 'refuse'});
+	const {client, link} = setUp(() => ['wait']);
+	const handle = client.requestSlot(fixture.SLOT_REQUEST_DRAFT);
+	handle.cancel();
+	t.like(await handle.answer, {kind: 'refuse'});
 	t.deepEqual(link.notified.slice(-2), [['dispatch.cancel', [1]], ['dispatch.end', [1, 'unused', 0]]]);
 });
 
-const createOther = (id: string): OpenControl => ({
+const createOther = (id: string): LinkedHost => ({
 	host: {id, address: {ip: '10.0.0.6', port: 1}},
 	link: fixture.createFakeLink(() => ['grant', id, '10.0.0.7:80', 0]),
 });
 
-const createSilent = (id: string): OpenControl => ({
+const createSilent = (id: string): LinkedHost => ({
 	host: {id, address: {ip: '10.0.0.6', port: 1}},
 	link: fixture.createFakeLink(() => undefined),
 });
@@ -253,7 +253,7 @@
 	const granted: string[] = [];
 	for (const service of services) {
 		// eslint-disable-next-line no-await-in-loop -- One after the other, each finds out anew.
-		const answer = await setup.asking.ask({...fixture.ASK_DRAFT, service}).answer;
+		const answer = await setup.client.requestSlot({...fixture.SLOT_REQUEST_DRAFT, service}).answer;
 		granted.push(answer.kind === 'grant' ? answer.upstream : answer.reason);
 	}
 
@@ -272,9 +272,9 @@
 	}, ['d', 'e'].map(id => createOther(id)));
 	const service = Array.from({length: 50}, (_, index) => `service-${index}`)
 		.find(name => orderDispatchers(name, ['c', 'd', 'e'], id => id)[0] === 'c')!;
-	const waiting = setup.asking.ask({...fixture.ASK_DRAFT, service});
+	const waiting = setup.client.requestSlot({...fixture.SLOT_REQUEST_DRAFT, service});
 	await setup.context.pass(1);
 	setup.link.silence = 1000;
-	await setup.asking.ask({...fixture.ASK_DRAFT, service}).answer;
+	await setup.client.requestSlot({...fixture.SLOT_REQUEST_DRAFT, service}).answer;
 	t.like(await waiting.answer, {kind: 'grant'});
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/dispatcher-finder.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/dispatcher-finder.test.ts
@@ -2,25 +2,25 @@
 Tests of which dispatcher is asked.
 */
 import test from 'ava';
-import type {OpenControl} from '../../control-links.ts';
-import {createDispatcherFinder, type FinderPlan} from '../../dispatcher-finder.ts';
+import type {LinkedHost} from '../../control-links.ts';
+import {createDispatcherFinder, type DispatcherFinderOptions} from '../../dispatcher-finder.ts';
 import * as fixture from './fixture.ts';
 
-function createControls(count: number): readonly OpenControl[] {
+function createControls(count: number): readonly LinkedHost[] {
 	return Array.from({length: count}, (_, index) => ({
 		host: {id: `c${index}`, address: {ip: '10.0.0.2', port: 1}}, link: fixture.createFakeLink(() => undefined),
 	}));
 }
 
-const createPlan = (controls: readonly OpenControl[], changes: Partial<FinderPlan> = {}): FinderPlan => ({
-	self: 'front', getControls: () => controls, getStandbys: () => [], isStandby: () => false, ...changes,
+const createOptions = (controls: readonly LinkedHost[], changes: Partial<DispatcherFinderOptions> = {}): DispatcherFinderOptions => ({
+	hostId: 'front', getControlHosts: () => controls, getStandbys: () => [], isOwnHostStandby: () => false, ...changes,
 });
 
 test('all hosts ask the same one, services spread', t => {
 	const context = fixture.createFakeContext();
 	const controls = createControls(5);
 	const services = Array.from({length: 50}, (_, index) => `service-${index}`);
-	const find = (order: readonly OpenControl[]) => services.map(service => createDispatcherFinder(context, createPlan(order)).find(service)?.host.id);
+	const find = (order: readonly LinkedHost[]) => services.map(service => createDispatcherFinder(context, createOptions(order)).find(service)?.host.id);
 	t.deepEqual(find(controls), find(controls.toReversed()));
 	t.is(new Set(find(controls)).size, 5);
 });
@@ -30,7 +30,7 @@
 	/**
 	Dispatchers, from the first in the order, that did not answer in time.
 	*/
-	readonly slow: number;
+	readonly unresponsive: number;
 	readonly waitMilliseconds: number;
 	/**
 	Place in the order of the one that is asked.
@@ -40,37 +40,37 @@
 
 const CASES: readonly Case[] = [
 	{
-		name: 'the first one', slow: 0, waitMilliseconds: 0, asked: 0,
+		name: 'the first one', unresponsive: 0, waitMilliseconds: 0, asked: 0,
 	},
 	{
-		name: 'the next one after the first did not answer', slow: 1, waitMilliseconds: 0, asked: 1,
+		name: 'the next one after the first did not answer', unresponsive: 1, waitMilliseconds: 0, asked: 1,
 	},
 	{
 		// Symptom: for seconds after all control hosts lost power, each request waits a quarter of a second or more.
 		// Sequence: their links stay open and silent; each ask runs into its time limit at one after the other.
 		// Cause: the silence of most said nothing about the rest.
-		name: 'none when most did not answer', slow: 3, waitMilliseconds: 0, asked: undefined,
+		name: 'none when most did not answer', unresponsive: 3, waitMilliseconds: 0, asked: undefined,
 	},
 	{
-		name: 'the first one again after a while', slow: 3, waitMilliseconds: 1000, asked: 0,
+		name: 'the first one again after a while', unresponsive: 3, waitMilliseconds: 1000, asked: 0,
 	},
 ];
 
-for (const {name, slow, waitMilliseconds, asked} of CASES) {
+for (const {name, unresponsive, waitMilliseconds, asked} of CASES) {
 	test(`asks ${name}`, async t => {
 		const context = fixture.createFakeContext();
 		const controls = createControls(5);
-		const finder = createDispatcherFinder(context, createPlan(controls));
+		const finder = createDispatcherFinder(context, createOptions(controls));
 		const order: Array<string | undefined> = [];
 		const left = [...controls];
 		while (left.length > 0) {
-			const first = createDispatcherFinder(context, createPlan(left)).find('archive')!;
+			const first = createDispatcherFinder(context, createOptions(left)).find('archive')!;
 			order.push(first.host.id);
 			left.splice(left.indexOf(first), 1);
 		}
 
-		for (const id of order.slice(0, slow)) {
-			finder.noteSlow(controls.find(control => control.host.id === id)!);
+		for (const id of order.slice(0, unresponsive)) {
+			finder.markUnresponsive(controls.find(control => control.host.id === id)!);
 		}
 
 		await context.pass(waitMilliseconds);
@@ -85,10 +85,10 @@
 	const context = fixture.createFakeContext();
 	const link = fixture.createFakeLink(() => undefined);
 	const other = fixture.createFakeLink(() => undefined);
-	const controls = [link, other].map((of, index): OpenControl => ({host: {id: `c${index}`, address: {ip: '10.0.0.2', port: 1}}, link: of}));
-	const finder = createDispatcherFinder(context, createPlan(controls));
+	const controls = [link, other].map((of, index): LinkedHost => ({host: {id: `c${index}`, address: {ip: '10.0.0.2', port: 1}}, link: of}));
+	const finder = createDispatcherFinder(context, createOptions(controls));
 	const first = finder.find('archive')!;
-	finder.noteSlow(first);
+	finder.markUnresponsive(first);
 	const silent = first.link as fixture.FakeLink;
 	silent.silence = 3200;
 	await context.pass(3000);
@@ -100,21 +100,21 @@
 test('while most control hosts do not answer, all hosts ask the same standby', t => {
 	const context = fixture.createFakeContext();
 	const controls = createControls(3);
-	const standbys = ['s0', 's1', 's2'].map((id): OpenControl => ({
+	const standbys = ['s0', 's1', 's2'].map((id): LinkedHost => ({
 		host: {id, address: {ip: '10.0.0.4', port: 1}}, link: fixture.createFakeLink(() => undefined),
 	}));
 	const services = Array.from({length: 20}, (_, index) => `service-${index}`);
-	const find = (changes: Partial<FinderPlan>) => {
-		const finder = createDispatcherFinder(context, createPlan(controls, changes));
+	const find = (changes: Partial<DispatcherFinderOptions>) => {
+		const finder = createDispatcherFinder(context, createOptions(controls, changes));
 		for (const control of controls.slice(1)) {
-			finder.noteSlow(control);
+			finder.markUnresponsive(control);
 		}
 
-		return services.map(service => finder.find(service)?.host.id ?? changes.self);
+		return services.map(service => finder.find(service)?.host.id ?? changes.hostId);
 	};
 
 	const found = find({getStandbys: () => standbys});
 	t.is(new Set(found).size, 3);
 	// A standby has no link to itself, and comes to the same.
-	t.deepEqual(find({self: 's1', isStandby: () => true, getStandbys: () => standbys.filter(({host}) => host.id !== 's1')}), found);
+	t.deepEqual(find({hostId: 's1', isOwnHostStandby: () => true, getStandbys: () => standbys.filter(({host}) => host.id !== 's1')}), found);
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/dispatching.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/dispatching.test.ts
@@ -47,7 +47,7 @@
 			count++;
 			const id = `${host}:${count}`;
 			const answer = dispatching.ask({
-				...fixture.ASK_DRAFT, id, host, failureDomain: 'x',
+				...fixture.SLOT_REQUEST_DRAFT, id, host, failureDomain: 'x',
 			});
 			if (answer.kind === 'grant') {
 				dispatching.end({id, ending: sick.has(answer.upstream) ? 'reset' : 'success', milliseconds: 20});
@@ -101,7 +101,7 @@
 	const ask = async (id: string) => {
 		await context.pass(1000);
 		const answer = dispatching.ask({
-			...fixture.ASK_DRAFT, id, host: 'front-1', failureDomain: 'x', excluded: UPSTREAMS.slice(1),
+			...fixture.SLOT_REQUEST_DRAFT, id, host: 'front-1', failureDomain: 'x', excluded: UPSTREAMS.slice(1),
 		});
 		t.is(answer.kind, 'grant');
 	};
--- a/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
@@ -7,7 +7,7 @@
 import type * as link from 'wagtailroute-link';
 import * as telemetry from 'wagtailroute-telemetry';
 import * as utils from 'wagtailroute-utils';
-import type {AskDraft} from '../../asking.ts';
+import type {SlotRequestDraft} from '../../dispatch-client.ts';
 import type {FleetContext} from '../../context.ts';
 import type {DispatchingPlan} from '../../dispatching.ts';
 import type {FleetSettings} from '../../settings.ts';
@@ -15,7 +15,7 @@
 /**
 What a request asks for.
 */
-export const ASK_DRAFT: AskDraft = {
+export const SLOT_REQUEST_DRAFT: SlotRequestDraft = {
 	service: 'archive',
 	route: 'r',
 	requestClass: 'non-idempotent',
--- a/packages/wagtailroute-fleet/src/__tests__/unit/knowledge.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/fleet-view.test.ts
@@ -3,8 +3,8 @@
 */
 import test from 'ava';
 import type * as generations from 'wagtailroute-generations';
-import type {OpenControl} from '../../control-links.ts';
-import {createKnowledge, type Knowledge} from '../../knowledge.ts';
+import type {LinkedHost} from '../../control-links.ts';
+import {createFleetView, type FleetView} from '../../fleet-view.ts';
 import type {RelayedHeartbeat} from '../../messages.ts';
 import * as fixture from './fixture.ts';
 
@@ -23,8 +23,8 @@
 
 type Setup = {
 	readonly context: fixture.FakeContext;
-	readonly knowledge: Knowledge;
-	readonly controls: readonly OpenControl[];
+	readonly fleetView: FleetView;
+	readonly controls: readonly LinkedHost[];
 	readonly links: readonly fixture.FakeLink[];
 };
 
@@ -39,26 +39,26 @@
 		const generation = version === undefined ? undefined : {generation: createGeneration(version)};
 		return method === 'generation.fetch' ? generation : {heard: [HEARTBEAT], forgotten: [], retirements: []};
 	}));
-	const controls = links.map((link, index): OpenControl => ({
+	const controls = links.map((link, index): LinkedHost => ({
 		host: {id: `c${index}`, address: {ip: '10.0.0.2', port: 1}, failureDomain: index === 0 ? 'far' : 'near'}, link,
 	}));
-	const knowledge = createKnowledge(context, {
+	const fleetView = createFleetView(context, {
 		failureDomain: 'near',
-		getOpen: () => controls,
+		getControlHosts: () => controls,
 		onGeneration: () => undefined,
-		onInstances: () => undefined,
+		onInstancesChanged: () => undefined,
 	});
 	return {
-		context, knowledge, controls, links,
+		context, fleetView, controls, links,
 	};
 }
 
 test('a generation is fetched from the own failure domain where it can be', async t => {
-	const {context, knowledge, controls, links} = setUp([3, 3]);
-	knowledge.hearVersion(controls[0]!, 3);
-	knowledge.hearVersion(controls[1]!, 3);
+	const {context, fleetView, controls, links} = setUp([3, 3]);
+	fleetView.recordVersion(controls[0]!, 3);
+	fleetView.recordVersion(controls[1]!, 3);
 	await context.pass(100);
-	t.is(knowledge.getGeneration()?.version, 3);
+	t.is(fleetView.getGeneration()?.version, 3);
 	t.deepEqual(links.map(link => link.called.length), [0, 1]);
 });
 
@@ -66,43 +66,43 @@
 	// Symptom: a host that had a route answers that there is none.
 	// Sequence: it fetches version 5; a control host that was cut off tells version 4 and hands it out.
 	// Cause: whatever was fetched last was put in force.
-	const {context, knowledge, controls} = setUp([4, 5]);
-	knowledge.hearVersion(controls[1]!, 5);
+	const {context, fleetView, controls} = setUp([4, 5]);
+	fleetView.recordVersion(controls[1]!, 5);
 	await context.pass(100);
-	knowledge.hearVersion(controls[0]!, 4);
+	fleetView.recordVersion(controls[0]!, 4);
 	await context.pass(100);
-	t.is(knowledge.getGeneration()?.version, 5);
+	t.is(fleetView.getGeneration()?.version, 5);
 });
 
 test('when a control host does not answer, the generation comes from another', async t => {
-	const {context, knowledge, controls} = setUp([7, undefined]);
-	knowledge.hearVersion(controls[1]!, 7);
-	knowledge.hearVersion(controls[0]!, 7);
+	const {context, fleetView, controls} = setUp([7, undefined]);
+	fleetView.recordVersion(controls[1]!, 7);
+	fleetView.recordVersion(controls[0]!, 7);
 	await context.pass(1000);
-	t.is(knowledge.getGeneration()?.version, 7);
+	t.is(fleetView.getGeneration()?.version, 7);
 });
 
 test('a retired instance takes no more work, and comes back with no heartbeat', async t => {
-	const {context, knowledge} = setUp([1]);
-	knowledge.follow();
+	const {context, fleetView} = setUp([1]);
+	fleetView.followInstances();
 	await context.pass(10);
-	t.false(knowledge.listCandidates('archive')[0]?.isDraining);
-	knowledge.hearRetirements([{upstream: 'u', state: 'draining'}]);
-	knowledge.hearInstances({heard: [{...HEARTBEAT, sequence: 2}], forgotten: [], retirements: []});
-	t.true(knowledge.listCandidates('archive')[0]?.isDraining);
-	t.true(knowledge.isRetired('u'));
+	t.false(fleetView.listCandidates('archive')[0]?.isDraining);
+	fleetView.applyRetirements([{upstream: 'u', state: 'draining'}]);
+	fleetView.applyInstances({heard: [{...HEARTBEAT, sequence: 2}], forgotten: [], retirements: []});
+	t.true(fleetView.listCandidates('archive')[0]?.isDraining);
+	t.true(fleetView.isRetired('u'));
 });
 
 test('an address is known for as long as an instance has it', async t => {
 	// Symptom: the memory of an entry host grows for as long as it runs.
 	// Sequence: upstreams are replaced all day, each at an address of its own.
 	// Cause: the connections to addresses that were gone were kept; nobody told that they were.
-	const {context, knowledge} = setUp([1]);
-	knowledge.follow();
+	const {context, fleetView} = setUp([1]);
+	fleetView.followInstances();
 	await context.pass(10);
-	t.deepEqual([...knowledge.listAddresses()], ['10.0.0.1:80']);
-	knowledge.hearRetirements([{upstream: 'u', state: 'draining'}]);
-	t.is(knowledge.listAddresses().size, 1);
-	knowledge.hearRetirements([{upstream: 'u', state: 'gone'}]);
-	t.is(knowledge.listAddresses().size, 0);
+	t.deepEqual([...fleetView.listAddresses()], ['10.0.0.1:80']);
+	fleetView.applyRetirements([{upstream: 'u', state: 'draining'}]);
+	t.is(fleetView.listAddresses().size, 1);
+	fleetView.applyRetirements([{upstream: 'u', state: 'gone'}]);
+	t.is(fleetView.listAddresses().size, 0);
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/held-places.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/held-slots.test.ts
@@ -3,11 +3,11 @@
 */
 import test from 'ava';
 import type * as dispatch from 'wagtailroute-dispatch';
-import {createHeldPlaces} from '../../held-places.ts';
+import {createHeldSlots} from '../../held-slots.ts';
 import * as fixture from './fixture.ts';
 
-const ASK: dispatch.Ask = {
-	...fixture.ASK_DRAFT, id: 'h:1', host: 'h', failureDomain: 'x',
+const REQUEST: dispatch.Ask = {
+	...fixture.SLOT_REQUEST_DRAFT, id: 'h:1', host: 'h', failureDomain: 'x',
 };
 
 test('a dispatcher is told what is held of its service, once for as long as it stays the same', t => {
@@ -17,11 +17,11 @@
 	const first = fixture.createFakeLink(() => undefined);
 	const second = fixture.createFakeLink(() => undefined);
 	const host = {id: 'c', address: {ip: '10.0.0.2', port: 1}};
-	const places = createHeldPlaces(() => 500, {advertisements: {list: () => []}, recentUses: {takeUntold: () => undefined}, countEntryHosts: () => 3});
-	places.add({ask: ASK, upstream: 'u', grantedAt: 100});
-	places.add({ask: {...ASK, id: 'h:2', service: 'media'}, upstream: 'v', grantedAt: 100});
+	const heldSlots = createHeldSlots(() => 500, {advertisements: {list: () => []}, recentUses: {takeUntold: () => undefined}, countEntryHosts: () => 3});
+	heldSlots.add({request: REQUEST, upstream: 'u', grantedAt: 100});
+	heldSlots.add({request: {...REQUEST, id: 'h:2', service: 'media'}, upstream: 'v', grantedAt: 100});
 	for (const link of [first, first, second]) {
-		places.tell('archive', {host, link});
+		heldSlots.reportTo('archive', {host, link});
 	}
 
 	const held = {
@@ -31,7 +31,7 @@
 		[['dispatch.hold', {service: 'archive', places: [held]}]],
 		[['dispatch.hold', {service: 'archive', places: [held]}]],
 	]);
-	t.is(places.take('h:1')?.upstream, 'u');
-	t.is(places.take('h:1'), undefined);
-	t.is(places.count(), 1);
+	t.is(heldSlots.remove('h:1')?.upstream, 'u');
+	t.is(heldSlots.remove('h:1'), undefined);
+	t.is(heldSlots.count(), 1);
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/standby-choice.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/standby-choice.test.ts
@@ -3,7 +3,7 @@
 */
 import test from 'ava';
 import {createAskers} from '../../askers.ts';
-import {STANDBYS_MOST} from '../../constants.ts';
+import {MAX_STANDBYS} from '../../constants.ts';
 import type {EntryHost} from '../../entry-hosts.ts';
 import {chooseStandbys} from '../../standby-choice.ts';
 import * as fixture from './fixture.ts';
@@ -32,7 +32,7 @@
 const CASES: readonly Case[] = [
 	{name: 'as many of each failure domain', domains: {a: 10, b: 10, c: 10}, counts: {a: 2, b: 2, c: 2}},
 	{name: 'those that there are', domains: {a: 1, b: 2}, counts: {a: 1, b: 2}},
-	{name: 'more of one where others have few', domains: {a: 10, b: 1}, counts: {a: STANDBYS_MOST - 1, b: 1}},
+	{name: 'more of one where others have few', domains: {a: 10, b: 1}, counts: {a: MAX_STANDBYS - 1, b: 1}},
 	{name: 'none where there are none', domains: {}, counts: {}},
 ];
 
--- a/packages/wagtailroute-fleet/src/advertisements.ts
+++ b/packages/wagtailroute-fleet/src/advertisements.ts
@@ -33,12 +33,12 @@
 	readonly list: (service: core.ServiceName) => readonly dispatch.UpstreamUpdate[];
 };
 
-type Limit = {
+type AdvertisedRateLimit = {
 	readonly ratePerSecond: number;
 	readonly advertisedAt: number;
 };
 
-type Backoff = {
+type AdvertisedBackoff = {
 	readonly service: core.ServiceName;
 	readonly until: number;
 };
@@ -57,11 +57,11 @@
 @param now Monotonic time in milliseconds.
 */
 export function createAdvertisements(host: core.HostId, now: () => number): Advertisements {
-	const limitsByService = new Map<core.ServiceName, Map<core.UpstreamId, Limit>>();
-	const backoffs = new Map<core.UpstreamId, Backoff>();
+	const limitsByService = new Map<core.ServiceName, Map<core.UpstreamId, AdvertisedRateLimit>>();
+	const backoffs = new Map<core.UpstreamId, AdvertisedBackoff>();
 	const draining = new Map<core.UpstreamId, core.ServiceName>();
 
-	const pruneLimits = (limits: Map<core.UpstreamId, Limit>) => {
+	const pruneLimits = (limits: Map<core.UpstreamId, AdvertisedRateLimit>) => {
 		for (const [upstream, {advertisedAt}] of limits) {
 			if (now() - advertisedAt <= RATE_LIMIT_TTL_MILLISECONDS) {
 				break;
@@ -81,7 +81,7 @@
 
 	const recorders: Recorders = {
 		'rate-limit'(service, upstream, {ratePerSecond}) {
-			const limits = limitsByService.get(service) ?? new Map<core.UpstreamId, Limit>();
+			const limits = limitsByService.get(service) ?? new Map<core.UpstreamId, AdvertisedRateLimit>();
 			limitsByService.set(service, limits);
 			// Keeps the entries in order of time.
 			limits.delete(upstream);
@@ -98,7 +98,7 @@
 	};
 
 	const listLimits = (service: core.ServiceName) => {
-		const limits = limitsByService.get(service) ?? new Map<core.UpstreamId, Limit>();
+		const limits = limitsByService.get(service) ?? new Map<core.UpstreamId, AdvertisedRateLimit>();
 		pruneLimits(limits);
 		return limits.entries().map(([upstream, {ratePerSecond, advertisedAt}]): dispatch.UpstreamUpdate => ({
 			kind: 'rate-limit', upstream, ratePerSecond, ageMilliseconds: now() - advertisedAt, granted: 0,
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -5,42 +5,42 @@
 /**
 Milliseconds that the first message of a link may take; a control host that is busy with its start needs most.
 */
-export const HELLO_MILLISECONDS = 1500;
+export const HELLO_TIMEOUT_MILLISECONDS = 1500;
 
 /**
 Milliseconds that a dispatcher may take to answer an ask at once, if only with "wait": a pause of its process for a used-up
 share of the processor lasts up to 100 ms, and a caller's objective is about a second.
 */
-export const ASK_MILLISECONDS = 250;
+export const SLOT_REQUEST_TIMEOUT_MILLISECONDS = 250;
 
 /**
 Milliseconds more that a host waits for others at most while large bodies fill its own link. Who does not wait for its own bytes takes every control host
 for lost, dispatches alone, and sees neither free slots nor what others have learned.
 */
-export const MOST_LINK_DELAY_MILLISECONDS = 1000;
+export const MAX_LINK_DELAY_MILLISECONDS = 1000;
 
 /**
 Dispatchers that may leave an ask unanswered before its host dispatches alone: with the second one the other control hosts are probed, so
 the third is one that answers, or an entry host.
 */
-export const MOST_UNANSWERED = 3;
+export const MAX_FAILED_DISPATCHERS = 3;
 
 /**
 Milliseconds after which a request is to come back when no upstream of its service is known at all: heartbeats come every second or two.
 */
-export const UNKNOWN_SERVICE_MILLISECONDS = 500;
+export const UNKNOWN_SERVICE_RETRY_MILLISECONDS = 500;
 
 /**
 Milliseconds that a control host may take to answer a probe, after another one has left an ask unanswered: like an ask's, less what was lost
 already.
 */
-export const PROBE_MILLISECONDS = 150;
+export const PROBE_TIMEOUT_MILLISECONDS = 150;
 
 /**
 Entry hosts that all hosts know as dispatchers for when no control host answers: two of each of three failure domains, so that some are
 left when hosts are lost with the control hosts, and few enough that each dispatches several services.
 */
-export const STANDBYS_MOST = 6;
+export const MAX_STANDBYS = 6;
 
 /**
 Standbys of a service that are told what its dispatcher believes: the first, and the next for when that one is lost too.
@@ -55,12 +55,12 @@
 /**
 Milliseconds after the last need for which links to standbys stay open: longer than control hosts take to be back in order.
 */
-export const STANDBY_IDLE_MILLISECONDS = 20_000;
+export const STANDBY_IDLE_TIMEOUT_MILLISECONDS = 20_000;
 
 /**
 Milliseconds that a request waits for the first link to a standby: twice what opening one takes within a region.
 */
-export const STANDBY_OPEN_MILLISECONDS = 60;
+export const MAX_STANDBY_WAIT_MILLISECONDS = 60;
 
 /**
 Resends that an entry host may give out beyond a part of the requests. The budget is the whole fleet's, and any number of hosts may dispatch at
@@ -71,7 +71,7 @@
 /**
 Milliseconds for which a dispatcher that did not answer in time is passed over.
 */
-export const SLOW_DISPATCHER_MILLISECONDS = 1000;
+export const UNRESPONSIVE_DISPATCHER_MILLISECONDS = 1000;
 
 /**
 Milliseconds of silence after which a dispatcher is passed over without asking: two pings were missed. An ask
@@ -97,55 +97,55 @@
 /**
 Milliseconds between two looks for silent upstreams and hosts.
 */
-export const HOUSEKEEPING_MILLISECONDS = 1000;
+export const HOUSEKEEPING_INTERVAL_MILLISECONDS = 1000;
 
 /**
 Milliseconds for which a host waits for a control host of its own failure domain before it fetches a generation from another.
 */
-export const NEAR_FETCH_MILLISECONDS = 25;
+export const FAR_FETCH_DELAY_MILLISECONDS = 25;
 
 /**
 Milliseconds that fetching a generation or the list of instances may take: 12 MB on a link of 50 Mbit/s.
 */
-export const FETCH_MILLISECONDS = 2000;
+export const FETCH_TIMEOUT_MILLISECONDS = 2000;
 
 /**
 Milliseconds that a request waits on a host that has no generation yet. After a restart of everything it is there within 0.8 s; a caller that
 waits in vain still has most of its time.
 */
-export const FIRST_GENERATION_MILLISECONDS = 1000;
+export const MAX_FIRST_GENERATION_WAIT_MILLISECONDS = 1000;
 
 /**
 Milliseconds after the first generation for which a host that has just started waits for its links to the other control hosts: three tries.
 */
-export const LINKING_MILLISECONDS = 250;
+export const MAX_CONTROL_LINKS_WAIT_MILLISECONDS = 250;
 
 /**
 Milliseconds after which a request is to come back to a fleet that has no generation: what went wrong takes longer than a usual start.
 */
-export const NO_GENERATION_MILLISECONDS = 700;
+export const NO_GENERATION_RETRY_MILLISECONDS = 700;
 
 /**
 Milliseconds before a fetch that failed is tried again.
 */
-export const FETCH_AGAIN_MILLISECONDS = 100;
+export const FETCH_RETRY_DELAY_MILLISECONDS = 100;
 
 /**
 Milliseconds without a link after which a control host that no other one names is forgotten.
 */
-export const FORGET_CONTROL_MILLISECONDS = 15_000;
+export const CONTROL_HOST_EXPIRY_MILLISECONDS = 15_000;
 
 /**
 Milliseconds that one try to bring a command to the leader may take: operators turn to another host after a second.
 */
-export const PROPOSE_MILLISECONDS = 700;
+export const LEADER_CALL_TIMEOUT_MILLISECONDS = 700;
 
 /**
 Tries to bring a command to the leader, and the wait between them in milliseconds: together less than a second, so that the
 operator still hears an answer.
 */
-export const PROPOSE_TRIES = 3;
-export const PROPOSE_AGAIN_MILLISECONDS = 60;
+export const MAX_LEADER_CALL_ATTEMPTS = 3;
+export const LEADER_CALL_RETRY_DELAY_MILLISECONDS = 60;
 
 /**
 Milliseconds between two steps of the leader towards the wanted members of the group.
@@ -224,7 +224,7 @@
 /**
 Change of load that the control hosts are told, a third of what is aimed at: a message to each costs as much as a request's.
 */
-export const LOAD_STEP = 0.13;
+export const MIN_REPORTED_LOAD_CHANGE = 0.13;
 
 /**
 Milliseconds in a second.
@@ -244,18 +244,18 @@
 /**
 Milliseconds between the pings of a link within a failure domain.
 */
-export const NEAR_PING_MILLISECONDS = 700;
+export const NEAR_PING_INTERVAL_MILLISECONDS = 700;
 
 /**
 The same between failure domains, where bytes cost: callers look up an entry host at control hosts of their own failure domain.
 */
-export const FAR_PING_MILLISECONDS = 2000;
+export const FAR_PING_INTERVAL_MILLISECONDS = 2000;
 
 /**
 Milliseconds that opening a connection to an upstream may take before another one is tried: a hundred times the way between
 failure domains of one region.
 */
-export const UPSTREAM_CONNECT_MILLISECONDS = 300;
+export const UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS = 300;
 
 /**
 Part of the time between SIGTERM and the end for which a stopping entry host takes new requests: callers keep its address for a
@@ -273,12 +273,12 @@
 Usual times of its route after which a request that may be repeated is asked another place for: with work times that spread by half, one in
 a hundred takes longer on an upstream that is well.
 */
-export const PATIENCE_RATIO = 3;
+export const OVERDUE_RATIO = 3;
 
 /**
 The same in milliseconds at least: a pause of a process lasts up to 100 ms.
 */
-export const PATIENCE_MILLISECONDS = 600;
+export const MIN_OVERDUE_MILLISECONDS = 600;
 
 /**
 Routes whose usual time a host keeps: those it carries of 46,000.
@@ -288,7 +288,7 @@
 /**
 Milliseconds after its last ask for which a host is told what a dispatcher believes.
 */
-export const ASKER_MILLISECONDS = 10_000;
+export const ASKER_EXPIRY_MILLISECONDS = 10_000;
 
 /**
 Milliseconds for which suspensions and readmissions are collected before hosts that ask are told. They need them only to dispatch on their
@@ -316,7 +316,7 @@
 /**
 Milliseconds after a change of the instances before connections to addresses that are gone are closed.
 */
-export const RETAIN_MILLISECONDS = 5000;
+export const CONNECTION_PRUNE_DELAY_MILLISECONDS = 5000;
 
 /**
 Milliseconds after a change of the instances before they are kept on disk: a start brings dozens of changes.
@@ -336,7 +336,7 @@
 /**
 Milliseconds between two reports of the bytes over links, at the level debug.
 */
-export const REPORT_MILLISECONDS = 10_000;
+export const LINK_REPORT_INTERVAL_MILLISECONDS = 10_000;
 
 /**
 Milliseconds of recent asks that the request share of a dispatcher is measured over.
@@ -357,7 +357,7 @@
 Entry hosts that a fleet is taken to have while a host was not told how many there are: one that dispatches alone may give out one part in so
 many of what is limited over all of them.
 */
-export const UNKNOWN_ENTRY_HOSTS = 100;
+export const ASSUMED_ENTRY_HOSTS = 100;
 
 /**
 Organisations that have a label of their own in metrics, and whose refusals are collected between two log lines; the others count together.
@@ -382,7 +382,7 @@
 /**
 Longest time in milliseconds without a message of this side on a link to a dispatcher that is asked: looked at every 0.35 s.
 */
-export const ASKED_PING_MILLISECONDS = 350;
+export const DISPATCHER_PING_INTERVAL_MILLISECONDS = 350;
 
 /**
 Silence in milliseconds from which on an entry host that asks here counts as absent: two pings were missed.
--- a/packages/wagtailroute-fleet/src/control-links.ts
+++ b/packages/wagtailroute-fleet/src/control-links.ts
@@ -7,13 +7,13 @@
 import * as core from 'wagtailroute-core';
 import * as link from 'wagtailroute-link';
 import {
-	ASKED_PING_MILLISECONDS,
-	FAR_PING_MILLISECONDS,
-	FORGET_CONTROL_MILLISECONDS,
-	HELLO_MILLISECONDS,
-	HOUSEKEEPING_MILLISECONDS,
-	NEAR_PING_MILLISECONDS,
-	REPORT_MILLISECONDS,
+	DISPATCHER_PING_INTERVAL_MILLISECONDS,
+	FAR_PING_INTERVAL_MILLISECONDS,
+	CONTROL_HOST_EXPIRY_MILLISECONDS,
+	HELLO_TIMEOUT_MILLISECONDS,
+	HOUSEKEEPING_INTERVAL_MILLISECONDS,
+	NEAR_PING_INTERVAL_MILLISECONDS,
+	LINK_REPORT_INTERVAL_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 import {createMessageOrder} from './message-order.ts';
@@ -27,7 +27,7 @@
 /**
 A control host with an open link that was greeted.
 */
-export type OpenControl = {
+export type LinkedHost = {
 	readonly host: ControlHost;
 	readonly link: link.Link;
 };
@@ -35,28 +35,28 @@
 /**
 What the links are made with.
 */
-export type ControlLinksPlan = {
+export type ControlLinksOptions = {
 	readonly seeds: readonly ControlHost[];
 	/**
 	This host's own name: it keeps no link to itself.
 	*/
-	readonly self: core.HostId;
+	readonly hostId: core.HostId;
 	readonly failureDomain: core.FailureDomain;
 	readonly createHello: () => Hello;
 	readonly methods: link.LinkMethods;
 	/**
 	Says whether the dispatcher of a control host counts this host among those that ask it: it is to notice soon when it does not hear this host any more.
 	*/
-	readonly isAsked?: (over: link.Link) => boolean;
-	readonly onOpen: (control: OpenControl, welcome: Welcome) => void;
-	readonly onLost: (control: OpenControl) => void;
+	readonly isRecentlyAsked?: (controlLink: link.Link) => boolean;
+	readonly onOpen: (control: LinkedHost, welcome: Welcome) => void;
+	readonly onLost: (control: LinkedHost) => void;
 };
 
 /**
 Keeps the links to the control hosts and tells which are open.
 */
 export type ControlLinks = {
-	readonly getOpen: () => readonly OpenControl[];
+	readonly getOpen: () => readonly LinkedHost[];
 	/**
 	Says whether there is a link to every control host that is known.
 	*/
@@ -65,32 +65,32 @@
 	/**
 	Takes note of control hosts that another host named.
 	*/
-	readonly learn: (hosts: readonly ControlHost[]) => void;
+	readonly addDiscovered: (hosts: readonly ControlHost[]) => void;
 	readonly addSeeds: (seeds: readonly ControlHost[]) => void;
 	readonly notifyAll: (method: string, parameters: unknown) => void;
 	readonly close: () => void;
 };
 
-type Known = {
+type KnownControlHost = {
 	host: ControlHost;
 	isSeed: boolean;
-	advertisedAt: number;
-	open?: OpenControl;
+	lastSeenAt: number;
+	open?: LinkedHost;
 	readonly dialer: link.Dialer;
 };
 
 /**
 Starts the links.
 */
-export function startControlLinks(context: FleetContext, plan: ControlLinksPlan): ControlLinks {
+export function startControlLinks(context: FleetContext, options: ControlLinksOptions): ControlLinks {
 	const {now, random} = context;
 	const order = createMessageOrder(context);
 	const log = context.logs('links');
-	const known = new Map<core.HostId, Known>();
+	const knownHosts = new Map<core.HostId, KnownControlHost>();
 
-	const greet = async (id: core.HostId, opened: link.Link) => {
-		const answer = await opened.call(METHODS.hello, plan.createHello(), HELLO_MILLISECONDS);
-		const entry = known.get(id);
+	const sendHello = async (id: core.HostId, opened: link.Link) => {
+		const answer = await opened.call(METHODS.hello, options.createHello(), HELLO_TIMEOUT_MILLISECONDS);
+		const entry = knownHosts.get(id);
 		if (entry === undefined || answer.isErr() || !opened.isOpen()) {
 			opened.close();
 			return;
@@ -100,60 +100,60 @@
 		entry.host = {...entry.host, failureDomain: welcome.failureDomain};
 		entry.open = {host: entry.host, link: opened};
 		log.info('Link opened.', {control: id, version: welcome.version});
-		learn(welcome.controls);
-		plan.onOpen(entry.open, welcome);
+		addDiscovered(welcome.controls);
+		options.onOpen(entry.open, welcome);
 	};
 
-	const lose = (id: core.HostId) => {
-		const entry = known.get(id);
+	const handleClose = (id: core.HostId) => {
+		const entry = knownHosts.get(id);
 		const {open} = entry ?? {};
 		if (entry === undefined || open === undefined) {
 			return;
 		}
 
 		entry.open = undefined;
-		entry.advertisedAt = now();
+		entry.lastSeenAt = now();
 		log.warn('Link lost.', {control: id});
-		plan.onLost(open);
+		options.onLost(open);
 	};
 
-	const getPing = (id: core.HostId) => {
-		const entry = known.get(id);
-		if (entry?.open !== undefined && plan.isAsked?.(entry.open.link) === true) {
-			return ASKED_PING_MILLISECONDS;
+	const getPingInterval = (id: core.HostId) => {
+		const entry = knownHosts.get(id);
+		if (entry?.open !== undefined && options.isRecentlyAsked?.(entry.open.link) === true) {
+			return DISPATCHER_PING_INTERVAL_MILLISECONDS;
 		}
 
 		// A seed's failure domain is known from its first answer on.
-		return entry?.host.failureDomain === plan.failureDomain ? NEAR_PING_MILLISECONDS : FAR_PING_MILLISECONDS;
+		return entry?.host.failureDomain === options.failureDomain ? NEAR_PING_INTERVAL_MILLISECONDS : FAR_PING_INTERVAL_MILLISECONDS;
 	};
 
 	const add = (host: ControlHost, isSeed: boolean) => {
-		const present = known.get(host.id);
-		if (present !== undefined || host.id === plan.self) {
-			if (present !== undefined) {
-				present.isSeed ||= isSeed;
-				present.advertisedAt = now();
+		const existing = knownHosts.get(host.id);
+		if (existing !== undefined || host.id === options.hostId) {
+			if (existing !== undefined) {
+				existing.isSeed ||= isSeed;
+				existing.lastSeenAt = now();
 			}
 
 			return;
 		}
 
-		known.set(host.id, {
+		knownHosts.set(host.id, {
 			host,
 			isSeed,
-			advertisedAt: now(),
+			lastSeenAt: now(),
 			dialer: link.startDialer({
 				address: host.address,
-				methods: plan.methods,
+				methods: options.methods,
 				order,
 				now,
 				random,
-				pingMilliseconds: () => getPing(host.id),
+				pingMilliseconds: () => getPingInterval(host.id),
 				onOpen(opened) {
-					void greet(host.id, opened);
+					void sendHello(host.id, opened);
 				},
 				onClose() {
-					lose(host.id);
+					handleClose(host.id);
 				},
 				onDefect(error) {
 					log.error('Message could not be handled.', {control: host.id, error: error.stack});
@@ -162,7 +162,7 @@
 		});
 	};
 
-	const learn = (hosts: readonly ControlHost[]) => {
+	const addDiscovered = (hosts: readonly ControlHost[]) => {
 		for (const host of hosts) {
 			add(host, false);
 		}
@@ -174,34 +174,34 @@
 		}
 	};
 
-	const forget = () => {
-		for (const [id, entry] of known) {
-			if (!(entry.open === undefined && !entry.isSeed && now() - entry.advertisedAt > FORGET_CONTROL_MILLISECONDS)) {
+	const removeExpired = () => {
+		for (const [id, entry] of knownHosts) {
+			if (!(entry.open === undefined && !entry.isSeed && now() - entry.lastSeenAt > CONTROL_HOST_EXPIRY_MILLISECONDS)) {
 				continue;
 			}
 
 			log.info('Control host forgotten.', {control: id, address: core.formatAddress(entry.host.address)});
 			entry.dialer.close();
-			known.delete(id);
+			knownHosts.delete(id);
 		}
 	};
 
-	const getOpen = () => known.values().map(entry => entry.open).filter(open => open !== undefined).toArray();
+	const getOpen = () => knownHosts.values().map(entry => entry.open).filter(open => open !== undefined).toArray();
 
-	const reportBytes = () => {
+	const logBytes = () => {
 		for (const {host, link: open} of getOpen()) {
-			log.debug('Link bytes.', {control: host.id, isNear: host.failureDomain === plan.failureDomain, ...open.getBytes()});
+			log.debug('Link bytes.', {control: host.id, isNear: host.failureDomain === options.failureDomain, ...open.getBytes()});
 		}
 	};
 
-	addSeeds(plan.seeds);
-	const stopReporting = context.repeat(REPORT_MILLISECONDS, reportBytes);
-	const stopForgetting = context.repeat(HOUSEKEEPING_MILLISECONDS, forget);
+	addSeeds(options.seeds);
+	const stopReporting = context.repeat(LINK_REPORT_INTERVAL_MILLISECONDS, logBytes);
+	const stopRemovingExpired = context.repeat(HOUSEKEEPING_INTERVAL_MILLISECONDS, removeExpired);
 	return {
 		getOpen,
-		isComplete: () => known.size > 0 && known.values().every(entry => entry.open !== undefined),
-		find: id => known.get(id)?.open?.link,
-		learn,
+		isComplete: () => knownHosts.size > 0 && knownHosts.values().every(entry => entry.open !== undefined),
+		find: id => knownHosts.get(id)?.open?.link,
+		addDiscovered,
 		addSeeds,
 		notifyAll(method, parameters) {
 			for (const open of getOpen()) {
@@ -209,9 +209,9 @@
 			}
 		},
 		close() {
-			stopForgetting();
+			stopRemovingExpired();
 			stopReporting();
-			for (const entry of known.values()) {
+			for (const entry of knownHosts.values()) {
 				entry.open = undefined;
 				entry.dialer.close();
 			}
--- a/packages/wagtailroute-fleet/src/control.ts
+++ b/packages/wagtailroute-fleet/src/control.ts
@@ -29,7 +29,7 @@
 import {createInstanceStore} from './instance-store.ts';
 import {startControlGroup} from './group.ts';
 import {
-	type LeaderCalls,
+	type LeaderCallOptions,
 	type LeaderFailure,
 	proposeToLeader,
 	readFromLeader,
@@ -167,7 +167,7 @@
 			}
 
 			if (hello.control !== undefined) {
-				links.learn([hello.control]);
+				links.addDiscovered([hello.control]);
 			}
 
 			return {
@@ -184,7 +184,7 @@
 			tellStandbys();
 		},
 		[messages.METHODS.controls](controls: readonly ControlHost[]) {
-			links.learn(controls);
+			links.addDiscovered(controls);
 		},
 		[messages.METHODS.group](message: messages.GroupMessage) {
 			group.receive(message);
@@ -212,7 +212,7 @@
 	});
 	const links = startControlLinks(context, {
 		seeds: settings.seeds,
-		self: settings.hostId,
+		hostId: settings.hostId,
 		failureDomain: settings.failureDomain,
 		createHello: () => ({id: settings.hostId, failureDomain: settings.failureDomain, control: self}),
 		methods,
@@ -270,7 +270,7 @@
 			log.error('Message could not be handled.', {error: error.stack});
 		},
 	});
-	const calls: LeaderCalls = {self: settings.hostId, group, findLink: links.find};
+	const calls: LeaderCallOptions = {hostId: settings.hostId, group, findLink: links.find};
 	context.metrics.registerGauge('entry_hosts', entries.count);
 	context.metrics.registerGauge('entry_hosts_absent', () => absences.list().length);
 	context.metrics.registerGauge('instances', registry.countInstances);
--- /dev/null
+++ b/packages/wagtailroute-fleet/src/dispatch-client.ts
@@ -0,0 +1,507 @@
+/**
+How an entry host comes to an upstream for each attempt: it asks the service's dispatcher on a control host, the next one when that
+does not answer, one on an entry host as long as no control host does, and the one that it has itself when nobody else answers.
+
+Asking only itself, a host sees only its own requests; it starts from the doubts that dispatchers told it. It costs slots that
+are taken by others' requests and shed, never a wrong answer.
+*/
+import type * as core from 'wagtailroute-core';
+import * as dispatch from 'wagtailroute-dispatch';
+import type * as link from 'wagtailroute-link';
+import {
+	SLOT_REQUEST_TIMEOUT_MILLISECONDS,
+	ASKER_EXPIRY_MILLISECONDS,
+	MAX_FAILED_DISPATCHERS,
+	PROBE_TIMEOUT_MILLISECONDS,
+	UNKNOWN_SERVICE_RETRY_MILLISECONDS,
+} from './constants.ts';
+import {type Advertisements, type Closure, createAdvertisements} from './advertisements.ts';
+import {
+	type AskOrigin,
+	createAskId,
+	createOrganisationNumbers,
+	createRouteNumbers,
+	getAskedRoute,
+	getAskNumber,
+	type OrganisationTelling,
+	restoreAnswer,
+	type RouteTelling,
+	type ShortAdvertisements,
+	type ShortAnswer,
+	type ShortAsk,
+	shortenAsk,
+	type ShortEnd,
+} from './ask-wire.ts';
+import type {FleetContext} from './context.ts';
+import type {LinkedHost} from './control-links.ts';
+import {createDispatcherFinder, type DispatcherFinder} from './dispatcher-finder.ts';
+import type {Dispatching} from './dispatching.ts';
+import {type AskAnswer, type DecidedAnswer, METHODS} from './messages.ts';
+import {createHeldSlots, type HeldSlot, type HeldSlots} from './held-slots.ts';
+import type {EntrySettings} from './settings.ts';
+import {createRecentUses, type RecentUses} from './recent-uses.ts';
+import type {Standbys} from './standbys.ts';
+
+/**
+The final answer to an ask.
+*/
+export type FinalAnswer =
+	| (Extract<AskAnswer, {kind: 'grant'}> & {
+		/**
+		Names the place, for its end.
+		*/
+		readonly id: dispatch.AskId;
+	})
+	| Extract<AskAnswer, {kind: 'refuse'}>;
+
+/**
+A request that waits for its upstream.
+*/
+export type SlotRequestHandle = {
+	readonly answer: Promise<FinalAnswer>;
+	/**
+	Gives the request up; a place that comes all the same is given back.
+	*/
+	readonly cancel: () => void;
+};
+
+/**
+An ask before it has its name and its host.
+*/
+export type SlotRequestDraft = Omit<dispatch.Ask, 'id' | 'host' | 'failureDomain'>;
+
+/**
+Asks for upstreams.
+*/
+export type DispatchClient = {
+	readonly requestSlot: (draft: SlotRequestDraft) => SlotRequestHandle;
+	/**
+	A granted request has ended.
+	*/
+	readonly reportEnd: (id: dispatch.AskId, ending: dispatch.Ending, milliseconds: number) => void;
+	/**
+	The answer to a granted request advertises something about its upstream.
+	*/
+	readonly recordAdvertisements: (id: dispatch.AskId, advertisements: readonly core.Advertisement[]) => void;
+	/**
+	Says whether this host sends nothing to an upstream now, by what the upstream's answers told it.
+	*/
+	readonly isClosed: (upstream: core.UpstreamId) => boolean;
+	readonly handleAnswer: (requestNumber: number, answer: ShortAnswer) => void;
+	/**
+	Says whether the dispatcher at the other end of a link still counts this host among those that ask it.
+	*/
+	readonly isRecentlyAsked: (dispatcherLink: link.Link) => boolean;
+	/**
+	The link to a dispatcher is lost.
+	*/
+	readonly handleDispatcherLost: (dispatcher: LinkedHost) => void;
+};
+
+/**
+What asking needs.
+*/
+export type DispatchClientOptions = {
+	readonly settings: Pick<EntrySettings, 'hostId' | 'failureDomain' | 'allotments'>;
+	/**
+	Returns how many entry hosts serve callers, 0 when it is not known.
+	*/
+	readonly countEntryHosts: () => number;
+	readonly getControlHosts: () => readonly LinkedHost[];
+	readonly standbys: Pick<Standbys, 'getOpen' | 'open' | 'waitForOne' | 'isOwnHostStandby'>;
+	/**
+	The dispatcher of this host. What it decides later comes to `hearAnswer`.
+	*/
+	readonly ownDispatcher: Pick<Dispatching, 'ask' | 'cancel' | 'end' | 'recordAdvertisements' | 'applyUpdates' | 'takeOver'>;
+	readonly isRetired: (upstream: core.UpstreamId) => boolean;
+	/**
+	Returns the milliseconds for which messages may wait behind large bodies on this host's own link.
+	*/
+	readonly getLinkDelay: () => number;
+};
+
+type PendingSlotRequest = {
+	request: dispatch.Ask;
+	requestedAt: number;
+	/**
+	Dispatchers that did not answer.
+	*/
+	failedDispatchers: number;
+	/**
+	The dispatcher has said that it waits for a slot.
+	*/
+	isWaiting?: boolean;
+	readonly resolve: (answer: FinalAnswer) => void;
+	/**
+	The dispatcher that was asked; absent for this host's own.
+	*/
+	dispatcher?: LinkedHost;
+};
+
+/**
+Creates the asking of a host.
+*/
+export function createDispatchClient(context: FleetContext, options: DispatchClientOptions): DispatchClient {
+	return new HostDispatchClient(context, options);
+}
+
+class HostDispatchClient implements DispatchClient {
+	readonly #context: FleetContext;
+	readonly #options: DispatchClientOptions;
+	readonly #pending = new Map<dispatch.AskId, PendingSlotRequest>();
+	readonly #heldSlots: HeldSlots;
+	readonly #advertisements: Advertisements;
+	readonly #recentUses: RecentUses;
+	readonly #finder: DispatcherFinder;
+	readonly #routeNumbers = createRouteNumbers();
+	readonly #organisationNumbers = createOrganisationNumbers();
+	readonly #lastRequestAt = new WeakMap<link.Link, number>();
+	#lastRequestNumber = 0;
+	#isProbing = false;
+
+	constructor(context: FleetContext, options: DispatchClientOptions) {
+		this.#context = context;
+		this.#options = options;
+		this.#advertisements = createAdvertisements(options.settings.hostId, context.now);
+		this.#recentUses = createRecentUses(context.now, options.settings.allotments.windowMilliseconds);
+		this.#heldSlots = createHeldSlots(context.now, {
+			advertisements: this.#advertisements, recentUses: this.#recentUses, countEntryHosts: options.countEntryHosts,
+		});
+		this.#finder = createDispatcherFinder(context, {
+			hostId: options.settings.hostId,
+			getControlHosts: options.getControlHosts,
+			getStandbys: options.standbys.getOpen,
+			isOwnHostStandby: options.standbys.isOwnHostStandby,
+		});
+		context.metrics.registerGauge('requests_held', this.#heldSlots.count);
+	}
+
+	requestSlot(draft: SlotRequestDraft): SlotRequestHandle {
+		const {hostId, failureDomain} = this.#options.settings;
+		const request: dispatch.Ask = {
+			...draft, id: this.#createId(), host: hostId, failureDomain,
+		};
+		const {promise, resolve} = Promise.withResolvers<FinalAnswer>();
+		const pending: PendingSlotRequest = {
+			request, requestedAt: this.#context.now(), failedDispatchers: 0, resolve,
+		};
+		this.#pending.set(request.id, pending);
+		void this.#send(pending);
+		return {
+			answer: promise,
+			cancel: () => {
+				this.#cancel(pending);
+			},
+		};
+	}
+
+	reportEnd(id: dispatch.AskId, ending: dispatch.Ending, milliseconds: number): void {
+		const held = this.#heldSlots.remove(id);
+		if (held === undefined) {
+			return;
+		}
+
+		if (ending === 'success') {
+			this.#advertisements.liftRateLimit(held.request.service, held.upstream, held.grantedAt);
+		}
+
+		this.#notifyEnd(held, ending, milliseconds);
+	}
+
+	recordAdvertisements(id: dispatch.AskId, advertisements: readonly core.Advertisement[]): void {
+		const held = this.#heldSlots.find(id);
+		if (held === undefined) {
+			return;
+		}
+
+		const {request, upstream, dispatcher} = held;
+		for (const advertisement of advertisements) {
+			this.#advertisements.record(request.service, upstream, advertisement);
+		}
+
+		if (dispatcher === undefined) {
+			this.#options.ownDispatcher.recordAdvertisements(id, advertisements);
+		} else {
+			dispatcher.link.notify(METHODS.advertised, [getAskNumber(id), advertisements] satisfies ShortAdvertisements);
+		}
+	}
+
+	isClosed(upstream: core.UpstreamId): boolean {
+		return this.#advertisements.findClosure(upstream) !== undefined;
+	}
+
+	handleAnswer(requestNumber: number, answer: ShortAnswer): void {
+		const pending = this.#pending.get(createAskId(this.#options.settings.hostId, requestNumber));
+		const restored = restoreAnswer(answer);
+		if (pending !== undefined && (restored.kind === 'grant' || restored.kind === 'refuse')) {
+			this.#settle(pending, restored);
+		}
+	}
+
+	isRecentlyAsked(dispatcherLink: link.Link): boolean {
+		return this.#context.now() - (this.#lastRequestAt.get(dispatcherLink) ?? -Infinity) < ASKER_EXPIRY_MILLISECONDS + SLOT_REQUEST_TIMEOUT_MILLISECONDS;
+	}
+
+	handleDispatcherLost(lostDispatcher: LinkedHost): void {
+		this.#options.standbys.open();
+		const affected = this.#pending.values().filter(({dispatcher}) => dispatcher?.link === lostDispatcher.link).toArray();
+		this.#retryElsewhere(affected);
+	}
+
+	#createId(): dispatch.AskId {
+		this.#lastRequestNumber++;
+		return createAskId(this.#options.settings.hostId, this.#lastRequestNumber);
+	}
+
+	#shorten(dispatcherLink: link.Link, request: dispatch.Ask): ShortAsk {
+		return shortenAsk(request, this.#registerOrigin(dispatcherLink, request));
+	}
+
+	#registerOrigin(dispatcherLink: link.Link, request: dispatch.Ask): AskOrigin {
+		const route = getAskedRoute(request);
+		const {number, isNew} = this.#routeNumbers.number(dispatcherLink, route);
+		if (isNew) {
+			dispatcherLink.notify(METHODS.route, [number, route] satisfies RouteTelling);
+		}
+
+		return request.organisation === undefined ? number : [number, this.#registerOrganisation(dispatcherLink, request.organisation)];
+	}
+
+	#registerOrganisation(dispatcherLink: link.Link, organisation: core.Organisation): number {
+		const {number, isNew} = this.#organisationNumbers.number(dispatcherLink, organisation);
+		if (isNew) {
+			dispatcherLink.notify(METHODS.organisation, [number, organisation] satisfies OrganisationTelling);
+		}
+
+		return number;
+	}
+
+	async #send(pending: PendingSlotRequest): Promise<void> {
+		const {request} = pending;
+		const dispatcher = pending.failedDispatchers < MAX_FAILED_DISPATCHERS
+			? this.#finder.find(request.service) ?? await this.#waitForStandby(request.service)
+			: undefined;
+		// Given up while the first standby was reached.
+		if (pending.request !== request || !this.#pending.has(request.id)) {
+			return;
+		}
+
+		if (dispatcher === undefined) {
+			this.#askOwnDispatcher(pending);
+			return;
+		}
+
+		pending.dispatcher = dispatcher;
+		this.#lastRequestAt.set(dispatcher.link, this.#context.now());
+		this.#heldSlots.reportTo(request.service, dispatcher);
+		const answer = await dispatcher.link.call(METHODS.ask, this.#shorten(dispatcher.link, request), SLOT_REQUEST_TIMEOUT_MILLISECONDS + this.#options.getLinkDelay());
+		// Otherwise the ask was taken elsewhere already.
+		if (pending.request !== request || pending.dispatcher !== dispatcher) {
+			return;
+		}
+
+		if (answer.isOk()) {
+			this.#handleFirstAnswer(pending, restoreAnswer(answer.value as ShortAnswer));
+		} else {
+			this.#abandonDispatcher(dispatcher, answer.error.kind);
+		}
+	}
+
+	/**
+	Right after the loss of the control hosts no standby is linked yet: it takes some milliseconds, which is less than a wrong choice costs.
+	*/
+	async #waitForStandby(service: core.ServiceName): Promise<LinkedHost | undefined> {
+		const {standbys} = this.#options;
+		if (standbys.isOwnHostStandby()) {
+			return undefined;
+		}
+
+		standbys.open();
+		await standbys.waitForOne();
+		return this.#finder.find(service);
+	}
+
+	/**
+	Takes the first answer to an ask.
+	*/
+	#handleFirstAnswer(pending: PendingSlotRequest, answer: AskAnswer): void {
+		if (answer.kind === 'wait') {
+			pending.isWaiting = true;
+		} else if (answer.kind === 'elsewhere') {
+			this.#finder.markUnresponsive(pending.dispatcher!);
+			this.#retryElsewhere([pending]);
+		} else {
+			this.#settle(pending, answer);
+		}
+	}
+
+	/**
+	A dispatcher did not answer an ask in time. What was asked there meanwhile would run into the same limit, one after the other; what
+	waits there for a slot is left if nothing at all was heard: its dispatcher may stand still, and would call nobody.
+	*/
+	#abandonDispatcher(dispatcher: LinkedHost, reason: string): void {
+		this.#finder.markUnresponsive(dispatcher);
+		const isSilent = dispatcher.link.getSilence() >= SLOT_REQUEST_TIMEOUT_MILLISECONDS;
+		const affected = this.#pending.values()
+			.filter(pending => pending.dispatcher === dispatcher && (isSilent || !pending.isWaiting))
+			.toArray();
+		this.#context.logs('dispatch').warn('Dispatcher left.', {
+			dispatcher: dispatcher.host.id, reason, isSilent, asks: affected.length,
+		});
+		this.#context.metrics.count('dispatchers_left', {reason});
+		this.#options.standbys.open();
+		void this.#probeControlHosts();
+		for (const pending of affected) {
+			// Should it answer after all, the place is given back.
+			notifyCancelled(dispatcher.link, pending.request);
+		}
+
+		this.#retryElsewhere(affected);
+	}
+
+	/**
+	Finds out at once which control hosts answer. One by one, asks would run into the time limit at each of five that lost power together.
+	*/
+	async #probeControlHosts(): Promise<void> {
+		if (this.#isProbing) {
+			return;
+		}
+
+		this.#isProbing = true;
+		await Promise.all(this.#finder.listResponsiveControlHosts().map(async control => {
+			const answer = await control.link.call(METHODS.probe, {}, PROBE_TIMEOUT_MILLISECONDS + this.#options.getLinkDelay());
+			if (answer.isErr() && answer.error.kind === 'call-timeout') {
+				this.#abandonDispatcher(control, 'probe');
+			}
+		}));
+		this.#isProbing = false;
+	}
+
+	#retryElsewhere(requests: readonly PendingSlotRequest[]): void {
+		for (const pending of requests) {
+			this.#pending.delete(pending.request.id);
+			pending.failedDispatchers++;
+			this.#retry(pending);
+		}
+	}
+
+	#askOwnDispatcher(pending: PendingSlotRequest): void {
+		pending.dispatcher = undefined;
+		const {request} = pending;
+		const reason = pending.failedDispatchers === 0 ? 'no-dispatcher' : 'no-answer';
+		const remainingMilliseconds = request.remainingMilliseconds - (this.#context.now() - pending.requestedAt);
+		this.#context.metrics.count('asks_own', {reason});
+		this.#context.logs('dispatch').warn('Own dispatcher asked.', {id: request.id, service: request.service, reason});
+		this.#options.ownDispatcher.applyUpdates({service: request.service, updates: this.#advertisements.list(request.service)});
+		const uses = this.#recentUses.takeUntold(this.#options.ownDispatcher);
+		if (uses !== undefined) {
+			this.#options.ownDispatcher.takeOver(this.#options.settings.hostId, uses);
+		}
+
+		const answer = this.#options.ownDispatcher.ask({...request, remainingMilliseconds});
+		this.#handleFirstAnswer(pending, answer.kind === 'elsewhere' ? NO_UPSTREAM_REFUSAL : answer);
+	}
+
+	#settle(pending: PendingSlotRequest, answer: DecidedAnswer): void {
+		const {request, dispatcher} = pending;
+		if (!this.#pending.delete(request.id)) {
+			// Given up meanwhile, or granted twice.
+			if (answer.kind === 'grant') {
+				this.#notifyEnd({
+					request, upstream: answer.upstream, grantedAt: 0, dispatcher,
+				}, 'unused', 0);
+			}
+
+			return;
+		}
+
+		if (answer.kind === 'grant') {
+			const held: HeldSlot = {
+				request, upstream: answer.upstream, grantedAt: this.#context.now(), dispatcher,
+			};
+			const cause = this.#options.isRetired(answer.upstream) ? 'retired' : this.#advertisements.findClosure(answer.upstream);
+			if (cause !== undefined) {
+				// The dispatcher has not heard of it yet; this host is bound by it.
+				this.#giveBack(held, cause);
+				this.#retry(pending, [answer.upstream]);
+				return;
+			}
+
+			this.#heldSlots.add(held);
+			this.#recordUse(held);
+		}
+
+		pending.resolve(answer.kind === 'grant' ? {...answer, id: request.id} : answer);
+	}
+
+	/**
+	Only the first place of a request takes from its organisation's allotment.
+	*/
+	#recordUse({request, dispatcher}: HeldSlot): void {
+		const {service, organisation} = request;
+		if (organisation !== undefined && dispatch.isFirst(request)) {
+			this.#recentUses.record({service, organisation, by: dispatcher?.link ?? this.#options.ownDispatcher});
+		}
+	}
+
+	#giveBack(held: HeldSlot, cause: Closure | 'retired'): void {
+		const {request, upstream} = held;
+		this.#context.metrics.count('places_given_back', {cause});
+		this.#context.logs('dispatch').info('Place given back.', {
+			id: request.id, service: request.service, upstream, cause,
+		});
+		this.#notifyEnd(held, 'unused', 0);
+	}
+
+	#retry(pending: PendingSlotRequest, excluded: readonly core.UpstreamId[] = []): void {
+		const now = this.#context.now();
+		const {request} = pending;
+		pending.request = {
+			...request,
+			id: this.#createId(),
+			isAgain: true,
+			excluded: [...request.excluded, ...excluded],
+			remainingMilliseconds: request.remainingMilliseconds - (now - pending.requestedAt),
+			waitedMilliseconds: request.waitedMilliseconds + (now - pending.requestedAt),
+		};
+		pending.requestedAt = now;
+		pending.isWaiting = false;
+		this.#pending.set(pending.request.id, pending);
+		void this.#send(pending);
+	}
+
+	#cancel(pending: PendingSlotRequest): void {
+		if (!this.#pending.delete(pending.request.id)) {
+			return;
+		}
+
+		if (pending.dispatcher === undefined) {
+			this.#options.ownDispatcher.cancel(pending.request.id);
+		} else {
+			notifyCancelled(pending.dispatcher.link, pending.request);
+		}
+
+		pending.resolve({kind: 'refuse', reason: 'no-slot-in-time', retryAfterMilliseconds: 0});
+	}
+
+	#notifyEnd({request, dispatcher}: HeldSlot, ending: dispatch.Ending, milliseconds: number): void {
+		if (dispatcher === undefined) {
+			this.#options.ownDispatcher.end({id: request.id, ending, milliseconds});
+		} else {
+			dispatcher.link.notify(METHODS.end, [getAskNumber(request.id), ending, Math.round(milliseconds)] satisfies ShortEnd);
+		}
+	}
+}
+
+/**
+The answer when not even this host knows an upstream of the service.
+*/
+const NO_UPSTREAM_REFUSAL: DecidedAnswer = {kind: 'refuse', reason: 'no-upstream', retryAfterMilliseconds: UNKNOWN_SERVICE_RETRY_MILLISECONDS};
+
+/**
+Tells a dispatcher that an ask is given up, wherever it is: waiting, or granted on its way back.
+*/
+function notifyCancelled(dispatcherLink: link.Link, request: dispatch.Ask): void {
+	dispatcherLink.notify(METHODS.cancel, [getAskNumber(request.id)]);
+	dispatcherLink.notify(METHODS.end, [getAskNumber(request.id), 'unused', 0] satisfies ShortEnd);
+}
--- a/packages/wagtailroute-fleet/src/dispatch-order.ts
+++ b/packages/wagtailroute-fleet/src/dispatch-order.ts
@@ -16,21 +16,21 @@
 		.map(({host}) => host);
 }
 
-const scores = new Map<string, number>();
-const SCORES_KEPT = 100_000;
+const cachedScores = new Map<string, number>();
+const MAX_CACHED_SCORES = 100_000;
 
 function getScore(service: core.ServiceName, host: core.HostId): number {
 	const key = `${service} ${host}`;
-	const known = scores.get(key);
+	const known = cachedScores.get(key);
 	if (known !== undefined) {
 		return known;
 	}
 
 	const score = crypto.createHash('sha1').update(key).digest().readUInt32BE();
-	if (scores.size >= SCORES_KEPT) {
-		scores.clear();
+	if (cachedScores.size >= MAX_CACHED_SCORES) {
+		cachedScores.clear();
 	}
 
-	scores.set(key, score);
+	cachedScores.set(key, score);
 	return score;
 }
--- a/packages/wagtailroute-fleet/src/dispatcher-finder.ts
+++ b/packages/wagtailroute-fleet/src/dispatcher-finder.ts
@@ -7,9 +7,9 @@
 */
 import type * as core from 'wagtailroute-core';
 import type * as link from 'wagtailroute-link';
-import {SILENT_DISPATCHER_MILLISECONDS, SLOW_DISPATCHER_MILLISECONDS} from './constants.ts';
+import {SILENT_DISPATCHER_MILLISECONDS, UNRESPONSIVE_DISPATCHER_MILLISECONDS} from './constants.ts';
 import type {FleetContext} from './context.ts';
-import type {OpenControl} from './control-links.ts';
+import type {LinkedHost} from './control-links.ts';
 import {orderDispatchers} from './dispatch-order.ts';
 
 /**
@@ -19,62 +19,62 @@
 	/**
 	Returns the dispatcher to ask for a service; none when it is this host itself.
 	*/
-	readonly find: (service: core.ServiceName) => OpenControl | undefined;
+	readonly find: (service: core.ServiceName) => LinkedHost | undefined;
 	/**
 	A dispatcher did not answer in time: it is passed over for a while.
 	*/
-	readonly noteSlow: (dispatcher: OpenControl) => void;
+	readonly markUnresponsive: (dispatcher: LinkedHost) => void;
 	/**
 	Returns the control hosts that nothing is known against.
 	*/
-	readonly listAnswering: () => readonly OpenControl[];
+	readonly listResponsiveControlHosts: () => readonly LinkedHost[];
 };
 
 /**
 Whom a finder chooses from.
 */
-export type FinderPlan = {
-	readonly self: core.HostId;
-	readonly getControls: () => readonly OpenControl[];
-	readonly getStandbys: () => readonly OpenControl[];
+export type DispatcherFinderOptions = {
+	readonly hostId: core.HostId;
+	readonly getControlHosts: () => readonly LinkedHost[];
+	readonly getStandbys: () => readonly LinkedHost[];
 	/**
 	This host is told to all as a standby.
 	*/
-	readonly isStandby: () => boolean;
+	readonly isOwnHostStandby: () => boolean;
 };
 
 /**
 Creates a finder that knows nothing against any dispatcher.
 */
-export function createDispatcherFinder({now}: Pick<FleetContext, 'now'>, plan: FinderPlan): DispatcherFinder {
-	const slowSince = new WeakMap<link.Link, number>();
-	const isAnswering = ({link}: OpenControl) => {
-		const since = slowSince.get(link) ?? -Infinity;
+export function createDispatcherFinder({now}: Pick<FleetContext, 'now'>, options: DispatcherFinderOptions): DispatcherFinder {
+	const unresponsiveSince = new WeakMap<link.Link, number>();
+	const isResponsive = ({link}: LinkedHost) => {
+		const since = unresponsiveSince.get(link) ?? -Infinity;
 		const heardAt = now() - link.getSilence();
-		return now() - since >= SLOW_DISPATCHER_MILLISECONDS && heardAt > since;
+		return now() - since >= UNRESPONSIVE_DISPATCHER_MILLISECONDS && heardAt > since;
 	};
 
-	const findControl = (service: core.ServiceName) => {
-		const open = plan.getControls();
-		const answering = open.filter(control => isAnswering(control));
+	const findControlHost = (service: core.ServiceName) => {
+		const open = options.getControlHosts();
+		const responsive = open.filter(control => isResponsive(control));
 		// Most did not answer in time: the others will not either, and each request that tries loses a quarter of a second.
-		const candidates = answering.length * 2 < open.length ? [] : answering;
+		const candidates = responsive.length * 2 < open.length ? [] : responsive;
 		return orderDispatchers(service, candidates, control => control.host.id)
 			.find(control => control.link.getSilence() < SILENT_DISPATCHER_MILLISECONDS);
 	};
 
 	const findStandby = (service: core.ServiceName) => {
-		const standbys = plan.getStandbys().filter(standby => isAnswering(standby));
-		const ids = [...standbys.map(standby => standby.host.id), ...plan.isStandby() ? [plan.self] : []];
+		const standbys = options.getStandbys().filter(standby => isResponsive(standby));
+		const ids = [...standbys.map(standby => standby.host.id), ...options.isOwnHostStandby() ? [options.hostId] : []];
 		const first = orderDispatchers(service, ids, id => id)[0];
 		return standbys.find(standby => standby.host.id === first);
 	};
 
 	return {
-		find: service => findControl(service) ?? findStandby(service),
-		noteSlow(dispatcher) {
-			slowSince.set(dispatcher.link, now());
+		find: service => findControlHost(service) ?? findStandby(service),
+		markUnresponsive(dispatcher) {
+			unresponsiveSince.set(dispatcher.link, now());
 		},
-		listAnswering: () => plan.getControls().filter(control => isAnswering(control)),
+		listResponsiveControlHosts: () => options.getControlHosts().filter(control => isResponsive(control)),
 	};
 }
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -11,16 +11,16 @@
 import {createAskMethods} from './ask-methods.ts';
 import {startAllotting} from './allotting.ts';
 import {createAskers} from './askers.ts';
-import {createAsking} from './asking.ts';
-import {createBeginning} from './beginning.ts';
+import {createDispatchClient} from './dispatch-client.ts';
+import {createStartupGate} from './startup-gate.ts';
 import {
-	LOAD_STEP,
+	MIN_REPORTED_LOAD_CHANGE,
 	MILLISECONDS_PER_SECOND,
-	MOST_LINK_DELAY_MILLISECONDS,
-	RETAIN_MILLISECONDS,
+	MAX_LINK_DELAY_MILLISECONDS,
+	CONNECTION_PRUNE_DELAY_MILLISECONDS,
 	STANDBY_EXTRA_RESENDS,
-	UNKNOWN_ENTRY_HOSTS,
-	UPSTREAM_CONNECT_MILLISECONDS,
+	ASSUMED_ENTRY_HOSTS,
+	UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 import {startControlLinks} from './control-links.ts';
@@ -32,7 +32,7 @@
 } from './directory-table.ts';
 import {sendUpdates, startDispatching} from './dispatching.ts';
 import {createHostCount} from './host-count.ts';
-import {createKnowledge} from './knowledge.ts';
+import {createFleetView} from './fleet-view.ts';
 import {startLoadMeter} from './load.ts';
 import {createMessageOrder} from './message-order.ts';
 import * as messages from './messages.ts';
@@ -73,119 +73,119 @@
 	let isStopping = false;
 	// Opened below, when everything that it serves with is there.
 	const opened: {traffic?: proxy.TrafficServer} = {};
-	const knowledge = createKnowledge(context, {
+	const fleetView = createFleetView(context, {
 		failureDomain: settings.failureDomain,
-		getOpen: () => links.getOpen(),
+		getControlHosts: () => controlLinks.getOpen(),
 		onGeneration({organisations}) {
 			allotting.setOrganisations(organisations);
-			tellState();
-			beginning.look();
+			reportState();
+			startupGate.check();
 		},
-		onInstances(service) {
-			own.refresh(service);
-			retainLater();
+		onInstancesChanged(service) {
+			ownDispatcher.refresh(service);
+			scheduleConnectionPruning();
 		},
 	});
 	/**
 	Closes the connections to addresses that no instance has any more; otherwise each address that was ever used would keep its pool.
 	*/
-	const retainLater = utils.coalesce(context.schedule, RETAIN_MILLISECONDS, () => {
-		opened.traffic?.connections.retain(knowledge.listAddresses());
+	const scheduleConnectionPruning = utils.coalesce(context.schedule, CONNECTION_PRUNE_DELAY_MILLISECONDS, () => {
+		opened.traffic?.connections.retain(fleetView.listAddresses());
 	});
-	const beginning = createBeginning(context, {
-		hasGeneration: () => knowledge.getGeneration() !== undefined,
-		isLinked: () => links.isComplete(),
+	const startupGate = createStartupGate(context, {
+		hasGeneration: () => fleetView.getGeneration() !== undefined,
+		areControlLinksOpen: () => controlLinks.isComplete(),
 	});
-	const isReady = () => !isStopping && knowledge.getGeneration() !== undefined;
+	const isReady = () => !isStopping && fleetView.getGeneration() !== undefined;
 	const getState = (): messages.EntryState => ({
 		trafficAddress: settings.trafficAddress, linkAddress: settings.linkAddress, isReady: isReady(), load: meter.getLoad(),
 	});
-	let told: messages.EntryState | undefined;
-	const tellState = () => {
+	let reportedState: messages.EntryState | undefined;
+	const reportState = () => {
 		const state = getState();
-		const isSame = state.isReady === told?.isReady && Math.abs(state.load - told.load) < LOAD_STEP;
+		const isSame = state.isReady === reportedState?.isReady && Math.abs(state.load - reportedState.load) < MIN_REPORTED_LOAD_CHANGE;
 		if (isSame) {
 			return;
 		}
 
-		told = state;
-		links.notifyAll(messages.METHODS.state, state);
+		reportedState = state;
+		controlLinks.notifyAll(messages.METHODS.state, state);
 	};
 
 	const meter = startLoadMeter(context, {
 		getBusyMilliseconds: () => performance.eventLoopUtilization().active,
 		getBytes: () => opened.traffic?.getBytes() ?? 0,
 		linkBytesPerSecond: settings.linkBytesPerSecond,
-		onMeasured: tellState,
+		onMeasured: reportState,
 	});
 
-	const findControl = (from: link.Link) => links.getOpen().find(open => open.link === from);
+	const findControlHost = (from: link.Link) => controlLinks.getOpen().find(open => open.link === from);
 	let directory = EMPTY_TABLE;
-	const learnDirectory = (table: DirectoryTable) => {
+	const applyDirectory = (table: DirectoryTable) => {
 		// An empty one comes from a control host that has just started.
 		directory = Object.keys(table.addresses).length > 0 ? table : directory;
 	};
 
 	const hostCount = createHostCount(context.now, () => countAddresses(directory));
-	const requestShare = createRequestShare(hostCount.get, UNKNOWN_ENTRY_HOSTS);
+	const requestShare = createRequestShare(hostCount.get, ASSUMED_ENTRY_HOSTS);
 	const allotting = startAllotting(context, {
 		settings: settings.allotments,
 		requestShare,
 		isTold: false,
 		tellDispatchers(method, parameters) {
-			links.notifyAll(method, parameters);
+			controlLinks.notifyAll(method, parameters);
 			standbys.notifyAll(method, parameters);
 		},
 	});
 	const askers = createAskers();
-	const own = startDispatching(context, {
+	const ownDispatcher = startDispatching(context, {
 		settings: {...settings, budget: {...settings.budget, extra: STANDBY_EXTRA_RESENDS}},
 		allotting,
 		requestShare,
 		isTold: false,
 		onEntryHosts: hostCount.record,
-		listCandidates: knowledge.listCandidates,
+		listCandidates: fleetView.listCandidates,
 		listStandbys: () => [],
 		notify(host, method, parameters) {
 			if (host !== settings.hostId) {
 				askers.find(host)?.notify(method, parameters);
 			} else if (method === messages.METHODS.answer) {
-				asking.hearAnswer(...parameters as [number, ShortAnswer]);
+				dispatchClient.handleAnswer(...parameters as [number, ShortAnswer]);
 			}
 		},
 		tellControls(method, parameters) {
 			// What one host alone holds against an upstream may be its own path's fault.
 			if (askers.count() > 0) {
-				links.notifyAll(method, parameters);
+				controlLinks.notifyAll(method, parameters);
 			}
 		},
 	});
 	const methods: link.LinkMethods = new Map<string, link.LinkMethod>(Object.entries({
 		[messages.METHODS.controls](controls: readonly ControlHost[]) {
-			links.learn(controls);
+			controlLinks.addDiscovered(controls);
 		},
 		[messages.METHODS.generationVersion]({version}: {version: number}, from: link.Link) {
-			const control = findControl(from);
+			const control = findControlHost(from);
 			if (control !== undefined) {
-				knowledge.hearVersion(control, version);
+				fleetView.recordVersion(control, version);
 			}
 		},
-		[messages.METHODS.instancesChanged]: knowledge.hearInstances,
+		[messages.METHODS.instancesChanged]: fleetView.applyInstances,
 		[messages.METHODS.retired]({retirements}: Pick<messages.InstanceNews, 'retirements'>) {
-			knowledge.hearRetirements(retirements);
+			fleetView.applyRetirements(retirements);
 		},
 		[messages.METHODS.answer]([ask, answer]: [number, ShortAnswer]) {
-			asking.hearAnswer(ask, answer);
+			dispatchClient.handleAnswer(ask, answer);
 		},
-		[messages.METHODS.updates]: own.applyUpdates,
+		[messages.METHODS.updates]: ownDispatcher.applyUpdates,
 		[messages.METHODS.use]: allotting.hearUse,
-		[messages.METHODS.believe]: own.hearBelief,
-		[messages.METHODS.beliefNews]: own.hearBeliefNews,
+		[messages.METHODS.believe]: ownDispatcher.hearBelief,
+		[messages.METHODS.beliefNews]: ownDispatcher.hearBeliefNews,
 		[messages.METHODS.standbys](hosts: readonly StandbyHost[]) {
-			standbys.learn(hosts);
+			standbys.setHosts(hosts);
 		},
-		[messages.METHODS.directory]: learnDirectory,
-		...createAskMethods(own, askers.findByLink),
+		[messages.METHODS.directory]: applyDirectory,
+		...createAskMethods(ownDispatcher, askers.findByLink),
 		[messages.METHODS.hello]({id, failureDomain}: messages.Hello, from: link.Link) {
 			askers.add({id, failureDomain}, from);
 			return {
@@ -197,49 +197,49 @@
 	const createHello = (): messages.Hello => ({
 		id: settings.hostId, failureDomain: settings.failureDomain, entry: getState(), runningMilliseconds: Math.round(context.now() - startedAt),
 	});
-	const links = startControlLinks(context, {
+	const controlLinks = startControlLinks(context, {
 		seeds: settings.seeds,
-		self: settings.hostId,
+		hostId: settings.hostId,
 		failureDomain: settings.failureDomain,
 		createHello,
 		methods,
-		isAsked: over => asking.isAsked(over),
-		onOpen(control, {version, standbys: toldStandbys, directory: toldDirectory}) {
-			standbys.learn(toldStandbys);
-			learnDirectory(toldDirectory);
+		isRecentlyAsked: dispatcherLink => dispatchClient.isRecentlyAsked(dispatcherLink),
+		onOpen(control, {version, standbys: standbyHosts, directory: directoryTable}) {
+			standbys.setHosts(standbyHosts);
+			applyDirectory(directoryTable);
 			// What changed between the greeting and its answer is told again.
 			control.link.notify(messages.METHODS.state, getState());
 			if (askers.count() > 0) {
 				// The control host was away, and this host dispatched for others meanwhile.
-				control.link.notify(messages.METHODS.beliefs, own.listBeliefs());
-				sendUpdates(control.link, own);
+				control.link.notify(messages.METHODS.beliefs, ownDispatcher.listBeliefs());
+				sendUpdates(control.link, ownDispatcher);
 			}
 
-			knowledge.hearVersion(control, version);
-			knowledge.follow();
-			beginning.look();
+			fleetView.recordVersion(control, version);
+			fleetView.followInstances();
+			startupGate.check();
 		},
 		onLost(control) {
-			knowledge.loseControl(control);
-			asking.loseDispatcher(control);
+			fleetView.handleControlHostLost(control);
+			dispatchClient.handleDispatcherLost(control);
 		},
 	});
 	const standbys = createStandbys(context, {
-		self: settings.hostId,
+		hostId: settings.hostId,
 		createHello,
 		methods,
 		onLost(standby) {
-			asking.loseDispatcher(standby);
+			dispatchClient.handleDispatcherLost(standby);
 		},
 	});
-	const asking = createAsking(context, {
+	const dispatchClient = createDispatchClient(context, {
 		settings,
 		countEntryHosts: hostCount.get,
-		getControls: links.getOpen,
+		getControlHosts: controlLinks.getOpen,
 		standbys,
-		own,
-		isRetired: knowledge.isRetired,
-		getLinkDelay: () => Math.min(MOST_LINK_DELAY_MILLISECONDS, (opened.traffic?.getLargeBytes() ?? 0) * MILLISECONDS_PER_SECOND / settings.linkBytesPerSecond),
+		ownDispatcher,
+		isRetired: fleetView.isRetired,
+		getLinkDelay: () => Math.min(MAX_LINK_DELAY_MILLISECONDS, (opened.traffic?.getLargeBytes() ?? 0) * MILLISECONDS_PER_SECOND / settings.linkBytesPerSecond),
 	});
 	const linkServer = await link.openLinkServer({
 		address: settings.linkAddress,
@@ -257,24 +257,24 @@
 		hostId: settings.hostId,
 		now: context.now,
 		dialect,
-		route: createRouter(context, {knowledge, asking}),
-		routes: beginning,
+		route: createRouter(context, {fleetView, dispatchClient}),
+		routes: startupGate,
 		claim: async () => ({kind: 'refused', failure: proxy.createRequestFailure('idempotency-records-unavailable', 'This fleet keeps no keys.')}),
-		guard: OPEN_GUARD,
+		guard: PERMISSIVE_GUARD,
 		random: context.random,
 		answerReserved(_message, response) {
 			proxy.answerJson(response, 404, {});
 		},
 		isDraining: () => isStopping,
-		connectMilliseconds: UPSTREAM_CONNECT_MILLISECONDS,
+		connectMilliseconds: UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS,
 		paces: proxy.createPaces(settings.linkBytesPerSecond, context.now),
 		note: createNoting(context),
 	});
 	opened.traffic = traffic;
 	context.metrics.registerGauge('requests_in_flight', traffic.getInFlight);
-	context.metrics.registerGauge('generation_version', () => knowledge.getGeneration()?.version ?? 0);
+	context.metrics.registerGauge('generation_version', () => fleetView.getGeneration()?.version ?? 0);
 	log.info('Host started.', {traffic: core.formatAddress(settings.trafficAddress), seeds: settings.seeds.map(seed => seed.id)});
-	const teardown = utils.mergeTeardowns(watchPauses(context), links.close, standbys.teardown, own.teardown, meter.teardown);
+	const teardown = utils.mergeTeardowns(watchPauses(context), controlLinks.close, standbys.teardown, ownDispatcher.teardown, meter.teardown);
 	return {
 		isReady,
 		listAddresses(failureDomain, host) {
@@ -282,10 +282,10 @@
 			const others = lookUp(directory, failureDomain, host).filter(address => address !== self || isReady());
 			return others.length > 0 || !isReady() ? others : [self];
 		},
-		addSeeds: links.addSeeds,
+		addSeeds: controlLinks.addSeeds,
 		async stop() {
 			isStopping = true;
-			tellState();
+			reportState();
 			log.info('Host stopping.', {inFlight: traffic.getInFlight()});
 			const {acceptingMilliseconds, drainingMilliseconds} = divideStop(settings.stopMilliseconds);
 			await timers.setTimeout(acceptingMilliseconds);
@@ -297,7 +297,7 @@
 	};
 }
 
-const OPEN_GUARD: proxy.Guard = {
+const PERMISSIVE_GUARD: proxy.Guard = {
 	getStanding: () => 'free',
 	requestTrial: async () => ({kind: 'free'}),
 	examineLoss: async () => false,
--- a/packages/wagtailroute-fleet/src/knowledge.ts
+++ b/packages/wagtailroute-fleet/src/fleet-view.ts
@@ -11,19 +11,19 @@
 import * as instances from 'wagtailroute-instances';
 import * as utils from 'wagtailroute-utils';
 import {
-	FETCH_AGAIN_MILLISECONDS,
-	FETCH_MILLISECONDS,
-	NEAR_FETCH_MILLISECONDS,
+	FETCH_RETRY_DELAY_MILLISECONDS,
+	FETCH_TIMEOUT_MILLISECONDS,
+	FAR_FETCH_DELAY_MILLISECONDS,
 } from './constants.ts';
 import {toCandidate} from './candidates.ts';
 import type {FleetContext} from './context.ts';
-import type {OpenControl} from './control-links.ts';
+import type {LinkedHost} from './control-links.ts';
 import {type FetchedGeneration, type InstanceNews, METHODS} from './messages.ts';
 
 /**
 The knowledge of an entry host.
 */
-export type Knowledge = {
+export type FleetView = {
 	readonly getGeneration: () => generations.Generation | undefined;
 	readonly findRoute: generations.RouteFinder;
 	readonly findOrganisation: generations.KeyFinder;
@@ -37,24 +37,24 @@
 	/**
 	A control host told the version that it has.
 	*/
-	readonly hearVersion: (control: OpenControl, version: number) => void;
-	readonly hearInstances: (news: InstanceNews) => void;
-	readonly hearRetirements: (retirements: readonly generations.Retirement[]) => void;
+	readonly recordVersion: (control: LinkedHost, version: number) => void;
+	readonly applyInstances: (news: InstanceNews) => void;
+	readonly applyRetirements: (retirements: readonly generations.Retirement[]) => void;
 	/**
 	Follows the instances through one of the open control hosts.
 	*/
-	readonly follow: () => void;
-	readonly loseControl: (control: OpenControl) => void;
+	readonly followInstances: () => void;
+	readonly handleControlHostLost: (control: LinkedHost) => void;
 };
 
 /**
 What the knowledge needs.
 */
-export type KnowledgePlan = {
+export type FleetViewOptions = {
 	readonly failureDomain: core.FailureDomain;
-	readonly getOpen: () => readonly OpenControl[];
+	readonly getControlHosts: () => readonly LinkedHost[];
 	readonly onGeneration: (generation: generations.Generation) => void;
-	readonly onInstances: (service: core.ServiceName) => void;
+	readonly onInstancesChanged: (service: core.ServiceName) => void;
 };
 
 type State = {
@@ -65,36 +65,36 @@
 	/**
 	Highest version heard, by the control hosts that told it.
 	*/
-	wantedVersion: number;
-	holders: Set<core.HostId>;
+	newestVersion: number;
+	newestVersionHolders: Set<core.HostId>;
 	isFetching: boolean;
-	feeder: OpenControl | undefined;
+	instanceSource: LinkedHost | undefined;
 };
 
 /**
 Creates the knowledge of a host that has heard nothing.
 */
-export function createKnowledge(context: FleetContext, plan: KnowledgePlan): Knowledge {
+export function createFleetView(context: FleetContext, options: FleetViewOptions): FleetView {
 	const {now, schedule} = context;
 	const log = context.logs('knowledge');
-	const table = instances.createInstanceTable();
+	const instanceTable = instances.createInstanceTable();
 	const retired = new Map<core.UpstreamId, generations.RetirementState>();
 	const state: State = {
 		generation: undefined,
 		findRoute: () => undefined,
 		findOrganisation: () => undefined,
 		services: new Map(),
-		wantedVersion: 0,
-		holders: new Set(),
+		newestVersion: 0,
+		newestVersionHolders: new Set(),
 		isFetching: false,
-		feeder: undefined,
+		instanceSource: undefined,
 	};
 
 	const getVersion = () => state.generation?.version ?? 0;
 
-	const isNear = (control: OpenControl) => control.host.failureDomain === plan.failureDomain;
+	const isNear = (control: LinkedHost) => control.host.failureDomain === options.failureDomain;
 
-	const putInForce = (generation: generations.Generation) => {
+	const applyGeneration = (generation: generations.Generation) => {
 		// A control host that lags behind may answer: what is in force here never gets older.
 		if (generation.version <= getVersion()) {
 			return;
@@ -105,89 +105,89 @@
 		state.findOrganisation = generations.createKeyFinder(generation);
 		state.services = new Map(generation.services.map(service => [service.name, service]));
 		log.info('Generation in force.', {version: generation.version, routes: generation.routes.length});
-		plan.onGeneration(generation);
+		options.onGeneration(generation);
 	};
 
-	const fetch = async () => {
-		if (state.isFetching || state.wantedVersion <= getVersion()) {
+	const fetchGeneration = async () => {
+		if (state.isFetching || state.newestVersion <= getVersion()) {
 			return;
 		}
 
-		const holders = plan.getOpen().filter(control => state.holders.has(control.host.id));
-		const source = holders.find(control => isNear(control)) ?? holders[Math.floor(context.random() * holders.length)];
+		const openHolders = options.getControlHosts().filter(control => state.newestVersionHolders.has(control.host.id));
+		const source = openHolders.find(control => isNear(control)) ?? openHolders[Math.floor(context.random() * openHolders.length)];
 		if (source === undefined) {
 			return;
 		}
 
 		state.isFetching = true;
-		const answer = await source.link.call(METHODS.fetchGeneration, {}, FETCH_MILLISECONDS);
+		const answer = await source.link.call(METHODS.fetchGeneration, {}, FETCH_TIMEOUT_MILLISECONDS);
 		state.isFetching = false;
 		const {generation = null} = answer.isOk() ? answer.value as FetchedGeneration : {};
 		if (generation !== null) {
-			putInForce(generation);
+			applyGeneration(generation);
 		}
 
-		if (!(state.wantedVersion > getVersion())) {
+		if (!(state.newestVersion > getVersion())) {
 			return;
 		}
 
-		state.holders.delete(source.host.id);
-		schedule(generation === null ? FETCH_AGAIN_MILLISECONDS : 0, () => {
-			void fetch();
+		state.newestVersionHolders.delete(source.host.id);
+		schedule(generation === null ? FETCH_RETRY_DELAY_MILLISECONDS : 0, () => {
+			void fetchGeneration();
 		});
 	};
 
-	const hearRetirements = (retirements: readonly generations.Retirement[]) => {
+	const applyRetirements = (retirements: readonly generations.Retirement[]) => {
 		for (const {upstream, state: retirement} of retirements) {
-			const service = table.get(upstream)?.service;
+			const service = instanceTable.get(upstream)?.service;
 			utils.setBounded(retired, upstream, retirement, generations.RETIREMENTS_KEPT);
-			const isNews = table.retire(upstream, retirement);
-			if (service === undefined || !isNews) {
+			const hasChanged = instanceTable.retire(upstream, retirement);
+			if (service === undefined || !hasChanged) {
 				continue;
 			}
 
 			log.info('Instance retired.', {upstream, service, state: retirement});
-			plan.onInstances(service);
+			options.onInstancesChanged(service);
 		}
 	};
 
-	const hearInstances = ({heard, forgotten, retirements}: InstanceNews) => {
-		hearRetirements(retirements);
+	const applyInstances = ({heard, forgotten, retirements}: InstanceNews) => {
+		applyRetirements(retirements);
 		const changed = new Set<core.ServiceName>();
 		for (const {ageMilliseconds, ...heartbeat} of heard) {
-			if (table.take(heartbeat, now() - ageMilliseconds) === 'news') {
+			if (instanceTable.take(heartbeat, now() - ageMilliseconds) === 'news') {
 				changed.add(heartbeat.service);
 			}
 		}
 
 		for (const upstream of forgotten) {
-			const service = table.get(upstream)?.service;
-			table.forget(upstream);
+			const service = instanceTable.get(upstream)?.service;
+			instanceTable.forget(upstream);
 			if (service !== undefined) {
 				changed.add(service);
 			}
 		}
 
 		for (const service of changed) {
-			plan.onInstances(service);
+			options.onInstancesChanged(service);
 		}
 	};
 
-	const follow = () => {
-		if (state.feeder?.link.isOpen() === true) {
+	const followInstances = () => {
+		if (state.instanceSource?.link.isOpen() === true) {
 			return;
 		}
 
-		const open = plan.getOpen();
-		const feeder = open.find(control => isNear(control)) ?? open[Math.floor(context.random() * open.length)];
-		state.feeder = feeder;
+		const open = options.getControlHosts();
+		const source = open.find(control => isNear(control)) ?? open[Math.floor(context.random() * open.length)];
+		state.instanceSource = source;
 		void (async () => {
-			const answer = await feeder?.link.call(METHODS.followInstances, {}, FETCH_MILLISECONDS);
+			const answer = await source?.link.call(METHODS.followInstances, {}, FETCH_TIMEOUT_MILLISECONDS);
 			if (answer?.isOk() === true) {
-				hearInstances(answer.value as InstanceNews);
-			} else if (feeder !== undefined && state.feeder === feeder) {
-				state.feeder = undefined;
-				schedule(FETCH_AGAIN_MILLISECONDS, follow);
+				applyInstances(answer.value as InstanceNews);
+			} else if (source !== undefined && state.instanceSource === source) {
+				state.instanceSource = undefined;
+				schedule(FETCH_RETRY_DELAY_MILLISECONDS, followInstances);
 			}
 		})();
 	};
@@ -198,39 +198,39 @@
 		findOrganisation: key => state.findOrganisation(key),
 		findService: name => state.services.get(name),
 		// Silence is told by control hosts only: what follows one of them hears of changes, not of heartbeats.
-		listCandidates: service => table.list(service).map(instance => toCandidate(instance, false)),
+		listCandidates: service => instanceTable.list(service).map(instance => toCandidate(instance, false)),
 		isRetired: upstream => retired.has(upstream),
-		listAddresses: () => new Set(table.listAll().map(instance => core.formatAddress(instance.address))),
-		hearVersion(control, version) {
-			if (version < state.wantedVersion || version <= getVersion()) {
+		listAddresses: () => new Set(instanceTable.listAll().map(instance => core.formatAddress(instance.address))),
+		recordVersion(control, version) {
+			if (version < state.newestVersion || version <= getVersion()) {
 				return;
 			}
 
-			if (version > state.wantedVersion) {
-				state.wantedVersion = version;
-				state.holders = new Set();
+			if (version > state.newestVersion) {
+				state.newestVersion = version;
+				state.newestVersionHolders = new Set();
 			}
 
-			state.holders.add(control.host.id);
+			state.newestVersionHolders.add(control.host.id);
 			if (isNear(control)) {
-				void fetch();
+				void fetchGeneration();
 			} else {
-				schedule(NEAR_FETCH_MILLISECONDS, () => {
-					void fetch();
+				schedule(FAR_FETCH_DELAY_MILLISECONDS, () => {
+					void fetchGeneration();
 				});
 			}
 		},
-		hearInstances,
-		hearRetirements,
-		follow,
-		loseControl(control) {
-			state.holders.delete(control.host.id);
-			if (state.feeder?.link !== control.link) {
+		applyInstances,
+		applyRetirements,
+		followInstances,
+		handleControlHostLost(control) {
+			state.newestVersionHolders.delete(control.host.id);
+			if (state.instanceSource?.link !== control.link) {
 				return;
 			}
 
-			state.feeder = undefined;
-			follow();
+			state.instanceSource = undefined;
+			followInstances();
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/held-places.ts
+++ b/packages/wagtailroute-fleet/src/held-slots.ts
@@ -6,7 +6,7 @@
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
 import type * as link from 'wagtailroute-link';
-import type {OpenControl} from './control-links.ts';
+import type {LinkedHost} from './control-links.ts';
 import {type Holding, METHODS} from './messages.ts';
 import type {Advertisements} from './advertisements.ts';
 import type {RecentUses} from './recent-uses.ts';
@@ -14,8 +14,8 @@
 /**
 A place that was granted.
 */
-export type Held = {
-	readonly ask: dispatch.Ask;
+export type HeldSlot = {
+	readonly request: dispatch.Ask;
 	readonly upstream: core.UpstreamId;
 	/**
 	Monotonic time in milliseconds.
@@ -24,33 +24,33 @@
 	/**
 	Absent when this host dispatched alone.
 	*/
-	readonly dispatcher?: OpenControl;
+	readonly dispatcher?: LinkedHost;
 };
 
 /**
 The places of a host.
 */
-export type HeldPlaces = {
-	readonly add: (held: Held) => void;
+export type HeldSlots = {
+	readonly add: (held: HeldSlot) => void;
 	/**
 	Removes a place and returns it, if it is held.
 	*/
-	readonly take: (id: dispatch.AskId) => Held | undefined;
+	readonly remove: (id: dispatch.AskId) => HeldSlot | undefined;
 	/**
 	Returns a place, if it is held.
 	*/
-	readonly find: (id: dispatch.AskId) => Held | undefined;
+	readonly find: (id: dispatch.AskId) => HeldSlot | undefined;
 	readonly count: () => number;
 	/**
 	Tells a dispatcher the places of a service, what its upstreams advertised and what callers were admitted, if the last ask for it went elsewhere.
 	*/
-	readonly tell: (service: core.ServiceName, dispatcher: OpenControl) => void;
+	readonly reportTo: (service: core.ServiceName, dispatcher: LinkedHost) => void;
 };
 
 /**
 What a dispatcher is told beside the places.
 */
-export type HeldPlacesPlan = {
+export type HeldSlotsOptions = {
 	readonly advertisements: Pick<Advertisements, 'list'>;
 	readonly recentUses: Pick<RecentUses, 'takeUntold'>;
 	/**
@@ -64,38 +64,38 @@
 
 @param now Monotonic time in milliseconds.
 */
-export function createHeldPlaces(now: () => number, {advertisements, recentUses, countEntryHosts}: HeldPlacesPlan): HeldPlaces {
-	const places = new Map<dispatch.AskId, Held>();
-	const lastLinks = new Map<core.ServiceName, link.Link>();
+export function createHeldSlots(now: () => number, {advertisements, recentUses, countEntryHosts}: HeldSlotsOptions): HeldSlots {
+	const slots = new Map<dispatch.AskId, HeldSlot>();
+	const lastDispatcherLinks = new Map<core.ServiceName, link.Link>();
 
-	const describe = ({ask, upstream, grantedAt}: Held): dispatch.HeldPlace => ({
-		id: ask.id,
-		host: ask.host,
-		service: ask.service,
-		route: ask.route,
+	const toReport = ({request, upstream, grantedAt}: HeldSlot): dispatch.HeldPlace => ({
+		id: request.id,
+		host: request.host,
+		service: request.service,
+		route: request.route,
 		upstream,
 		ageMilliseconds: now() - grantedAt,
-		remainingMilliseconds: ask.remainingMilliseconds - (now() - grantedAt),
+		remainingMilliseconds: request.remainingMilliseconds - (now() - grantedAt),
 	});
 
 	return {
 		add(held) {
-			places.set(held.ask.id, held);
+			slots.set(held.request.id, held);
 		},
-		take(id) {
-			const held = places.get(id);
-			places.delete(id);
+		remove(id) {
+			const held = slots.get(id);
+			slots.delete(id);
 			return held;
 		},
-		find: id => places.get(id),
-		count: () => places.size,
-		tell(service, dispatcher) {
-			if (lastLinks.get(service) === dispatcher.link) {
+		find: id => slots.get(id),
+		count: () => slots.size,
+		reportTo(service, dispatcher) {
+			if (lastDispatcherLinks.get(service) === dispatcher.link) {
 				return;
 			}
 
-			lastLinks.set(service, dispatcher.link);
-			const held = places.values().filter(({ask}) => ask.service === service).map(place => describe(place)).toArray();
+			lastDispatcherLinks.set(service, dispatcher.link);
+			const held = slots.values().filter(({request}) => request.service === service).map(slot => toReport(slot)).toArray();
 			const updates = advertisements.list(service);
 			const uses = recentUses.takeUntold(dispatcher.link);
 			dispatcher.link.notify(METHODS.hold, {
--- a/packages/wagtailroute-fleet/src/index.ts
+++ b/packages/wagtailroute-fleet/src/index.ts
@@ -7,17 +7,17 @@
 	ADDRESS_TTL_SECONDS,
 	ADDRESSES_LEAST,
 	STANDBY_EXTRA_RESENDS,
-	STANDBYS_MOST,
+	MAX_STANDBYS,
 	STANDBYS_TOLD,
-	UPSTREAM_CONNECT_MILLISECONDS,
+	UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
 export {type Absences, startAbsences} from './absences.ts';
 export {type Allotting, startAllotting} from './allotting.ts';
 export {createAskers} from './askers.ts';
 export {createAskMethods} from './ask-methods.ts';
 export type {ShortAnswer} from './ask-wire.ts';
-export {type Asking, createAsking} from './asking.ts';
-export type {OpenControl} from './control-links.ts';
+export {createDispatchClient, type DispatchClient} from './dispatch-client.ts';
+export type {LinkedHost} from './control-links.ts';
 export {orderDispatchers} from './dispatch-order.ts';
 export {type Dispatching, startDispatching} from './dispatching.ts';
 export {type Belief, METHODS, type ServiceUpdates} from './messages.ts';
--- a/packages/wagtailroute-fleet/src/leader-calls.ts
+++ b/packages/wagtailroute-fleet/src/leader-calls.ts
@@ -9,7 +9,7 @@
 import type * as generations from 'wagtailroute-generations';
 import type * as link from 'wagtailroute-link';
 import * as results from 'ts-results-es';
-import {PROPOSE_AGAIN_MILLISECONDS, PROPOSE_MILLISECONDS, PROPOSE_TRIES} from './constants.ts';
+import {LEADER_CALL_RETRY_DELAY_MILLISECONDS, LEADER_CALL_TIMEOUT_MILLISECONDS, MAX_LEADER_CALL_ATTEMPTS} from './constants.ts';
 import type {ControlGroup} from './group.ts';
 import {METHODS, type ProposalAnswer, type ReadAnswer} from './messages.ts';
 
@@ -21,8 +21,8 @@
 /**
 What the calls need.
 */
-export type LeaderCalls = {
-	readonly self: core.HostId;
+export type LeaderCallOptions = {
+	readonly hostId: core.HostId;
 	readonly group: ControlGroup;
 	readonly findLink: (host: core.HostId) => link.Link | undefined;
 };
@@ -31,12 +31,12 @@
 Brings a command to the leader. Resolves with the version in force once the command is committed.
 */
 export async function proposeToLeader(
-	calls: LeaderCalls,
+	calls: LeaderCallOptions,
 	command: generations.GenerationCommand,
 ): Promise<results.Result<number, LeaderFailure>> {
-	return tryLeader(calls, async leader => {
-		const answer = leader === calls.self
-			? await withLimit(calls.group.propose(command))
+	return callWithRetries(calls, async leader => {
+		const answer = leader === calls.hostId
+			? await withTimeout(calls.group.propose(command))
 			: await callLeader<ProposalAnswer>(calls, leader, {method: METHODS.propose, parameters: {command}});
 		return answer?.kind === 'applied' ? answer.version : undefined;
 	});
@@ -45,20 +45,20 @@
 /**
 Reads the newest generation's document; null before the first.
 */
-export async function readFromLeader(calls: LeaderCalls): Promise<results.Result<string | null, LeaderFailure>> {
-	return tryLeader(calls, async leader => {
-		const answer = leader === calls.self
-			? await withLimit(calls.group.read())
+export async function readFromLeader(calls: LeaderCallOptions): Promise<results.Result<string | null, LeaderFailure>> {
+	return callWithRetries(calls, async leader => {
+		const answer = leader === calls.hostId
+			? await withTimeout(calls.group.read())
 			: await callLeader<ReadAnswer>(calls, leader, {method: METHODS.readGeneration, parameters: {}});
 		return answer?.kind === 'read' ? answer.document : undefined;
 	});
 }
 
-async function tryLeader<Value>(
-	{group}: LeaderCalls,
+async function callWithRetries<Value>(
+	{group}: LeaderCallOptions,
 	attempt: (leader: core.HostId) => Promise<Value | undefined>,
 ): Promise<results.Result<Value, LeaderFailure>> {
-	for (let count = 0; count < PROPOSE_TRIES; count++) {
+	for (let count = 0; count < MAX_LEADER_CALL_ATTEMPTS; count++) {
 		const leader = group.getLeader();
 		// eslint-disable-next-line no-await-in-loop -- One try after the other.
 		const value = leader === null ? undefined : await attempt(leader);
@@ -67,21 +67,21 @@
 		}
 
 		// eslint-disable-next-line no-await-in-loop -- An election takes its time.
-		await timers.setTimeout(PROPOSE_AGAIN_MILLISECONDS);
+		await timers.setTimeout(LEADER_CALL_RETRY_DELAY_MILLISECONDS);
 	}
 
 	return results.Err(core.createFailure('no-leader', 'The control group has no leader with a quorum that can be reached.'));
 }
 
 async function callLeader<Answer>(
-	{findLink}: LeaderCalls,
+	{findLink}: LeaderCallOptions,
 	leader: core.HostId,
 	{method, parameters}: {readonly method: string; readonly parameters: unknown},
 ): Promise<Answer | undefined> {
-	const answer = await findLink(leader)?.call(method, parameters, PROPOSE_MILLISECONDS);
+	const answer = await findLink(leader)?.call(method, parameters, LEADER_CALL_TIMEOUT_MILLISECONDS);
 	return answer?.isOk() === true ? answer.value as Answer : undefined;
 }
 
-async function withLimit<Value>(pending: Promise<Value>): Promise<Value | undefined> {
-	return Promise.race([pending, timers.setTimeout(PROPOSE_MILLISECONDS, undefined, {ref: false})]);
+async function withTimeout<Value>(pending: Promise<Value>): Promise<Value | undefined> {
+	return Promise.race([pending, timers.setTimeout(LEADER_CALL_TIMEOUT_MILLISECONDS, undefined, {ref: false})]);
 }
--- a/packages/wagtailroute-fleet/src/registry.ts
+++ b/packages/wagtailroute-fleet/src/registry.ts
@@ -11,8 +11,8 @@
 import type * as link from 'wagtailroute-link';
 import * as utils from 'wagtailroute-utils';
 import {
-	FETCH_MILLISECONDS,
-	HOUSEKEEPING_MILLISECONDS,
+	FETCH_TIMEOUT_MILLISECONDS,
+	HOUSEKEEPING_INTERVAL_MILLISECONDS,
 	RELAY_MILLISECONDS,
 	SAVE_MILLISECONDS,
 	SILENT_UPSTREAM_MILLISECONDS,
@@ -188,7 +188,7 @@
 	};
 
 	const loaded = takeKept();
-	const stopLooking = context.repeat(HOUSEKEEPING_MILLISECONDS, lookForSilence);
+	const stopLooking = context.repeat(HOUSEKEEPING_INTERVAL_MILLISECONDS, lookForSilence);
 	return {
 		take(heartbeat) {
 			const reception = receive(heartbeat, now());
@@ -210,7 +210,7 @@
 			}
 		},
 		async catchUp(from) {
-			const answer = await from.call(METHODS.listInstances, {}, FETCH_MILLISECONDS);
+			const answer = await from.call(METHODS.listInstances, {}, FETCH_TIMEOUT_MILLISECONDS);
 			receiveRelayed(answer.isOk() ? (answer.value as InstanceNews).heard : []);
 		},
 		retire({upstream, state}) {
--- a/packages/wagtailroute-fleet/src/routing.ts
+++ b/packages/wagtailroute-fleet/src/routing.ts
@@ -5,10 +5,10 @@
 import type * as dispatch from 'wagtailroute-dispatch';
 import * as generations from 'wagtailroute-generations';
 import * as proxy from 'wagtailroute-proxy';
-import type {AskDraft, Asking} from './asking.ts';
-import {NO_GENERATION_MILLISECONDS, PATIENCE_MILLISECONDS, PATIENCE_RATIO} from './constants.ts';
+import type {SlotRequestDraft, DispatchClient} from './dispatch-client.ts';
+import {NO_GENERATION_RETRY_MILLISECONDS, MIN_OVERDUE_MILLISECONDS, OVERDUE_RATIO} from './constants.ts';
 import type {FleetContext} from './context.ts';
-import type {Knowledge} from './knowledge.ts';
+import type {FleetView} from './fleet-view.ts';
 import {createCallerTimes} from './caller-times.ts';
 import {createUsualTimes, type UsualTimes} from './usual-times.ts';
 
@@ -20,9 +20,9 @@
 /**
 What routing needs.
 */
-export type RoutingPlan = {
-	readonly knowledge: Pick<Knowledge, 'getGeneration' | 'findRoute' | 'findOrganisation' | 'findService' | 'listCandidates'>;
-	readonly asking: Asking;
+export type RouterOptions = {
+	readonly fleetView: Pick<FleetView, 'getGeneration' | 'findRoute' | 'findOrganisation' | 'findService' | 'listCandidates'>;
+	readonly dispatchClient: DispatchClient;
 };
 
 type RouteContext = {
@@ -53,36 +53,36 @@
 /**
 Creates the router of a host.
 */
-export function createRouter(context: FleetContext, plan: RoutingPlan): Router {
-	const {knowledge} = plan;
+export function createRouter(context: FleetContext, options: RouterOptions): Router {
+	const {fleetView} = options;
 	const chooseShare = generations.createShareChooser(context.random);
 	const usualTimes = createUsualTimes();
 	const callerTimes = createCallerTimes();
 
 	return ({host, path, method, timeoutMilliseconds, key}) => {
-		const generation = knowledge.getGeneration();
+		const generation = fleetView.getGeneration();
 		if (generation === undefined) {
-			return proxy.createRequestFailure('no-upstream', 'This host has no catalogue yet.', NO_GENERATION_MILLISECONDS);
+			return proxy.createRequestFailure('no-upstream', 'This host has no catalogue yet.', NO_GENERATION_RETRY_MILLISECONDS);
 		}
 
-		const route = knowledge.findRoute(host, path);
+		const route = fleetView.findRoute(host, path);
 		if (route === undefined) {
 			return proxy.createRequestFailure('route-unknown', `No service has a route for ${method} ${host}${path}.`);
 		}
 
-		const caller = identifyCaller(plan, {generation, route, key});
+		const caller = identifyCaller(options, {generation, route, key});
 		if ('kind' in caller) {
 			return caller;
 		}
 
-		const service = knowledge.findService(chooseShare(route))!;
+		const service = fleetView.findService(chooseShare(route))!;
 		const routeContext: RouteContext = {
 			route, service, bodyBytes: generation.limits.bodyBytes, waitedMilliseconds: callerTimes.guessWaited(route, timeoutMilliseconds), caller,
 		};
 		return {
 			match: {service: service.name, route: {class: route.class}},
 			organisation: caller.organisation,
-			service: createPort(context, plan, {...routeContext, usualTimes}),
+			service: createServicePort(context, options, {...routeContext, usualTimes}),
 		};
 	};
 }
@@ -94,27 +94,27 @@
 from its organisation.
 */
 function identifyCaller(
-	{knowledge}: RoutingPlan,
+	{fleetView}: RouterOptions,
 	{generation, route, key}: {readonly generation: generations.Generation; readonly route: generations.GenerationRoute; readonly key?: string},
 ): Caller | proxy.RequestFailure {
 	if (generation.organisations === undefined) {
 		return {priority: route.priority};
 	}
 
-	const organisation = key === undefined ? undefined : knowledge.findOrganisation(key);
+	const organisation = key === undefined ? undefined : fleetView.findOrganisation(key);
 	return organisation === undefined && route.isPublic !== true ? UNKNOWN_KEY : {organisation: organisation?.name ?? '', priority: organisation?.priority ?? route.priority};
 }
 
-function createPort(
+function createServicePort(
 	context: FleetContext,
-	{knowledge, asking}: RoutingPlan,
+	{fleetView, dispatchClient}: RouterOptions,
 	{
 		route, service, bodyBytes, usualTimes, waitedMilliseconds, caller: {organisation, priority},
 	}: RouteContext & {readonly usualTimes: UsualTimes},
 ): proxy.ServicePort {
-	const granted = new Map<proxy.Target, dispatch.AskId>();
+	const grantedIds = new Map<proxy.Target, dispatch.AskId>();
 
-	const createAsk = (choice: proxy.ChoiceRequest): AskDraft => ({
+	const createDraft = (choice: proxy.ChoiceRequest): SlotRequestDraft => ({
 		service: service.name,
 		route: route.name,
 		requestClass: route.class,
@@ -140,29 +140,29 @@
 		admit: () => undefined,
 		release: () => undefined,
 		choose(choice) {
-			const asked = asking.ask(createAsk(choice));
+			const handle = dispatchClient.requestSlot(createDraft(choice));
 			return {
-				cancel: asked.cancel,
+				cancel: handle.cancel,
 				result: (async () => {
-					const answer = await asked.answer;
+					const answer = await handle.answer;
 					if (answer.kind === 'refuse') {
 						return REFUSALS[answer.reason](answer.retryAfterMilliseconds);
 					}
 
 					const target: proxy.Target = {id: answer.upstream, address: answer.address, kind: 'upstream'};
-					granted.set(target, answer.id);
+					grantedIds.set(target, answer.id);
 					context.logs('dispatch').debug('Place granted.', {request: choice.requestId, ask: answer.id, upstream: answer.upstream});
 					return target;
 				})(),
 			};
 		},
-		hasAnother: ({excluded}) => knowledge.listCandidates(service.name)
-			.some(({upstream, isDraining}) => !excluded.has(upstream) && !isDraining && !asking.isClosed(upstream)),
+		hasAnother: ({excluded}) => fleetView.listCandidates(service.name)
+			.some(({upstream, isDraining}) => !excluded.has(upstream) && !isDraining && !dispatchClient.isClosed(upstream)),
 		begin: () => undefined,
 		recordAdvertisements(target, advertisements) {
-			const id = granted.get(target);
+			const id = grantedIds.get(target);
 			if (id !== undefined) {
-				asking.recordAdvertisements(id, advertisements);
+				dispatchClient.recordAdvertisements(id, advertisements);
 			}
 		},
 		end({target, ending, latencyMilliseconds, failure}) {
@@ -170,9 +170,9 @@
 				usualTimes.learn(route, latencyMilliseconds);
 			}
 
-			const id = granted.get(target);
+			const id = grantedIds.get(target);
 			if (id !== undefined) {
-				asking.end(id, getEnding(ending, failure), latencyMilliseconds);
+				dispatchClient.reportEnd(id, toDispatchEnding(ending, failure), latencyMilliseconds);
 			}
 		},
 		// The dispatcher keeps the budget, for all hosts.
@@ -180,7 +180,7 @@
 			hasBudget: () => true,
 			spend: () => undefined,
 			getUsualMilliseconds: () => usualTimes.get(route),
-			getPatienceMilliseconds: () => Math.max(PATIENCE_MILLISECONDS, usualTimes.get(route) * PATIENCE_RATIO),
+			getPatienceMilliseconds: () => Math.max(MIN_OVERDUE_MILLISECONDS, usualTimes.get(route) * OVERDUE_RATIO),
 		},
 	};
 }
@@ -211,6 +211,6 @@
 /**
 Nobody listening and no way there both end an attempt before it was sent, but only the first is the upstream's doing.
 */
-function getEnding(ending: proxy.AttemptEnding, failure: proxy.RequestFailureKind | undefined): dispatch.Ending {
+function toDispatchEnding(ending: proxy.AttemptEnding, failure: proxy.RequestFailureKind | undefined): dispatch.Ending {
 	return failure === 'connect-refused' ? 'refused' : ENDINGS[ending];
 }
--- a/packages/wagtailroute-fleet/src/standby-choice.ts
+++ b/packages/wagtailroute-fleet/src/standby-choice.ts
@@ -1,7 +1,7 @@
 /**
 Which entry hosts dispatch while no control host does: the same few for all hosts, in all failure domains.
 */
-import {STANDBYS_MOST} from './constants.ts';
+import {MAX_STANDBYS} from './constants.ts';
 import {orderDispatchers} from './dispatch-order.ts';
 import type {EntryHost} from './entry-hosts.ts';
 import type {StandbyHost} from './settings.ts';
@@ -14,11 +14,11 @@
 	const ordered = orderDispatchers('standby', entries, ({id}) => id);
 	const byDomain = Map.groupBy(ordered, ({failureDomain}) => failureDomain);
 	return ordered
-		.toSorted((left, right) => getRank(byDomain, left) - getRank(byDomain, right))
-		.slice(0, STANDBYS_MOST)
+		.toSorted((left, right) => getRankInDomain(byDomain, left) - getRankInDomain(byDomain, right))
+		.slice(0, MAX_STANDBYS)
 		.map(({id, failureDomain, state}) => ({id, failureDomain, address: state.linkAddress}));
 }
 
-function getRank(byDomain: ReadonlyMap<string, readonly EntryHost[]>, host: EntryHost): number {
+function getRankInDomain(byDomain: ReadonlyMap<string, readonly EntryHost[]>, host: EntryHost): number {
 	return byDomain.get(host.failureDomain)!.indexOf(host);
 }
--- a/packages/wagtailroute-fleet/src/standbys.ts
+++ b/packages/wagtailroute-fleet/src/standbys.ts
@@ -8,15 +8,15 @@
 import * as link from 'wagtailroute-link';
 import type * as utils from 'wagtailroute-utils';
 import {
-	FAR_PING_MILLISECONDS,
-	HELLO_MILLISECONDS,
-	HOUSEKEEPING_MILLISECONDS,
-	STANDBY_IDLE_MILLISECONDS,
-	STANDBY_OPEN_MILLISECONDS,
+	FAR_PING_INTERVAL_MILLISECONDS,
+	HELLO_TIMEOUT_MILLISECONDS,
+	HOUSEKEEPING_INTERVAL_MILLISECONDS,
+	STANDBY_IDLE_TIMEOUT_MILLISECONDS,
+	MAX_STANDBY_WAIT_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 import {createMessageOrder} from './message-order.ts';
-import type {OpenControl} from './control-links.ts';
+import type {LinkedHost} from './control-links.ts';
 import {type Hello, METHODS} from './messages.ts';
 import type {StandbyHost} from './settings.ts';
 
@@ -27,12 +27,12 @@
 	/**
 	Takes the list that a control host told. An empty one changes nothing: it comes from a control host that has just started.
 	*/
-	readonly learn: (hosts: readonly StandbyHost[]) => void;
+	readonly setHosts: (hosts: readonly StandbyHost[]) => void;
 	/**
 	Opens the links, or keeps them open: a dispatcher has not answered.
 	*/
 	readonly open: () => void;
-	readonly getOpen: () => readonly OpenControl[];
+	readonly getOpen: () => readonly LinkedHost[];
 	readonly notifyAll: (method: string, parameters: unknown) => void;
 	/**
 	Resolves once one of them is open; soon in any case.
@@ -41,43 +41,43 @@
 	/**
 	Says whether this host is one of them.
 	*/
-	readonly isSelfNamed: () => boolean;
+	readonly isOwnHostStandby: () => boolean;
 	readonly teardown: utils.Teardown;
 };
 
 /**
 What the links are made with.
 */
-export type StandbysPlan = {
+export type StandbysOptions = {
 	/**
 	This host's own name: it needs no link to itself.
 	*/
-	readonly self: core.HostId;
+	readonly hostId: core.HostId;
 	readonly createHello: () => Hello;
 	readonly methods: link.LinkMethods;
-	readonly onLost: (standby: OpenControl) => void;
+	readonly onLost: (standby: LinkedHost) => void;
 };
 
-type Dialed = {
+type DialedStandby = {
 	readonly host: StandbyHost;
 	readonly dialer: link.Dialer;
-	open?: OpenControl;
+	open?: LinkedHost;
 };
 
 /**
 Starts without any link.
 */
-export function createStandbys(context: FleetContext, plan: StandbysPlan): Standbys {
+export function createStandbys(context: FleetContext, options: StandbysOptions): Standbys {
 	const {now, random} = context;
 	const order = createMessageOrder(context);
 	const log = context.logs('standbys');
-	const dialed = new Map<core.HostId, Dialed>();
+	const dialed = new Map<core.HostId, DialedStandby>();
 	let hosts: readonly StandbyHost[] = [];
-	let neededAt = -Infinity;
-	const waiting: Array<() => void> = [];
+	let lastNeededAt = -Infinity;
+	const waiters: Array<() => void> = [];
 
-	const greet = async (id: core.HostId, opened: link.Link) => {
-		const answer = await opened.call(METHODS.hello, plan.createHello(), HELLO_MILLISECONDS);
+	const sendHello = async (id: core.HostId, opened: link.Link) => {
+		const answer = await opened.call(METHODS.hello, options.createHello(), HELLO_TIMEOUT_MILLISECONDS);
 		const entry = dialed.get(id);
 		if (entry === undefined || answer.isErr() || !opened.isOpen()) {
 			opened.close();
@@ -86,12 +86,12 @@
 
 		entry.open = {host: entry.host, link: opened};
 		log.info('Standby reached.', {standby: id});
-		for (const resolve of waiting.splice(0)) {
+		for (const resolve of waiters.splice(0)) {
 			resolve();
 		}
 	};
 
-	const lose = (id: core.HostId) => {
+	const handleClose = (id: core.HostId) => {
 		const entry = dialed.get(id);
 		const open = entry?.open;
 		if (entry === undefined || open === undefined) {
@@ -99,7 +99,7 @@
 		}
 
 		entry.open = undefined;
-		plan.onLost(open);
+		options.onLost(open);
 	};
 
 	const dial = (host: StandbyHost) => {
@@ -107,16 +107,16 @@
 			host,
 			dialer: link.startDialer({
 				address: host.address,
-				methods: plan.methods,
+				methods: options.methods,
 				order,
 				now,
 				random,
-				pingMilliseconds: () => FAR_PING_MILLISECONDS,
+				pingMilliseconds: () => FAR_PING_INTERVAL_MILLISECONDS,
 				onOpen(opened) {
-					void greet(host.id, opened);
+					void sendHello(host.id, opened);
 				},
 				onClose() {
-					lose(host.id);
+					handleClose(host.id);
 				},
 				onDefect(error) {
 					log.error('Message could not be handled.', {standby: host.id, error: error.stack});
@@ -125,7 +125,7 @@
 		});
 	};
 
-	const hangUp = (isKept: (id: core.HostId) => boolean) => {
+	const closeExcept = (isKept: (id: core.HostId) => boolean) => {
 		for (const [id, entry] of dialed) {
 			if (isKept(id)) {
 				continue;
@@ -136,11 +136,11 @@
 		}
 	};
 
-	const isNeeded = () => now() - neededAt < STANDBY_IDLE_MILLISECONDS;
+	const isNeeded = () => now() - lastNeededAt < STANDBY_IDLE_TIMEOUT_MILLISECONDS;
 
 	const dialMissing = () => {
-		const wanted = hosts.filter(({id}) => id !== plan.self);
-		hangUp(id => wanted.some(host => host.id === id));
+		const wanted = hosts.filter(({id}) => id !== options.hostId);
+		closeExcept(id => wanted.some(host => host.id === id));
 		for (const host of wanted) {
 			if (!dialed.has(host.id)) {
 				dial(host);
@@ -150,20 +150,20 @@
 
 	const getOpen = () => dialed.values().map(entry => entry.open).filter(open => open !== undefined).toArray();
 
-	const stopLooking = context.repeat(HOUSEKEEPING_MILLISECONDS, () => {
+	const stopClosingIdle = context.repeat(HOUSEKEEPING_INTERVAL_MILLISECONDS, () => {
 		if (dialed.size > 0 && !isNeeded()) {
-			hangUp(() => false);
+			closeExcept(() => false);
 		}
 	});
 	return {
-		learn(told) {
-			hosts = told.length > 0 ? told : hosts;
+		setHosts(receivedHosts) {
+			hosts = receivedHosts.length > 0 ? receivedHosts : hosts;
 			if (isNeeded()) {
 				dialMissing();
 			}
 		},
 		open() {
-			neededAt = now();
+			lastNeededAt = now();
 			dialMissing();
 		},
 		getOpen,
@@ -178,14 +178,14 @@
 			}
 
 			await new Promise<void>(resolve => {
-				waiting.push(resolve);
-				context.schedule(STANDBY_OPEN_MILLISECONDS, resolve);
+				waiters.push(resolve);
+				context.schedule(MAX_STANDBY_WAIT_MILLISECONDS, resolve);
 			});
 		},
-		isSelfNamed: () => hosts.some(host => host.id === plan.self),
+		isOwnHostStandby: () => hosts.some(host => host.id === options.hostId),
 		teardown() {
-			stopLooking();
-			hangUp(() => false);
+			stopClosingIdle();
+			closeExcept(() => false);
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/beginning.ts
+++ b/packages/wagtailroute-fleet/src/startup-gate.ts
@@ -6,62 +6,62 @@
 five times, and the crowd that comes back after a restart of everything queues at the upstreams for a second.
 */
 import type * as proxy from 'wagtailroute-proxy';
-import {FIRST_GENERATION_MILLISECONDS, LINKING_MILLISECONDS} from './constants.ts';
+import {MAX_FIRST_GENERATION_WAIT_MILLISECONDS, MAX_CONTROL_LINKS_WAIT_MILLISECONDS} from './constants.ts';
 import type {FleetContext} from './context.ts';
 
 /**
 Whether the host has begun, for its traffic server, and what may let it begin.
 */
-export type Beginning = proxy.RoutesPort & {
+export type StartupGate = proxy.RoutesPort & {
 	/**
 	A generation or a link has come.
 	*/
-	readonly look: () => void;
+	readonly check: () => void;
 };
 
 /**
 What a beginning hangs on.
 */
-export type BeginningPlan = {
+export type StartupGateOptions = {
 	readonly hasGeneration: () => boolean;
 	/**
 	There is a link to every control host that is known.
 	*/
-	readonly isLinked: () => boolean;
+	readonly areControlLinksOpen: () => boolean;
 };
 
 /**
 Creates the beginning of a host that has just started.
 */
-export function createBeginning(context: Pick<FleetContext, 'schedule'>, {hasGeneration, isLinked}: BeginningPlan): Beginning {
-	const begun = Promise.withResolvers<void>();
-	let hasBegun = false;
-	let isLinking = false;
+export function createStartupGate(context: Pick<FleetContext, 'schedule'>, {hasGeneration, areControlLinksOpen}: StartupGateOptions): StartupGate {
+	const opened = Promise.withResolvers<void>();
+	let isOpen = false;
+	let isWaitingForLinks = false;
 
-	const begin = () => {
-		hasBegun = true;
-		begun.resolve();
+	const open = () => {
+		isOpen = true;
+		opened.resolve();
 	};
 
 	return {
-		areKnown: () => hasBegun,
+		areKnown: () => isOpen,
 		async wait() {
 			const {promise, resolve} = Promise.withResolvers<void>();
-			const cancel = context.schedule(FIRST_GENERATION_MILLISECONDS, resolve);
-			await Promise.race([begun.promise, promise]);
+			const cancel = context.schedule(MAX_FIRST_GENERATION_WAIT_MILLISECONDS, resolve);
+			await Promise.race([opened.promise, promise]);
 			cancel();
 		},
-		look() {
-			if (hasBegun || !hasGeneration()) {
+		check() {
+			if (isOpen || !hasGeneration()) {
 				return;
 			}
 
-			if (isLinked()) {
-				begin();
-			} else if (!isLinking) {
+			if (areControlLinksOpen()) {
+				open();
+			} else if (!isWaitingForLinks) {
 				// One of them may be away.
-				isLinking = true;
-				context.schedule(LINKING_MILLISECONDS, begin);
+				isWaitingForLinks = true;
+				context.schedule(MAX_CONTROL_LINKS_WAIT_MILLISECONDS, open);
 			}
 		},
 	};
--- a/packages/wagtailroute-lab/src/fleet.ts
+++ b/packages/wagtailroute-lab/src/fleet.ts
@@ -103,9 +103,9 @@
 	readonly endpoint: Endpoint;
 	readonly askers: ReturnType<typeof fleet.createAskers>;
 	readonly own: fleet.Dispatching;
-	readonly asking: fleet.Asking;
-	readonly controls: fleet.OpenControl[];
-	readonly standbys: fleet.OpenControl[];
+	readonly asking: fleet.DispatchClient;
+	readonly controls: fleet.LinkedHost[];
+	readonly standbys: fleet.LinkedHost[];
 	readonly end: () => void;
 };
 
@@ -237,7 +237,7 @@
 	#loseLinks(entry: Entry): void {
 		for (const old of entry.controls.splice(0)) {
 			old.link.close();
-			entry.asking.loseDispatcher(old);
+			entry.asking.handleDispatcherLost(old);
 		}
 	}
 
@@ -273,7 +273,7 @@
 			const [old] = entry.controls.splice(place, place === -1 ? 0 : 1);
 			if (old !== undefined) {
 				old.link.close();
-				entry.asking.loseDispatcher(old);
+				entry.asking.handleDispatcherLost(old);
 			}
 
 			this.#reconnect(entry, control);
@@ -387,7 +387,7 @@
 	}
 
 	#listStandbys(): readonly core.HostId[] {
-		return this.#plan.variant.hasStandbys ? this.#entries.slice(0, fleet.STANDBYS_MOST).map(({id}) => id) : [];
+		return this.#plan.variant.hasStandbys ? this.#entries.slice(0, fleet.MAX_STANDBYS).map(({id}) => id) : [];
 	}
 
 	#tellControls(from: core.HostId, {method, parameters}: Message): void {
@@ -446,8 +446,8 @@
 			role: 'entry', failureDomain, methods, state: 'up', frozenUntil: 0,
 		};
 		const askers = fleet.createAskers();
-		const controls: fleet.OpenControl[] = [];
-		const standbys: fleet.OpenControl[] = [];
+		const controls: fleet.LinkedHost[] = [];
+		const standbys: fleet.LinkedHost[] = [];
 		const notifyControls = (message: Message) => {
 			notifyAll(controls, message);
 		};
@@ -475,14 +475,14 @@
 			},
 			getState: () => endpoint.state,
 			onAnswer([ask, answer]) {
-				asking.hearAnswer(ask, answer);
+				asking.handleAnswer(ask, answer);
 			},
 		});
 		const context = createContext(clock, random, () => undefined);
-		const asking = fleet.createAsking(context, {
+		const asking = fleet.createDispatchClient(context, {
 			settings: {hostId: id, failureDomain, allotments: ALLOTMENTS},
 			countEntryHosts: () => this.#entries.length,
-			getControls: () => controls.filter(({link: over}) => over.isOpen()),
+			getControlHosts: () => controls.filter(({link: over}) => over.isOpen()),
 			standbys: {
 				getOpen: () => standbys,
 				open: () => {
@@ -491,15 +491,15 @@
 				waitForOne: async () => new Promise<void>(resolve => {
 					clock.schedule(DIAL_MILLISECONDS, resolve);
 				}),
-				isSelfNamed: () => this.#listStandbys().includes(id),
+				isOwnHostStandby: () => this.#listStandbys().includes(id),
 			},
-			own,
+			ownDispatcher: own,
 			isRetired: () => false,
 			getLinkDelay: () => 0,
 		});
 		register(methods, {
 			[fleet.METHODS.answer]([ask, answer]: [number, fleet.ShortAnswer]) {
-				asking.hearAnswer(ask, answer);
+				asking.handleAnswer(ask, answer);
 			},
 			[fleet.METHODS.believe]: own.hearBelief,
 			[fleet.METHODS.updates]: own.applyUpdates,
@@ -523,14 +523,14 @@
 				resolve('left');
 			},
 			route: fleet.createRouter(context, {
-				knowledge: {
+				fleetView: {
 					getGeneration: () => this.#generation,
 					findRoute: (_host, path) => this.#generation.routes.find(({name}) => `/${name}` === path),
 					findOrganisation: key => this.#findOrganisation(key),
 					findService: name => this.#generation.services.find(service => service.name === name),
 					listCandidates,
 				},
-				asking,
+				dispatchClient: asking,
 			}),
 		};
 		return entry;
@@ -555,7 +555,7 @@
 	}
 }
 
-function notifyAll(hosts: readonly fleet.OpenControl[], {method, parameters}: Message): void {
+function notifyAll(hosts: readonly fleet.LinkedHost[], {method, parameters}: Message): void {
 	for (const {link: over} of hosts) {
 		over.notify(method, parameters);
 	}
--- a/packages/wagtailroute-lab/src/sending.ts
+++ b/packages/wagtailroute-lab/src/sending.ts
@@ -201,7 +201,7 @@
 		} else if (isPathBad(backend)) {
 			// Half of the requests have a connection already, on which nothing comes back.
 			if (luck.harm < 0.5) {
-				clock.schedule(fleet.UPSTREAM_CONNECT_MILLISECONDS, () => {
+				clock.schedule(fleet.UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS, () => {
 					resolve('unreachable');
 				});
 			}
