--- a/packages/wagtailroute-fleet/src/__tests__/unit/advertisements.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/advertisements.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of what an entry host remembers of advertisements, and reports to dispatchers.
+Tests of the advertisements that an entry host keeps and reports to dispatchers.
 */
 import test from 'ava';
 import type * as core from 'wagtailroute-core';
@@ -29,7 +29,7 @@
 	readonly advertised: readonly core.Advertisement[];
 	readonly passed: number;
 	/**
-	When the request was sent whose answer lifts a rate limit.
+	When the request was sent whose answer may lift a rate limit.
 	*/
 	readonly sentAt?: number;
 	readonly listed: readonly dispatch.UpstreamUpdate[];
@@ -66,7 +66,7 @@
 		name: 'a backoff ends', advertised: [BACKOFF], passed: 3000, listed: [],
 	},
 	{
-		name: 'an upstream that leaves stays closed', advertised: [DRAINING], passed: 600_000, sentAt: ADVERTISED_AT + 1, listed: [{kind: 'draining', upstream: 'u'}], closure: 'draining',
+		name: 'an upstream that drains stays closed', advertised: [DRAINING], passed: 600_000, sentAt: ADVERTISED_AT + 1, listed: [{kind: 'draining', upstream: 'u'}], closure: 'draining',
 	},
 	{
 		name: 'everything is listed together',
@@ -97,8 +97,8 @@
 	});
 }
 
-test('a dispatcher that a host turns to receives what answers advertised', t => {
-	// Guards against a dispatcher that takes over, knows nothing, and grants what upstreams do not take.
+test('a dispatcher that a host starts to use receives what answers advertised', t => {
+	// Guards against a new dispatcher that grants slots at upstreams that advertised a backoff or a rate limit before.
 	const advertisements = createAdvertisements(HOST, () => ADVERTISED_AT);
 	advertisements.record(SERVICE, 'u', RATE_LIMIT);
 	advertisements.record(SERVICE, 'u', BACKOFF);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/dispatch-client.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/dispatch-client.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of client: who is asked, and what happens when a dispatcher doesn't answer.
+Tests of the dispatch client: which dispatcher gets a slot request, and what happens when it does not answer.
 */
 import test from 'ava';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -29,7 +29,7 @@
 	readonly control: LinkedHost;
 	readonly retired: Set<string>;
 	/**
-	How long large bodies hold the host's own link.
+	How long messages wait behind large bodies on the host's own link.
 	*/
 	readonly delay: {milliseconds: number};
 };
@@ -74,7 +74,7 @@
 	};
 }
 
-test('the dispatcher is told the route once, asked for each request and told each end', async t => {
+test('the dispatcher receives the route once, a slot request for each attempt, and each end', async t => {
 	const {client, link} = setUp(() => GRANT);
 	const first = await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 	await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
@@ -85,7 +85,7 @@
 	t.deepEqual(link.notified.at(-1)?.[1], [1, 'success', 120]);
 });
 
-test('the dispatcher that granted a place receives the rate limit that its answer advertises at once', async t => {
+test('the dispatcher that granted a slot receives at once the rate limit that the answer advertises', async t => {
 	const {client, link} = setUp(() => GRANT);
 	await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 	client.recordAdvertisements('front:1', [{kind: 'rate-limit', ratePerSecond: 2.6}]);
@@ -95,8 +95,8 @@
 	t.is(link.notified.at(-1)?.[0], 'dispatch.end', 'an attempt that has ended reports nothing');
 });
 
-test('a host that dispatches alone keeps to the rate limits that answers advertised', async t => {
-	// Guards against an upstream in need that every host fills as soon as no dispatcher answers.
+test('the own dispatcher of a host applies the rate limits that answers advertised', async t => {
+	// Guards against every host exceeding the advertised limit of an overloaded upstream as soon as no other dispatcher answers.
 	const {client} = setUp(() => undefined);
 	const draft = {...fixture.SLOT_REQUEST_DRAFT, remainingMilliseconds: 200, objectiveMilliseconds: 100};
 	const first = await client.requestSlot(draft).answer;
@@ -106,10 +106,9 @@
 	t.like(second, {kind: 'refuse', reason: 'no-slot-in-time'});
 });
 
-test('a host gives its dispatcher the time that large bodies take on its own link', async t => {
-	// Symptom: a host dispatches alone although all control hosts are well, 185 times in half a minute over the fleet. Sequence: a caller uploads 360 KB to it;
-	// an ask waits behind them; the host takes the dispatcher for silent, probes the others behind the same bytes, and leaves them all. Cause: the same
-	// limit for an answer whatever the host's own link carries.
+test('the timeout of a slot request includes the time that large bodies take on the link of the host', async t => {
+	// Guards against hosts that use their own dispatcher although all control hosts are healthy, 185 times in half a minute over the fleet: slot requests and probes
+	// wait behind an upload of 360 KB on the host's own link, and reach a timeout that does not allow for it.
 	const {client, link, delay} = setUp(() => GRANT);
 	await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 	delay.milliseconds = 400;
@@ -117,35 +116,34 @@
 	t.deepEqual(link.limits, [250, 650]);
 });
 
-test('an ask that waits is answered later', async t => {
+test('a slot request that was answered with wait gets its final answer later', async t => {
 	const {client} = setUp(() => ['wait']);
 	const handle = client.requestSlot(fixture.SLOT_REQUEST_DRAFT);
 	client.handleAnswer(1, ['refuse', 'no-slot-in-time', 300]);
 	t.deepEqual(await handle.answer, {kind: 'refuse', reason: 'no-slot-in-time', retryAfterMilliseconds: 300});
 });
 
-test('without an answer in time the host dispatches alone, gives the late place back, and passes the dispatcher over for a while', async t => {
-	// Symptom: requests wait until their deadline although upstreams are free.
-	// Sequence: the control host that dispatches the service is stopped with its connections open.
-	// Cause: an ask had no time limit of its own.
+test('without an answer in time the host uses its own dispatcher, gives a late slot back, and skips the dispatcher for a while', async t => {
+	// Guards against requests that wait until their deadline although upstreams are free: the control host that dispatches the service is stopped
+	// with its connections open, and slot requests have no timeout.
 	const {client, link, context} = setUp(() => undefined);
 	const first = await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 	t.like(first, {kind: 'grant', upstream: 'own'});
 	t.deepEqual(link.notified.slice(-2), [['dispatch.cancel', [1]], ['dispatch.end', [1, 'unused', 0]]]);
-	const countAsks = () => link.called.filter(([method]) => method === 'dispatch.ask').length;
-	const calls = countAsks();
+	const countSlotRequests = () => link.called.filter(([method]) => method === 'dispatch.ask').length;
+	const calls = countSlotRequests();
 	const second = await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
-	t.is(countAsks(), calls);
+	t.is(countSlotRequests(), calls);
 	for (const answer of [first, second]) {
 		client.reportEnd(answer.kind === 'grant' ? answer.id : '', 'success', 100);
 	}
 
 	await context.pass(1500);
 	await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
-	t.is(countAsks(), calls + 1);
+	t.is(countSlotRequests(), calls + 1);
 });
 
-test('what waits at a dispatcher whose link is lost is dispatched by the host itself when there is nobody else', async t => {
+test('requests queued at a dispatcher whose link is lost go to the own dispatcher when there is no other', async t => {
 	const {client, control, context, link} = setUp(() => ['wait']);
 	const handle = client.requestSlot(fixture.SLOT_REQUEST_DRAFT);
 	await context.pass(1);
@@ -154,10 +152,9 @@
 	t.like(await handle.answer, {kind: 'grant', upstream: 'own'});
 });
 
-test('what waits at a dispatcher whose link is lost is asked of the next one', async t => {
-	// Symptom: right after one control host is killed, requests are shed and lost though the others run.
-	// Sequence: requests wait there for a slot; its links are reset; each host dispatches what it had there by itself.
-	// Cause: only asks that ran into their time limit were taken to the next dispatcher.
+test('requests queued at a dispatcher whose link is lost go to the next one', async t => {
+	// Guards against requests that are shed and lost right after one control host is killed: if only slot requests that time out go to the next dispatcher,
+	// each host dispatches those that were queued at the lost one by itself.
 	const {client, control, context, link} = setUp(() => ['wait'], [createOther('d')]);
 	const service = Array.from({length: 50}, (_, index) => `service-${index}`)
 		.find(name => orderDispatchers(name, ['c', 'd'], id => id)[0] === 'c')!;
@@ -168,35 +165,32 @@
 	t.like(await handle.answer, {kind: 'grant', upstream: 'd'});
 });
 
-test('while no control host answers, one entry host dispatches for all', async t => {
-	// Symptom: for as long as all control hosts are away, a third of the requests is shed, hangs or is refused, though all upstreams and entry
-	// hosts are well.
-	// Sequence: the control hosts lose power; each entry host chooses upstreams by what it sees alone.
-	// Cause: nobody but control hosts dispatched for others.
+test('while no control host answers, a standby dispatches for all hosts', async t => {
+	// Guards against a third of the requests being shed, hanging or being refused while all control hosts have lost power, although all upstreams and entry
+	// hosts are healthy: without standbys, each entry host chooses upstreams by its own requests alone.
 	const standby = createOther('standby');
 	const {client, link} = setUp(() => undefined, ['d', 'e'].map(id => createSilent(id)), [standby]);
 	const answers = [await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer, await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer];
 	t.deepEqual(answers.map(answer => answer.kind === 'grant' && answer.upstream), ['standby', 'standby']);
-	// The first ask found one dispatcher silent; the probe found the others.
+	// The first slot request finds one dispatcher unresponsive; the probe finds the others.
 	t.true(link.called.filter(([method]) => method === 'dispatch.ask').length <= 1);
 });
 
-test('a dispatcher that knows no upstream sends the ask elsewhere', async t => {
-	// Symptom: for a second after a control host has started, requests are refused since no upstream is known.
-	// Sequence: its links open before it has heard of the upstreams; it comes first for a service again, and refuses at once.
-	// Cause: knowing no upstream was taken for there being none.
+test('a slot request goes to another dispatcher when the first one knows no upstream', async t => {
+	// Guards against requests that are refused for a second after a control host has started: its links open before it knows the upstreams of the
+	// services that it dispatches.
 	const {client} = setUp(() => ['elsewhere'], [], [createOther('standby')]);
 	t.like(await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer, {kind: 'grant', upstream: 'standby'});
 });
 
 const CLOSURES = [
-	{name: 'asked this host to back off', advertisement: {kind: 'backoff', milliseconds: 3000}, endsAfter: 3000},
-	{name: 'told this host that it leaves', advertisement: {kind: 'draining'}, endsAfter: undefined},
+	{name: 'advertised a backoff to this host', advertisement: {kind: 'backoff', milliseconds: 3000}, endsAfter: 3000},
+	{name: 'advertised to this host that it drains', advertisement: {kind: 'draining'}, endsAfter: undefined},
 ] as const;
 
 for (const {name, advertisement, endsAfter} of CLOSURES) {
-	test(`a place at an upstream that ${name} is given back and another one asked for`, async t => {
-		// Guards against dispatchers that do not know what an upstream told a host, and grant it all the same.
+	test(`a slot at an upstream that ${name} is given back and another one is requested`, async t => {
+		// Guards against dispatchers that grant slots at an upstream because they do not know what it advertised to the host.
 		const {client, link, context} = setUp((_method, ask: ShortAsk) => ask[3]?.includes('u') === true ? ['grant', 'v', '10.0.0.5:80', 0] : GRANT);
 		const first = await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 		t.like(first, {kind: 'grant', upstream: 'u'});
@@ -210,10 +204,9 @@
 	});
 }
 
-test('a place at an upstream that was retired here is given back and another one asked for', async t => {
-	// Symptom: a request reaches an upstream after its draining was acknowledged.
-	// Sequence: the dispatcher is cut off from the other control hosts and does not hear of the retirement; this host does.
-	// Cause: the host trusted the dispatcher alone.
+test('a slot at an upstream that the host knows as retired is given back and another one is requested', async t => {
+	// Guards against a request that reaches an upstream after its draining was acknowledged: the dispatcher is partitioned from the other control hosts and
+	// does not receive the retirement, while this host does.
 	let asks = 0;
 	const {client, link, retired} = setUp(() => {
 		asks++;
@@ -225,7 +218,7 @@
 	t.true(link.notified.some(([method, parameters]) => method === 'dispatch.end' && JSON.stringify(parameters) === '[1,"unused",0]'));
 });
 
-test('a request that is given up gives its place back, whenever it comes', async t => {
+test('a cancelled slot request gives its slot back even if it is granted later', async t => {
 	const {client, link} = setUp(() => ['wait']);
 	const handle = client.requestSlot(fixture.SLOT_REQUEST_DRAFT);
 	handle.cancel();
@@ -243,16 +236,15 @@
 	link: fixture.createFakeLink(() => undefined),
 });
 
-test('without an answer in time the next dispatcher is asked', async t => {
-	// Symptom: while one control host stands still, requests are shed and lost though the others run.
-	// Sequence: an ask is not answered; its host dispatches alone, from what it knows itself.
-	// Cause: nobody asked the next dispatcher for that request.
+test('without an answer in time the slot request goes to the next dispatcher', async t => {
+	// Guards against requests that are shed and lost while one control host is frozen and the others run: a host whose slot request is not answered
+	// must not use its own dispatcher at once.
 	const others = ['d', 'e'].map(id => createOther(id));
 	const setup = setUp(() => undefined, others);
 	const services = Array.from({length: 20}, (_, index) => `service-${index}`);
 	const granted: string[] = [];
 	for (const service of services) {
-		// eslint-disable-next-line no-await-in-loop -- One after the other, each finds out anew.
+		// eslint-disable-next-line no-await-in-loop -- One after the other, so that each meets the state that the one before left.
 		const answer = await setup.client.requestSlot({...fixture.SLOT_REQUEST_DRAFT, service}).answer;
 		granted.push(answer.kind === 'grant' ? answer.upstream : answer.reason);
 	}
@@ -261,10 +253,9 @@
 	t.deepEqual([...new Set(granted)].toSorted(), ['d', 'e']);
 });
 
-test('what waits at a dispatcher that has become silent is asked of the next one', async t => {
-	// Symptom: requests that waited for a slot when their dispatcher was stopped miss their deadlines.
-	// Sequence: the dispatcher says that they wait, and stands still; later asks find out.
-	// Cause: only asks without any answer were taken elsewhere.
+test('requests queued at a dispatcher that has become silent go to the next one', async t => {
+	// Guards against requests that miss their deadlines because they were queued when their dispatcher froze: a later slot request finds it
+	// unresponsive, and must take the queued ones along.
 	let answers = 0;
 	const setup = setUp(() => {
 		answers++;
--- a/packages/wagtailroute-fleet/src/__tests__/unit/dispatcher-finder.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/dispatcher-finder.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of which dispatcher is asked.
+Tests of which dispatcher is found for a service.
 */
 import test from 'ava';
 import type {LinkedHost} from '../../control-links.ts';
@@ -16,7 +16,7 @@
 	hostId: 'front', getControlHosts: () => controls, getStandbys: () => [], isOwnHostStandby: () => false, ...changes,
 });
 
-test('all hosts ask the same one, services spread', t => {
+test('all hosts find the same dispatcher, and services are spread over dispatchers', t => {
 	const context = fixture.createFakeContext();
 	const controls = createControls(5);
 	const services = Array.from({length: 50}, (_, index) => `service-${index}`);
@@ -28,12 +28,12 @@
 type Case = {
 	readonly name: string;
 	/**
-	Dispatchers, from the first in the order, that did not answer in time.
+	Number of dispatchers, from the first in the service's order, that did not answer in time.
 	*/
 	readonly unresponsive: number;
 	readonly waitMilliseconds: number;
 	/**
-	Place in the order of the one that is asked.
+	Index in the service's order of the one that is found.
 	*/
 	readonly asked: number | undefined;
 };
@@ -46,9 +46,8 @@
 		name: 'the next one after the first did not answer', unresponsive: 1, waitMilliseconds: 0, asked: 1,
 	},
 	{
-		// Symptom: for seconds after all control hosts lost power, each request waits a quarter of a second or more.
-		// Sequence: their links stay open and silent; each ask runs into its time limit at one after the other.
-		// Cause: the silence of most said nothing about the rest.
+		// Guards against requests that wait a quarter of a second or more for seconds after all control hosts lost power: their links stay open
+		// and silent, and each slot request times out at one after the other.
 		name: 'none when most did not answer', unresponsive: 3, waitMilliseconds: 0, asked: undefined,
 	},
 	{
@@ -57,7 +56,7 @@
 ];
 
 for (const {name, unresponsive, waitMilliseconds, asked} of CASES) {
-	test(`asks ${name}`, async t => {
+	test(`finds ${name}`, async t => {
 		const context = fixture.createFakeContext();
 		const controls = createControls(5);
 		const finder = createDispatcherFinder(context, createOptions(controls));
@@ -78,10 +77,9 @@
 	});
 }
 
-test('one that did not answer is not asked again before it was heard', async t => {
-	// Symptom: for as long as a control host stands still, requests lose a quarter of a second, again every second.
-	// Sequence: its process is stopped; its links stay open and silent.
-	// Cause: it was passed over for a second whatever was heard of it.
+test('a dispatcher that did not answer is skipped until a message from it arrives', async t => {
+	// Guards against requests that lose a quarter of a second, again every second, while a control host is frozen: its process is stopped, and its links
+	// stay open and silent.
 	const context = fixture.createFakeContext();
 	const link = fixture.createFakeLink(() => undefined);
 	const other = fixture.createFakeLink(() => undefined);
@@ -97,7 +95,7 @@
 	t.is(finder.find('archive')?.host.id, first.host.id);
 });
 
-test('while most control hosts do not answer, all hosts ask the same standby', t => {
+test('while most control hosts do not answer, all hosts find the same standby', t => {
 	const context = fixture.createFakeContext();
 	const controls = createControls(3);
 	const standbys = ['s0', 's1', 's2'].map((id): LinkedHost => ({
@@ -115,6 +113,6 @@
 
 	const found = find({getStandbys: () => standbys});
 	t.is(new Set(found).size, 3);
-	// A standby has no link to itself, and comes to the same.
+	// A standby has no link to itself, and finds the same ones.
 	t.deepEqual(find({hostId: 's1', isOwnHostStandby: () => true, getStandbys: () => standbys.filter(({host}) => host.id !== 's1')}), found);
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
@@ -1,5 +1,5 @@
 /**
-A context with a clock that tests move, and links whose other side is the test.
+A context with a clock that tests advance, and links whose peer is the test.
 */
 import * as stream from 'node:stream';
 import * as results from 'ts-results-es';
@@ -13,7 +13,7 @@
 import type {FleetSettings} from '../../settings.ts';
 
 /**
-What a request asks for.
+A slot request without its ID and host.
 */
 export const SLOT_REQUEST_DRAFT: SlotRequestDraft = {
 	service: 'archive',
@@ -29,19 +29,19 @@
 };
 
 /**
-What dispatching needs of a host whose dispatcher is the only one.
+Options of a dispatcher that is the only one of its fleet.
 */
 export const ONLY_DISPATCHER: Pick<DispatchingPlan, 'requestShare' | 'isTold'> = {
 	requestShare: {record: () => undefined, get: () => 1, getOne: () => 1}, isTold: true,
 };
 
 /**
-How organisations' use is judged.
+Settings of the allotments of organisations.
 */
 export const ALLOTMENTS: FleetSettings['allotments'] = {slack: 20, windowMilliseconds: 5000};
 
 /**
-A route of uploads, whose heaviest share goes to the second service.
+A route of class upload, whose second service has the larger weight.
 */
 export const UPLOAD_ROUTE: generations.GenerationRoute = {
 	name: 'r',
@@ -61,11 +61,11 @@
 };
 
 /**
-A context, and how its time passes.
+A context whose time the test advances.
 */
 export type FakeContext = FleetContext & {
 	/**
-	Lets time pass and runs what was scheduled meanwhile, and what promises await.
+	Advances the time, runs the timers that become due, and settles promises.
 	*/
 	readonly pass: (milliseconds: number) => Promise<void>;
 };
@@ -106,7 +106,7 @@
 				timers.delete(next);
 				time = next.at;
 				next.run();
-				// eslint-disable-next-line no-await-in-loop -- What follows from one timer may set the next.
+				// eslint-disable-next-line no-await-in-loop -- A timer may schedule the next one.
 				await settle();
 			}
 
@@ -126,13 +126,13 @@
 }
 
 /**
-A link whose other side is the test.
+A link whose peer is the test.
 */
 export type FakeLink = link.Link & {
 	readonly notified: ReadonlyArray<readonly [method: string, parameters: unknown]>;
 	readonly called: ReadonlyArray<readonly [method: string, parameters: unknown]>;
 	/**
-	Milliseconds that each call might take.
+	Timeout in milliseconds of each call.
 	*/
 	readonly limits: readonly number[];
 	silence: number;
--- a/packages/wagtailroute-fleet/src/__tests__/unit/fleet-view.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/fleet-view.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of what an entry host knows: generations only move forward, instances and retirements are followed.
+Tests of an entry host's view of the fleet: versions of generations never decrease, instances and retirements are followed.
 */
 import test from 'ava';
 import type * as generations from 'wagtailroute-generations';
@@ -29,9 +29,9 @@
 };
 
 /**
-Creates the knowledge of a host with links to some control hosts.
+Creates the view of a host with links to some control hosts.
 
-@param versions The version that each control host answers with; undefined answers nothing.
+@param versions The version that each control host answers with; undefined does not answer.
 */
 function setUp(versions: ReadonlyArray<number | undefined>): Setup {
 	const context = fixture.createFakeContext();
@@ -53,7 +53,7 @@
 	};
 }
 
-test('a generation is fetched from the own failure domain where it can be', async t => {
+test('a generation is fetched from the own failure domain if possible', async t => {
 	const {context, fleetView, controls, links} = setUp([3, 3]);
 	fleetView.recordVersion(controls[0]!, 3);
 	fleetView.recordVersion(controls[1]!, 3);
@@ -62,10 +62,9 @@
 	t.deepEqual(links.map(link => link.called.length), [0, 1]);
 });
 
-test('a control host that lags behind takes nothing back', async t => {
-	// Symptom: a host that had a route answers that there is none.
-	// Sequence: it fetches version 5; a control host that was cut off tells version 4 and hands it out.
-	// Cause: whatever was fetched last was put in force.
+test('a control host that lags behind does not replace a newer generation', async t => {
+	// Guards against a host that answers that a known route does not exist: it has fetched version 5, and a control host that was partitioned reports and
+	// serves version 4.
 	const {context, fleetView, controls} = setUp([4, 5]);
 	fleetView.recordVersion(controls[1]!, 5);
 	await context.pass(100);
@@ -82,7 +81,7 @@
 	t.is(fleetView.getGeneration()?.version, 7);
 });
 
-test('a retired instance takes no more work, and comes back with no heartbeat', async t => {
+test('a retired instance gets no more requests, and no heartbeat makes it serve again', async t => {
 	const {context, fleetView} = setUp([1]);
 	fleetView.followInstances();
 	await context.pass(10);
@@ -93,10 +92,9 @@
 	t.true(fleetView.isRetired('u'));
 });
 
-test('an address is known for as long as an instance has it', async t => {
-	// Symptom: the memory of an entry host grows for as long as it runs.
-	// Sequence: upstreams are replaced all day, each at an address of its own.
-	// Cause: the connections to addresses that were gone were kept; nobody told that they were.
+test('an address is listed for as long as an instance has it', async t => {
+	// Guards against memory that grows for as long as an entry host runs: upstreams are replaced all day, each at a new address, and the connection pools of
+	// addresses without an instance are kept.
 	const {context, fleetView} = setUp([1]);
 	fleetView.followInstances();
 	await context.pass(10);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/held-slots.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/held-slots.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of the places that a host holds.
+Tests of the slots that a host holds.
 */
 import test from 'ava';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -10,10 +10,9 @@
 	...fixture.SLOT_REQUEST_DRAFT, id: 'h:1', host: 'h', failureDomain: 'x',
 };
 
-test('a dispatcher is told what is held of its service, once for as long as it stays the same', t => {
-	// Symptom: upstreams shed requests right after a control host was lost.
-	// Sequence: another one dispatches from now on; it counts every slot as free, the requests under way are not its own.
-	// Cause: nobody told it of them.
+test('a dispatcher receives the held slots of its service, once until the dispatcher changes', t => {
+	// Guards against upstreams that shed requests right after a control host was lost: the next dispatcher counts the slots that the lost one
+	// granted as free.
 	const first = fixture.createFakeLink(() => undefined);
 	const second = fixture.createFakeLink(() => undefined);
 	const host = {id: 'c', address: {ip: '10.0.0.2', port: 1}};
--- a/packages/wagtailroute-fleet/src/__tests__/unit/standby-choice.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/standby-choice.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of which entry hosts dispatch while no control host does.
+Tests of which entry hosts are chosen as standbys.
 */
 import test from 'ava';
 import {createAskers} from '../../askers.ts';
@@ -30,10 +30,10 @@
 };
 
 const CASES: readonly Case[] = [
-	{name: 'as many of each failure domain', domains: {a: 10, b: 10, c: 10}, counts: {a: 2, b: 2, c: 2}},
-	{name: 'those that there are', domains: {a: 1, b: 2}, counts: {a: 1, b: 2}},
-	{name: 'more of one where others have few', domains: {a: 10, b: 1}, counts: {a: MAX_STANDBYS - 1, b: 1}},
-	{name: 'none where there are none', domains: {}, counts: {}},
+	{name: 'equally many of each failure domain', domains: {a: 10, b: 10, c: 10}, counts: {a: 2, b: 2, c: 2}},
+	{name: 'all entry hosts when there are few', domains: {a: 1, b: 2}, counts: {a: 1, b: 2}},
+	{name: 'more of one failure domain where others have few', domains: {a: 10, b: 1}, counts: {a: MAX_STANDBYS - 1, b: 1}},
+	{name: 'none when there is no entry host', domains: {}, counts: {}},
 ];
 
 for (const {name, domains, counts} of CASES) {
@@ -49,7 +49,7 @@
 	t.deepEqual(chooseStandbys(hosts.toReversed()), chooseStandbys(hosts));
 });
 
-test('an asking host that opened another link is found by the new one', t => {
+test('a requesting host that opened another link is found by the new one', t => {
 	const askers = createAskers();
 	const [old, next] = [fixture.createFakeLink(() => undefined), fixture.createFakeLink(() => undefined)];
 	askers.add({id: 'front', failureDomain: 'a'}, old);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/startup-gate.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/startup-gate.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of when a host that has just started begins to serve.
+Tests of when a host that has just started serves requests.
 */
 import test from 'ava';
 import {createStartupGate} from '../../startup-gate.ts';
@@ -11,21 +11,20 @@
 		name: 'not without a generation', hasGeneration: false, areControlLinksOpen: true, after: MAX_CONTROL_LINKS_WAIT_MILLISECONDS, isOpen: false,
 	},
 	{
-		name: 'at once when all links are there', hasGeneration: true, areControlLinksOpen: true, after: 0, isOpen: true,
+		name: 'at once when all links are open', hasGeneration: true, areControlLinksOpen: true, after: 0, isOpen: true,
 	},
 	{
-		// Symptom: after a restart of everything, each upstream gets several times its slots, and all who come back wait there for a second.
-		// Sequence: hosts are linked to the control hosts one after the other, and ask whichever they have.
-		// Cause: the first link was enough.
+		// Guards against upstreams that get several times their slots after a restart of the whole fleet, so that requests queue there for a second: hosts
+		// open their links one after the other, and with a part of them use different dispatchers.
 		name: 'not while links are missing', hasGeneration: true, areControlLinksOpen: false, after: MAX_CONTROL_LINKS_WAIT_MILLISECONDS - 1, isOpen: false,
 	},
 	{
-		name: 'without a control host that is away for longer', hasGeneration: true, areControlLinksOpen: false, after: MAX_CONTROL_LINKS_WAIT_MILLISECONDS, isOpen: true,
+		name: 'without a control host that is down for longer', hasGeneration: true, areControlLinksOpen: false, after: MAX_CONTROL_LINKS_WAIT_MILLISECONDS, isOpen: true,
 	},
 ];
 
 for (const {name, hasGeneration, areControlLinksOpen, after, isOpen} of CASES) {
-	test(`a host begins ${name}`, async t => {
+	test(`the gate opens ${name}`, async t => {
 		const context = fixture.createFakeContext();
 		const gate = createStartupGate(context, {hasGeneration: () => hasGeneration, areControlLinksOpen: () => areControlLinksOpen});
 		gate.check();
@@ -34,7 +33,7 @@
 	});
 }
 
-test('what waits goes on when the host begins, and after a while in any case', async t => {
+test('a waiting request proceeds when the gate opens, or after a bounded time', async t => {
 	const context = fixture.createFakeContext();
 	let hasGeneration = false;
 	const gate = createStartupGate(context, {hasGeneration: () => hasGeneration, areControlLinksOpen: () => true});
--- a/packages/wagtailroute-fleet/src/absences.ts
+++ b/packages/wagtailroute-fleet/src/absences.ts
@@ -12,7 +12,7 @@
 	ABSENCE_MOST_MILLISECONDS,
 	ABSENCE_REPEAT_MILLISECONDS,
 	ABSENCE_SLICE_MILLISECONDS,
-	ASKER_EXPIRY_MILLISECONDS,
+	REQUESTING_HOST_EXPIRY_MILLISECONDS,
 	PAUSE_MILLISECONDS,
 	SILENT_ASKER_MILLISECONDS,
 	SILENT_FAR_ENTRY_MILLISECONDS,
@@ -100,7 +100,7 @@
 	let resumedAt = -Infinity;
 
 	const isSilent = ({id, silence}: HeardHost) => {
-		const isAsker = now() - (askedAt.get(id) ?? -Infinity) < ASKER_EXPIRY_MILLISECONDS;
+		const isAsker = now() - (askedAt.get(id) ?? -Infinity) < REQUESTING_HOST_EXPIRY_MILLISECONDS;
 		return Math.min(silence, now() - resumedAt) > (isAsker ? SILENT_ASKER_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS);
 	};
 
--- a/packages/wagtailroute-fleet/src/advertisements.ts
+++ b/packages/wagtailroute-fleet/src/advertisements.ts
@@ -1,8 +1,8 @@
 /**
 What upstreams advertised in answers to this host.
 
-A backoff and that an upstream leaves bind this host whatever its dispatcher grants. A dispatcher that it turns to may know nothing of what was advertised: it may
-have just started, or have been partitioned at the time.
+An advertised backoff or drain binds this host whatever its dispatcher grants. A dispatcher that the host starts to use may not know of advertisements, because it has
+just started or was partitioned at the time, so they are kept here and reported to it.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -11,7 +11,7 @@
 import {RATE_LIMIT_TTL_MILLISECONDS} from './constants.ts';
 
 /**
-Why this host sends nothing to an upstream.
+Why an upstream is closed to this host: it advertised a backoff, or that it is draining.
 */
 export type Closure = Exclude<core.Advertisement['kind'], 'rate-limit'>;
 
@@ -27,9 +27,12 @@
 	*/
 	readonly liftRateLimit: (service: core.ServiceName, upstream: core.UpstreamId, sentAt: number) => void;
 	/**
-	Returns why nothing may be sent to an upstream now; undefined when it may.
+	Returns why an upstream is closed to this host now; undefined when it is open.
 	*/
 	readonly findClosure: (upstream: core.UpstreamId) => Closure | undefined;
+	/**
+	Returns the advertisements of a service's upstreams that still hold, as they are reported to dispatchers.
+	*/
 	readonly list: (service: core.ServiceName) => readonly dispatch.UpstreamUpdate[];
 };
 
@@ -83,7 +86,7 @@
 		'rate-limit'(service, upstream, {ratePerSecond}) {
 			const limits = limitsByService.get(service) ?? new Map<core.UpstreamId, AdvertisedRateLimit>();
 			limitsByService.set(service, limits);
-			// Keeps the entries in order of time.
+			// Deleting first moves the entry to the end: the map stays in order of time.
 			limits.delete(upstream);
 			limits.set(upstream, {ratePerSecond, advertisedAt: now()});
 			pruneLimits(limits);
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -3,42 +3,42 @@
 */
 
 /**
-Milliseconds that the first message of a link may take; a control host that is busy with its start needs most.
+Milliseconds that the hello of a link may take; a control host that is busy with its start takes longest.
 */
 export const HELLO_TIMEOUT_MILLISECONDS = 1500;
 
 /**
-Milliseconds that a dispatcher may take to answer an ask at once, if only with "wait": a pause of its process for a used-up
-share of the processor lasts up to 100 ms, and a caller's objective is about a second.
+Milliseconds that a dispatcher may take for its first answer to a slot request, which may be "wait". CPU throttling pauses a process for up to
+100 ms, and a caller's latency objective is about a second.
 */
 export const SLOT_REQUEST_TIMEOUT_MILLISECONDS = 250;
 
 /**
-Milliseconds more that a host waits for others at most while large bodies fill its own link. Who does not wait for its own bytes takes every control host
-for lost, dispatches alone, and sees neither free slots nor what others have learned.
+Longest time in milliseconds that a host adds to its timeouts while large bodies fill its own network link. Without it the host would take every control host
+for lost and use its own dispatcher, which knows neither the slots in use nor what other dispatchers hold against upstreams.
 */
 export const MAX_LINK_DELAY_MILLISECONDS = 1000;
 
 /**
-Dispatchers that may leave an ask unanswered before its host dispatches alone: with the second one the other control hosts are probed, so
-the third is one that answers, or an entry host.
+Dispatchers that may fail to decide on a slot request before its host uses its own dispatcher. When one does not answer, the other control hosts
+are probed, so the third one tried is responsive, or is a standby.
 */
 export const MAX_FAILED_DISPATCHERS = 3;
 
 /**
-Milliseconds after which a request is to come back when no upstream of its service is known at all: heartbeats come every second or two.
+Milliseconds after which a caller is to retry when no upstream of the service is known: heartbeats arrive every second or two.
 */
 export const UNKNOWN_SERVICE_RETRY_MILLISECONDS = 500;
 
 /**
-Milliseconds that a control host may take to answer a probe, after another one has left an ask unanswered: like an ask's, less what was lost
-already.
+Milliseconds that a control host may take to answer a probe, after another one did not answer a slot request: shorter than the timeout of the
+request, part of whose time is already used.
 */
 export const PROBE_TIMEOUT_MILLISECONDS = 150;
 
 /**
-Entry hosts that all hosts know as dispatchers for when no control host answers: two of each of three failure domains, so that some are
-left when hosts are lost with the control hosts, and few enough that each dispatches several services.
+Entry hosts that dispatch when no control host answers: two in each of three failure domains, so that some are left when entry hosts are lost together
+with the control hosts, and few enough that each dispatches several services.
 */
 export const MAX_STANDBYS = 6;
 
@@ -53,29 +53,29 @@
 export const STANDBYS_MILLISECONDS = 300;
 
 /**
-Milliseconds after the last need for which links to standbys stay open: longer than control hosts take to be back in order.
+Milliseconds for which links to standbys stay open after they were last needed: longer than control hosts take to recover.
 */
 export const STANDBY_IDLE_TIMEOUT_MILLISECONDS = 20_000;
 
 /**
-Milliseconds that a request waits for the first link to a standby: twice what opening one takes within a region.
+Milliseconds that a slot request waits for the first link to a standby: twice the time that opening one takes within a region.
 */
 export const MAX_STANDBY_WAIT_MILLISECONDS = 60;
 
 /**
-Resends that an entry host may give out beyond a part of the requests. The budget is the whole fleet's, and any number of hosts may dispatch at
-once: each takes next to nothing beyond what the requests that it is asked for give it.
+Resends that the dispatcher of an entry host may grant in addition to a ratio of the requests that it dispatches. The budget holds for the whole fleet
+and any number of entry hosts may dispatch at once, so each gets next to nothing beyond the ratio.
 */
 export const STANDBY_EXTRA_RESENDS = 2;
 
 /**
-Milliseconds for which a dispatcher that did not answer in time is passed over.
+Milliseconds for which a dispatcher that did not answer in time is skipped.
 */
 export const UNRESPONSIVE_DISPATCHER_MILLISECONDS = 1000;
 
 /**
-Milliseconds of silence after which a dispatcher is passed over without asking: two pings were missed. An ask
-that is not answered tells sooner.
+Milliseconds of silence after which a dispatcher is skipped without a request to it: two pings were missed. A slot request that times out shows
+it sooner.
 */
 export const SILENT_DISPATCHER_MILLISECONDS = 5500;
 
@@ -95,12 +95,12 @@
 export const SILENT_UPSTREAM_MILLISECONDS = 5000;
 
 /**
-Milliseconds between two looks for silent upstreams and hosts.
+Milliseconds between two checks for silent upstreams, unused links and forgotten hosts.
 */
 export const HOUSEKEEPING_INTERVAL_MILLISECONDS = 1000;
 
 /**
-Milliseconds for which a host waits for a control host of its own failure domain before it fetches a generation from another.
+Milliseconds for which an entry host waits for a control host of its own failure domain to report a new generation before it fetches it from another failure domain.
 */
 export const FAR_FETCH_DELAY_MILLISECONDS = 25;
 
@@ -110,39 +110,39 @@
 export const FETCH_TIMEOUT_MILLISECONDS = 2000;
 
 /**
-Milliseconds that a request waits on a host that has no generation yet. After a restart of everything it is there within 0.8 s; a caller that
-waits in vain still has most of its time.
+Milliseconds that a request waits on a host that does not serve yet. After a restart of the whole fleet the generation arrives within 0.8 s; a caller
+that waits in vain still has most of its time.
 */
 export const MAX_FIRST_GENERATION_WAIT_MILLISECONDS = 1000;
 
 /**
-Milliseconds after the first generation for which a host that has just started waits for its links to the other control hosts: three tries.
+Milliseconds for which a host that has just started waits, after its first generation, for its links to the other control hosts: three connection attempts.
 */
 export const MAX_CONTROL_LINKS_WAIT_MILLISECONDS = 250;
 
 /**
-Milliseconds after which a request is to come back to a fleet that has no generation: what went wrong takes longer than a usual start.
+Milliseconds after which a caller is to retry when the host has no generation: requests wait out a usual start, so the cause is another one and lasts longer.
 */
 export const NO_GENERATION_RETRY_MILLISECONDS = 700;
 
 /**
-Milliseconds before a fetch that failed is tried again.
+Milliseconds before a fetch that failed is retried.
 */
 export const FETCH_RETRY_DELAY_MILLISECONDS = 100;
 
 /**
-Milliseconds without a link after which a control host that no other one names is forgotten.
+Milliseconds without a link after which a control host is forgotten unless another one names it.
 */
 export const CONTROL_HOST_EXPIRY_MILLISECONDS = 15_000;
 
 /**
-Milliseconds that one try to bring a command to the leader may take: operators turn to another host after a second.
+Milliseconds that one call of the leader may take: operators' tools try another host after a second.
 */
 export const LEADER_CALL_TIMEOUT_MILLISECONDS = 700;
 
 /**
-Tries to bring a command to the leader, and the wait between them in milliseconds: together less than a second, so that the
-operator still hears an answer.
+Attempts at a call of the leader, and the milliseconds after each: attempts without a leader take less than a second together, so that the operator
+still receives an answer.
 */
 export const MAX_LEADER_CALL_ATTEMPTS = 3;
 export const LEADER_CALL_RETRY_DELAY_MILLISECONDS = 60;
@@ -222,7 +222,7 @@
 export const LOAD_SHARE = 0.3;
 
 /**
-Change of load that the control hosts are told, a third of what is aimed at: a message to each costs as much as a request's.
+Change of an entry host's load from which on it is reported to the control hosts, a third of the target load: a message to each costs as much as those of a request.
 */
 export const MIN_REPORTED_LOAD_CHANGE = 0.13;
 
@@ -247,13 +247,13 @@
 export const NEAR_PING_INTERVAL_MILLISECONDS = 700;
 
 /**
-The same between failure domains, where bytes cost: callers look up an entry host at control hosts of their own failure domain.
+The same between failure domains, where traffic costs. Longer intervals are enough there: callers look up entry hosts at control hosts of their own failure domain.
 */
 export const FAR_PING_INTERVAL_MILLISECONDS = 2000;
 
 /**
-Milliseconds that opening a connection to an upstream may take before another one is tried: a hundred times the way between
-failure domains of one region.
+Milliseconds that opening a connection to an upstream may take before another upstream is tried: a hundred times the latency between failure domains of
+one region.
 */
 export const UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS = 300;
 
@@ -270,13 +270,13 @@
 export const STOP_MARGIN_PART = 0.1;
 
 /**
-Usual times of its route after which a request that may be repeated is asked another place for: with work times that spread by half, one in
-a hundred takes longer on an upstream that is well.
+Multiple of the route's usual time after which a repeatable request is overdue and is sent to another upstream: with log-normal service times
+of sigma 0.5, one in a hundred takes longer on a healthy upstream.
 */
 export const OVERDUE_RATIO = 3;
 
 /**
-The same in milliseconds at least: a pause of a process lasts up to 100 ms.
+Milliseconds before which no request is overdue: a pause of a process lasts up to 100 ms.
 */
 export const MIN_OVERDUE_MILLISECONDS = 600;
 
@@ -286,9 +286,9 @@
 export const ROUTES_MEASURED = 4096;
 
 /**
-Milliseconds after its last ask for which a host is told what a dispatcher believes.
+Milliseconds after its last slot request for which a host counts as a requesting host and receives a dispatcher's beliefs.
 */
-export const ASKER_EXPIRY_MILLISECONDS = 10_000;
+export const REQUESTING_HOST_EXPIRY_MILLISECONDS = 10_000;
 
 /**
 Milliseconds for which suspensions and readmissions are collected before hosts that ask are told. They need them only to dispatch on their
@@ -303,7 +303,7 @@
 export const UPDATE_MILLISECONDS = 100;
 
 /**
-Milliseconds after the last answer that advertised it for which a host reports a rate limit to dispatchers that it turns to.
+Milliseconds after the last answer that advertised a rate limit for which a host reports the limit to dispatchers that it starts to use.
 */
 export const RATE_LIMIT_TTL_MILLISECONDS = 10_000;
 
@@ -314,7 +314,7 @@
 export const CONTROLS_TOLD_MILLISECONDS = 50;
 
 /**
-Milliseconds after a change of the instances before connections to addresses that are gone are closed.
+Milliseconds after a change of the instances before connections to addresses without an instance are closed.
 */
 export const CONNECTION_PRUNE_DELAY_MILLISECONDS = 5000;
 
@@ -334,7 +334,7 @@
 export const BELIEFS_KEPT_MILLISECONDS = 20_000;
 
 /**
-Milliseconds between two reports of the bytes over links, at the level debug.
+Milliseconds between two log lines about the bytes of a link, at the level debug.
 */
 export const LINK_REPORT_INTERVAL_MILLISECONDS = 10_000;
 
@@ -354,8 +354,8 @@
 export const ENTRY_HOST_COUNT_MILLISECONDS = 6000;
 
 /**
-Entry hosts that a fleet is taken to have while a host was not told how many there are: one that dispatches alone may give out one part in so
-many of what is limited over all of them.
+Number of entry hosts assumed while a host does not know how many there are: its own dispatcher may then grant one part in this many of a limit that holds
+over all of them.
 */
 export const ASSUMED_ENTRY_HOSTS = 100;
 
@@ -380,7 +380,7 @@
 export const PAUSE_MILLISECONDS = 200;
 
 /**
-Longest time in milliseconds without a message of this side on a link to a dispatcher that is asked: looked at every 0.35 s.
+Longest time in milliseconds without a message from this host on a link to a dispatcher that it recently sent slot requests to; checked every 0.35 s.
 */
 export const DISPATCHER_PING_INTERVAL_MILLISECONDS = 350;
 
--- a/packages/wagtailroute-fleet/src/control-links.ts
+++ b/packages/wagtailroute-fleet/src/control-links.ts
@@ -1,8 +1,8 @@
 /**
-Links from this host to every control host it knows.
+Links from this host to every control host that it knows.
 
-Hosts start with a few seeds and learn the others from them; a control host that is gone for long and that nobody names any
-more is forgotten. Seeds stay: they may be all there is after a long outage.
+A host starts with a few seeds and discovers the other control hosts through them. A control host is forgotten after a time without a link to it and
+without any host naming it. Seeds are never forgotten: they may be the only way back after a long outage.
 */
 import * as core from 'wagtailroute-core';
 import * as link from 'wagtailroute-link';
@@ -25,7 +25,7 @@
 import type {ControlHost} from './settings.ts';
 
 /**
-A control host with an open link that was greeted.
+A control host, or a standby, with an open link over which it has answered the hello.
 */
 export type LinkedHost = {
 	readonly host: ControlHost;
@@ -33,37 +33,40 @@
 };
 
 /**
-What the links are made with.
+Settings and callbacks of the links to control hosts.
 */
 export type ControlLinksOptions = {
 	readonly seeds: readonly ControlHost[];
 	/**
-	This host's own name: it keeps no link to itself.
+	This host's own ID: it opens no link to itself.
 	*/
 	readonly hostId: core.HostId;
 	readonly failureDomain: core.FailureDomain;
 	readonly createHello: () => Hello;
 	readonly methods: link.LinkMethods;
 	/**
-	Says whether the dispatcher of a control host counts this host among those that ask it: it is to notice soon when it does not hear this host any more.
+	Returns whether the dispatcher of a control host counts this host among its requesting hosts. Such links get frequent pings, so that the dispatcher soon notices when this host is silent.
 	*/
 	readonly isRecentlyAsked?: (controlLink: link.Link) => boolean;
+	/**
+	Called when a control host has answered the hello.
+	*/
 	readonly onOpen: (control: LinkedHost, welcome: Welcome) => void;
 	readonly onLost: (control: LinkedHost) => void;
 };
 
 /**
-Keeps the links to the control hosts and tells which are open.
+The links to the control hosts.
 */
 export type ControlLinks = {
 	readonly getOpen: () => readonly LinkedHost[];
 	/**
-	Says whether there is a link to every control host that is known.
+	Returns whether there is an open link to every known control host; false when none is known.
 	*/
 	readonly isComplete: () => boolean;
 	readonly find: (id: core.HostId) => link.Link | undefined;
 	/**
-	Takes note of control hosts that another host named.
+	Opens links to control hosts that another host named, if they are not known yet.
 	*/
 	readonly addDiscovered: (hosts: readonly ControlHost[]) => void;
 	readonly addSeeds: (seeds: readonly ControlHost[]) => void;
@@ -74,13 +77,16 @@
 type KnownControlHost = {
 	host: ControlHost;
 	isSeed: boolean;
+	/**
+	When a host last named it or its link was lost, in milliseconds of monotonic time.
+	*/
 	lastSeenAt: number;
 	open?: LinkedHost;
 	readonly dialer: link.Dialer;
 };
 
 /**
-Starts the links.
+Starts the links to the seeds.
 */
 export function startControlLinks(context: FleetContext, options: ControlLinksOptions): ControlLinks {
 	const {now, random} = context;
@@ -99,7 +105,7 @@
 		const welcome = answer.value as Welcome;
 		entry.host = {...entry.host, failureDomain: welcome.failureDomain};
 		entry.open = {host: entry.host, link: opened};
-		log.info('Link opened.', {control: id, version: welcome.version});
+		log.info('A link to a control host is open.', {control: id, version: welcome.version});
 		addDiscovered(welcome.controls);
 		options.onOpen(entry.open, welcome);
 	};
@@ -113,7 +119,7 @@
 
 		entry.open = undefined;
 		entry.lastSeenAt = now();
-		log.warn('Link lost.', {control: id});
+		log.warn('A link to a control host was lost.', {control: id});
 		options.onLost(open);
 	};
 
@@ -123,7 +129,7 @@
 			return DISPATCHER_PING_INTERVAL_MILLISECONDS;
 		}
 
-		// A seed's failure domain is known from its first answer on.
+		// The failure domain of a seed is unknown until it has answered the hello.
 		return entry?.host.failureDomain === options.failureDomain ? NEAR_PING_INTERVAL_MILLISECONDS : FAR_PING_INTERVAL_MILLISECONDS;
 	};
 
@@ -156,7 +162,7 @@
 					handleClose(host.id);
 				},
 				onDefect(error) {
-					log.error('Message could not be handled.', {control: host.id, error: error.stack});
+					log.error('A message from a control host could not be handled.', {control: host.id, error: error.stack});
 				},
 			}),
 		});
@@ -180,7 +186,7 @@
 				continue;
 			}
 
-			log.info('Control host forgotten.', {control: id, address: core.formatAddress(entry.host.address)});
+			log.info('A control host without a link was forgotten.', {control: id, address: core.formatAddress(entry.host.address)});
 			entry.dialer.close();
 			knownHosts.delete(id);
 		}
@@ -190,7 +196,7 @@
 
 	const logBytes = () => {
 		for (const {host, link: open} of getOpen()) {
-			log.debug('Link bytes.', {control: host.id, isNear: host.failureDomain === options.failureDomain, ...open.getBytes()});
+			log.debug('Bytes of a link to a control host were counted.', {control: host.id, isNear: host.failureDomain === options.failureDomain, ...open.getBytes()});
 		}
 	};
 
--- a/packages/wagtailroute-fleet/src/dispatch-client.ts
+++ b/packages/wagtailroute-fleet/src/dispatch-client.ts
@@ -1,16 +1,16 @@
 /**
-How an entry host comes to an upstream for each attempt: it asks the service's dispatcher on a control host, the next one when that
-does not answer, one on an entry host as long as no control host does, and the one that it has itself when nobody else answers.
+Requests a slot at an upstream for each attempt of a request. The request goes to the service's dispatcher on a control host, to the next one
+when that does not answer, to a standby on an entry host while no control host answers, and to this host's own dispatcher last.
 
-Asking only itself, a host sees only its own requests; it starts from the doubts that dispatchers told it. It costs slots that
-are taken by others' requests and shed, never a wrong answer.
+The own dispatcher counts only the slots that this host holds, and starts from the doubts that other dispatchers reported. Its grants may exceed
+an upstream's slots, so that the upstream sheds requests; they never cause a wrong answer.
 */
 import type * as core from 'wagtailroute-core';
 import * as dispatch from 'wagtailroute-dispatch';
 import type * as link from 'wagtailroute-link';
 import {
 	SLOT_REQUEST_TIMEOUT_MILLISECONDS,
-	ASKER_EXPIRY_MILLISECONDS,
+	REQUESTING_HOST_EXPIRY_MILLISECONDS,
 	MAX_FAILED_DISPATCHERS,
 	PROBE_TIMEOUT_MILLISECONDS,
 	UNKNOWN_SERVICE_RETRY_MILLISECONDS,
@@ -43,63 +43,66 @@
 import type {Standbys} from './standbys.ts';
 
 /**
-The final answer to an ask.
+The final answer to a slot request: a granted slot, or a refusal.
 */
 export type FinalAnswer =
 	| (Extract<AskAnswer, {kind: 'grant'}> & {
 		/**
-		Names the place, for its end.
+		Identifies the granted slot when its end or an advertisement is reported.
 		*/
 		readonly id: dispatch.AskId;
 	})
 	| Extract<AskAnswer, {kind: 'refuse'}>;
 
 /**
-A request that waits for its upstream.
+A slot request in progress.
 */
 export type SlotRequestHandle = {
 	readonly answer: Promise<FinalAnswer>;
 	/**
-	Gives the request up; a place that comes all the same is given back.
+	Cancels the slot request. A slot that is granted nevertheless is given back.
 	*/
 	readonly cancel: () => void;
 };
 
 /**
-An ask before it has its name and its host.
+A slot request without the ID and the host, which the client fills in.
 */
 export type SlotRequestDraft = Omit<dispatch.Ask, 'id' | 'host' | 'failureDomain'>;
 
 /**
-Asks for upstreams.
+Requests slots from dispatchers, and reports to them what becomes of granted ones.
 */
 export type DispatchClient = {
 	readonly requestSlot: (draft: SlotRequestDraft) => SlotRequestHandle;
 	/**
-	A granted request has ended.
+	Gives a slot back with the ending of its attempt, and the milliseconds that the attempt took. Ignored for a slot that is not held.
 	*/
 	readonly reportEnd: (id: dispatch.AskId, ending: dispatch.Ending, milliseconds: number) => void;
 	/**
-	The answer to a granted request advertises something about its upstream.
+	Records what the answer to an attempt advertised about its upstream, and passes it on to the dispatcher that granted the slot.
 	*/
 	readonly recordAdvertisements: (id: dispatch.AskId, advertisements: readonly core.Advertisement[]) => void;
 	/**
-	Says whether this host sends nothing to an upstream now, by what the upstream's answers told it.
+	Returns whether an advertised backoff or drain forbids this host to send to an upstream now.
 	*/
 	readonly isClosed: (upstream: core.UpstreamId) => boolean;
+	/**
+	Handles the final answer to a slot request that had to wait.
+	*/
 	readonly handleAnswer: (requestNumber: number, answer: ShortAnswer) => void;
 	/**
-	Says whether the dispatcher at the other end of a link still counts this host among those that ask it.
+	Returns whether the dispatcher at the other end of a link still counts this host among its requesting hosts.
 	*/
 	readonly isRecentlyAsked: (dispatcherLink: link.Link) => boolean;
 	/**
-	The link to a dispatcher is lost.
+	Sends the slot requests that are pending at a dispatcher whose link was lost to other dispatchers.
 	*/
 	readonly handleDispatcherLost: (dispatcher: LinkedHost) => void;
 };
 
 /**
-What asking needs.
+Settings and collaborators of a dispatch client.
 */
 export type DispatchClientOptions = {
 	readonly settings: Pick<EntrySettings, 'hostId' | 'failureDomain' | 'allotments'>;
@@ -110,12 +113,12 @@
 	readonly getControlHosts: () => readonly LinkedHost[];
 	readonly standbys: Pick<Standbys, 'getOpen' | 'open' | 'waitForOne' | 'isOwnHostStandby'>;
 	/**
-	The dispatcher of this host. What it decides later comes to `hearAnswer`.
+	This host's own dispatcher. Its later decisions are passed to {@link DispatchClient.handleAnswer}.
 	*/
 	readonly ownDispatcher: Pick<Dispatching, 'ask' | 'cancel' | 'end' | 'recordAdvertisements' | 'applyUpdates' | 'takeOver'>;
 	readonly isRetired: (upstream: core.UpstreamId) => boolean;
 	/**
-	Returns the milliseconds for which messages may wait behind large bodies on this host's own link.
+	Returns the milliseconds for which messages may wait behind large bodies on this host's own network link.
 	*/
 	readonly getLinkDelay: () => number;
 };
@@ -124,22 +127,22 @@
 	request: dispatch.Ask;
 	requestedAt: number;
 	/**
-	Dispatchers that did not answer.
+	Number of dispatchers that gave no decision: they did not answer, their link was lost, or they answered `elsewhere`.
 	*/
 	failedDispatchers: number;
 	/**
-	The dispatcher has said that it waits for a slot.
+	The dispatcher answered `wait`: it has queued the request until a slot is free.
 	*/
 	isWaiting?: boolean;
 	readonly resolve: (answer: FinalAnswer) => void;
 	/**
-	The dispatcher that was asked; absent for this host's own.
+	The dispatcher that has the request; absent for this host's own.
 	*/
 	dispatcher?: LinkedHost;
 };
 
 /**
-Creates the asking of a host.
+Creates the client without any held slot or known dispatcher.
 */
 export function createDispatchClient(context: FleetContext, options: DispatchClientOptions): DispatchClient {
 	return new HostDispatchClient(context, options);
@@ -239,7 +242,7 @@
 	}
 
 	isRecentlyAsked(dispatcherLink: link.Link): boolean {
-		return this.#context.now() - (this.#lastRequestAt.get(dispatcherLink) ?? -Infinity) < ASKER_EXPIRY_MILLISECONDS + SLOT_REQUEST_TIMEOUT_MILLISECONDS;
+		return this.#context.now() - (this.#lastRequestAt.get(dispatcherLink) ?? -Infinity) < REQUESTING_HOST_EXPIRY_MILLISECONDS + SLOT_REQUEST_TIMEOUT_MILLISECONDS;
 	}
 
 	handleDispatcherLost(lostDispatcher: LinkedHost): void {
@@ -253,11 +256,11 @@
 		return createAskId(this.#options.settings.hostId, this.#lastRequestNumber);
 	}
 
-	#shorten(dispatcherLink: link.Link, request: dispatch.Ask): ShortAsk {
-		return shortenAsk(request, this.#registerOrigin(dispatcherLink, request));
+	#encode(dispatcherLink: link.Link, request: dispatch.Ask): ShortAsk {
+		return shortenAsk(request, this.#registerRoute(dispatcherLink, request));
 	}
 
-	#registerOrigin(dispatcherLink: link.Link, request: dispatch.Ask): AskOrigin {
+	#registerRoute(dispatcherLink: link.Link, request: dispatch.Ask): AskOrigin {
 		const route = getAskedRoute(request);
 		const {number, isNew} = this.#routeNumbers.number(dispatcherLink, route);
 		if (isNew) {
@@ -281,7 +284,7 @@
 		const dispatcher = pending.failedDispatchers < MAX_FAILED_DISPATCHERS
 			? this.#finder.find(request.service) ?? await this.#waitForStandby(request.service)
 			: undefined;
-		// Given up while the first standby was reached.
+		// Cancelled, or sent anew, while this waited for a link to a standby.
 		if (pending.request !== request || !this.#pending.has(request.id)) {
 			return;
 		}
@@ -294,8 +297,8 @@
 		pending.dispatcher = dispatcher;
 		this.#lastRequestAt.set(dispatcher.link, this.#context.now());
 		this.#heldSlots.reportTo(request.service, dispatcher);
-		const answer = await dispatcher.link.call(METHODS.ask, this.#shorten(dispatcher.link, request), SLOT_REQUEST_TIMEOUT_MILLISECONDS + this.#options.getLinkDelay());
-		// Otherwise the ask was taken elsewhere already.
+		const answer = await dispatcher.link.call(METHODS.ask, this.#encode(dispatcher.link, request), SLOT_REQUEST_TIMEOUT_MILLISECONDS + this.#options.getLinkDelay());
+		// The request has been sent to another dispatcher meanwhile.
 		if (pending.request !== request || pending.dispatcher !== dispatcher) {
 			return;
 		}
@@ -308,7 +311,7 @@
 	}
 
 	/**
-	Right after the loss of the control hosts no standby is linked yet: it takes some milliseconds, which is less than a wrong choice costs.
+	Right after the control hosts are lost, no link to a standby is open yet. Opening one takes some milliseconds, which costs less than a choice by this host alone.
 	*/
 	async #waitForStandby(service: core.ServiceName): Promise<LinkedHost | undefined> {
 		const {standbys} = this.#options;
@@ -322,7 +325,7 @@
 	}
 
 	/**
-	Takes the first answer to an ask.
+	Handles the first answer to a slot request; after `wait`, the final one comes to {@link handleAnswer}.
 	*/
 	#handleFirstAnswer(pending: PendingSlotRequest, answer: AskAnswer): void {
 		if (answer.kind === 'wait') {
@@ -336,8 +339,8 @@
 	}
 
 	/**
-	A dispatcher did not answer an ask in time. What was asked there meanwhile would run into the same limit, one after the other; what
-	waits there for a slot is left if nothing at all was heard: its dispatcher may stand still, and would call nobody.
+	Sends the requests of a dispatcher that did not answer to other dispatchers: each would reach the same timeout, one after the other. Requests
+	that are queued there for a slot stay, unless the link was silent for the whole timeout: the dispatcher may be frozen, and would then never answer.
 	*/
 	#abandonDispatcher(dispatcher: LinkedHost, reason: string): void {
 		this.#finder.markUnresponsive(dispatcher);
@@ -345,14 +348,14 @@
 		const affected = this.#pending.values()
 			.filter(pending => pending.dispatcher === dispatcher && (isSilent || !pending.isWaiting))
 			.toArray();
-		this.#context.logs('dispatch').warn('Dispatcher left.', {
+		this.#context.logs('dispatch').warn('A dispatcher did not answer; its slot requests go to other dispatchers.', {
 			dispatcher: dispatcher.host.id, reason, isSilent, asks: affected.length,
 		});
 		this.#context.metrics.count('dispatchers_left', {reason});
 		this.#options.standbys.open();
 		void this.#probeControlHosts();
 		for (const pending of affected) {
-			// Should it answer after all, the place is given back.
+			// A slot that the dispatcher grants late is given back.
 			notifyCancelled(dispatcher.link, pending.request);
 		}
 
@@ -360,7 +363,7 @@
 	}
 
 	/**
-	Finds out at once which control hosts answer. One by one, asks would run into the time limit at each of five that lost power together.
+	Probes all control hosts at once. Otherwise, after five have lost power together, slot requests reach the timeout at one after the other.
 	*/
 	async #probeControlHosts(): Promise<void> {
 		if (this.#isProbing) {
@@ -391,7 +394,7 @@
 		const reason = pending.failedDispatchers === 0 ? 'no-dispatcher' : 'no-answer';
 		const remainingMilliseconds = request.remainingMilliseconds - (this.#context.now() - pending.requestedAt);
 		this.#context.metrics.count('asks_own', {reason});
-		this.#context.logs('dispatch').warn('Own dispatcher asked.', {id: request.id, service: request.service, reason});
+		this.#context.logs('dispatch').warn('No other dispatcher is available; the host requests the slot from its own.', {id: request.id, service: request.service, reason});
 		this.#options.ownDispatcher.applyUpdates({service: request.service, updates: this.#advertisements.list(request.service)});
 		const uses = this.#recentUses.takeUntold(this.#options.ownDispatcher);
 		if (uses !== undefined) {
@@ -405,7 +408,7 @@
 	#settle(pending: PendingSlotRequest, answer: DecidedAnswer): void {
 		const {request, dispatcher} = pending;
 		if (!this.#pending.delete(request.id)) {
-			// Given up meanwhile, or granted twice.
+			// Cancelled meanwhile, or answered twice.
 			if (answer.kind === 'grant') {
 				this.#notifyEnd({
 					request, upstream: answer.upstream, grantedAt: 0, dispatcher,
@@ -421,7 +424,7 @@
 			};
 			const cause = this.#options.isRetired(answer.upstream) ? 'retired' : this.#advertisements.findClosure(answer.upstream);
 			if (cause !== undefined) {
-				// The dispatcher has not heard of it yet; this host is bound by it.
+				// The dispatcher does not know yet that the upstream is closed; this host must not send there.
 				this.#giveBack(held, cause);
 				this.#retry(pending, [answer.upstream]);
 				return;
@@ -435,7 +438,7 @@
 	}
 
 	/**
-	Only the first place of a request takes from its organisation's allotment.
+	Only the first attempt of a request counts against its organisation's allotment.
 	*/
 	#recordUse({request, dispatcher}: HeldSlot): void {
 		const {service, organisation} = request;
@@ -447,7 +450,7 @@
 	#giveBack(held: HeldSlot, cause: Closure | 'retired'): void {
 		const {request, upstream} = held;
 		this.#context.metrics.count('places_given_back', {cause});
-		this.#context.logs('dispatch').info('Place given back.', {
+		this.#context.logs('dispatch').info('The granted slot is given back, because its upstream is closed or retired.', {
 			id: request.id, service: request.service, upstream, cause,
 		});
 		this.#notifyEnd(held, 'unused', 0);
@@ -494,12 +497,12 @@
 }
 
 /**
-The answer when not even this host knows an upstream of the service.
+The answer when not even this host's own dispatcher knows an upstream of the service.
 */
 const NO_UPSTREAM_REFUSAL: DecidedAnswer = {kind: 'refuse', reason: 'no-upstream', retryAfterMilliseconds: UNKNOWN_SERVICE_RETRY_MILLISECONDS};
 
 /**
-Tells a dispatcher that an ask is given up, wherever it is: waiting, or granted on its way back.
+Notifies a dispatcher that a slot request is cancelled, and gives its slot back in case the grant is already on its way.
 */
 function notifyCancelled(dispatcherLink: link.Link, request: dispatch.Ask): void {
 	dispatcherLink.notify(METHODS.cancel, [getAskNumber(request.id)]);
--- a/packages/wagtailroute-fleet/src/dispatch-order.ts
+++ b/packages/wagtailroute-fleet/src/dispatch-order.ts
@@ -1,13 +1,13 @@
 /**
-Which control host dispatches a service: the one with the highest score for the service's name among those that can be
-reached (rendezvous hashing). All hosts come to the same one as long as they reach the same control hosts; services spread
-over them; and when one goes, only its services move.
+Orders the hosts that may dispatch a service by rendezvous hashing: the reachable host with the highest score for the service's name dispatches it.
+All hosts choose the same dispatcher as long as they reach the same hosts; services are spread over them; and when a host is lost, only its services
+move.
 */
 import * as crypto from 'node:crypto';
 import type * as core from 'wagtailroute-core';
 
 /**
-Returns the hosts in the order in which they are to be asked.
+Returns the hosts in the service's order of preference, the dispatcher first.
 */
 export function orderDispatchers<Host>(service: core.ServiceName, hosts: readonly Host[], getId: (host: Host) => core.HostId): readonly Host[] {
 	return hosts
--- a/packages/wagtailroute-fleet/src/dispatcher-finder.ts
+++ b/packages/wagtailroute-fleet/src/dispatcher-finder.ts
@@ -1,9 +1,9 @@
 /**
-Which dispatcher a host asks: of the control hosts the first in the order of the service that answered its last ask in time; while most of
-them do not answer, the first of the standbys, which are entry hosts; else itself.
+Finds the dispatcher of a service: the first responsive control host in the service's order; while most control hosts are unresponsive, the first
+responsive standby, which is an entry host; otherwise this host itself.
 
-One that did not answer is passed over until it was heard again. A host that stands still is silent on all its links for
-seconds; asked again every second, it would cost some requests of each host a quarter of a second each time.
+A dispatcher that did not answer in time is skipped until a message from it arrives again. A frozen host is silent on all its links for seconds:
+trying it again every second would delay some requests of each host by a quarter of a second each time.
 */
 import type * as core from 'wagtailroute-core';
 import type * as link from 'wagtailroute-link';
@@ -13,38 +13,38 @@
 import {orderDispatchers} from './dispatch-order.ts';
 
 /**
-Finds dispatchers.
+Finds dispatchers, and skips the unresponsive ones.
 */
 export type DispatcherFinder = {
 	/**
-	Returns the dispatcher to ask for a service; none when it is this host itself.
+	Returns the dispatcher of a service; undefined when it is this host itself.
 	*/
 	readonly find: (service: core.ServiceName) => LinkedHost | undefined;
 	/**
-	A dispatcher did not answer in time: it is passed over for a while.
+	Records that a dispatcher did not answer in time, or knows no upstream of a service. It is skipped for a while.
 	*/
 	readonly markUnresponsive: (dispatcher: LinkedHost) => void;
 	/**
-	Returns the control hosts that nothing is known against.
+	Returns the linked control hosts that are not marked as unresponsive.
 	*/
 	readonly listResponsiveControlHosts: () => readonly LinkedHost[];
 };
 
 /**
-Whom a finder chooses from.
+The hosts that a finder chooses from.
 */
 export type DispatcherFinderOptions = {
 	readonly hostId: core.HostId;
 	readonly getControlHosts: () => readonly LinkedHost[];
 	readonly getStandbys: () => readonly LinkedHost[];
 	/**
-	This host is told to all as a standby.
+	Returns whether this host is one of the fleet's standbys.
 	*/
 	readonly isOwnHostStandby: () => boolean;
 };
 
 /**
-Creates a finder that knows nothing against any dispatcher.
+Creates a finder that takes every dispatcher for responsive.
 */
 export function createDispatcherFinder({now}: Pick<FleetContext, 'now'>, options: DispatcherFinderOptions): DispatcherFinder {
 	const unresponsiveSince = new WeakMap<link.Link, number>();
@@ -57,7 +57,7 @@
 	const findControlHost = (service: core.ServiceName) => {
 		const open = options.getControlHosts();
 		const responsive = open.filter(control => isResponsive(control));
-		// Most did not answer in time: the others will not either, and each request that tries loses a quarter of a second.
+		// When most did not answer in time, the others probably will not either, and each request that tries them loses a quarter of a second.
 		const candidates = responsive.length * 2 < open.length ? [] : responsive;
 		return orderDispatchers(service, candidates, control => control.host.id)
 			.find(control => control.link.getSilence() < SILENT_DISPATCHER_MILLISECONDS);
--- a/packages/wagtailroute-fleet/src/dispatching.ts
+++ b/packages/wagtailroute-fleet/src/dispatching.ts
@@ -8,7 +8,7 @@
 import type * as link from 'wagtailroute-link';
 import type * as utils from 'wagtailroute-utils';
 import {
-	ASKER_EXPIRY_MILLISECONDS,
+	REQUESTING_HOST_EXPIRY_MILLISECONDS,
 	DISPATCH_TICK_MILLISECONDS,
 	IDLE_NAMED_MOST,
 	IDLE_TOLD_MILLISECONDS,
@@ -234,7 +234,7 @@
 
 	const noteAsker = ({service, host}: dispatch.Ask) => {
 		requestShare.record(host, now());
-		const hosts = askers.get(service) ?? createRecentAskers(ASKER_EXPIRY_MILLISECONDS);
+		const hosts = askers.get(service) ?? createRecentAskers(REQUESTING_HOST_EXPIRY_MILLISECONDS);
 		askers.set(service, hosts);
 		hosts.note(host, now());
 	};
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -1,6 +1,6 @@
 /**
-An entry host: it serves callers, knows the generation and the instances from the control hosts, and asks their dispatchers
-where each request goes.
+An entry host: it serves callers, follows the catalogue generation and the instances through the control hosts, and requests a slot at an upstream
+from their dispatchers for each attempt of a request.
 */
 import * as timers from 'node:timers/promises';
 import * as core from 'wagtailroute-core';
@@ -49,29 +49,29 @@
 */
 export type Entry = {
 	/**
-	It has a generation, and is not stopping.
+	Returns whether the host has a generation and is not stopping.
 	*/
 	readonly isReady: () => boolean;
 	/**
-	Returns the addresses of entry hosts for a caller, as text; its own when it knows of no other, none when it does not serve.
+	Returns the addresses of entry hosts for a caller, as text: this host's own address if it knows no other, none while it is not ready.
 
-	@param host Host name that the caller is going to use.
+	@param host Host name for which the caller is going to send requests.
 	*/
 	readonly listAddresses: (failureDomain: core.FailureDomain, host: string) => readonly string[];
 	readonly addSeeds: (seeds: readonly ControlHost[]) => void;
 	/**
-	Leaves the directory, serves until callers have heard of it, finishes what is under way and ends.
+	Leaves the directory, serves until callers have looked up other hosts, finishes the requests in progress and closes.
 	*/
 	readonly stop: () => Promise<void>;
 };
 
 /**
-Starts an entry host. Resolves when it takes requests.
+Starts an entry host. Resolves when it accepts requests.
 */
 export async function startEntry(context: FleetContext, settings: EntrySettings, dialect: proxy.Dialect): Promise<Entry> {
 	const log = context.logs('entry');
 	let isStopping = false;
-	// Opened below, when everything that it serves with is there.
+	// The traffic server is opened below, after everything that it depends on was created.
 	const opened: {traffic?: proxy.TrafficServer} = {};
 	const fleetView = createFleetView(context, {
 		failureDomain: settings.failureDomain,
@@ -87,7 +87,7 @@
 		},
 	});
 	/**
-	Closes the connections to addresses that no instance has any more; otherwise each address that was ever used would keep its pool.
+	Closes the connections to addresses that no instance has any more. Otherwise a connection pool stays for every address that was ever used.
 	*/
 	const scheduleConnectionPruning = utils.coalesce(context.schedule, CONNECTION_PRUNE_DELAY_MILLISECONDS, () => {
 		opened.traffic?.connections.retain(fleetView.listAddresses());
@@ -122,7 +122,7 @@
 	const findControlHost = (from: link.Link) => controlLinks.getOpen().find(open => open.link === from);
 	let directory = EMPTY_TABLE;
 	const applyDirectory = (table: DirectoryTable) => {
-		// An empty one comes from a control host that has just started.
+		// An empty directory comes from a control host that has just started.
 		directory = Object.keys(table.addresses).length > 0 ? table : directory;
 	};
 
@@ -154,7 +154,7 @@
 			}
 		},
 		tellControls(method, parameters) {
-			// What one host alone holds against an upstream may be its own path's fault.
+			// Without requesting hosts, what this host holds against an upstream may be a fault of its own network path.
 			if (askers.count() > 0) {
 				controlLinks.notifyAll(method, parameters);
 			}
@@ -174,8 +174,8 @@
 		[messages.METHODS.retired]({retirements}: Pick<messages.InstanceNews, 'retirements'>) {
 			fleetView.applyRetirements(retirements);
 		},
-		[messages.METHODS.answer]([ask, answer]: [number, ShortAnswer]) {
-			dispatchClient.handleAnswer(ask, answer);
+		[messages.METHODS.answer]([requestNumber, answer]: [number, ShortAnswer]) {
+			dispatchClient.handleAnswer(requestNumber, answer);
 		},
 		[messages.METHODS.updates]: ownDispatcher.applyUpdates,
 		[messages.METHODS.use]: allotting.hearUse,
@@ -207,10 +207,10 @@
 		onOpen(control, {version, standbys: standbyHosts, directory: directoryTable}) {
 			standbys.setHosts(standbyHosts);
 			applyDirectory(directoryTable);
-			// What changed between the greeting and its answer is told again.
+			// The state may have changed since the hello, so it is sent again.
 			control.link.notify(messages.METHODS.state, getState());
 			if (askers.count() > 0) {
-				// The control host was away, and this host dispatched for others meanwhile.
+				// This host has dispatched for others while the control host was away.
 				control.link.notify(messages.METHODS.beliefs, ownDispatcher.listBeliefs());
 				sendUpdates(control.link, ownDispatcher);
 			}
@@ -250,7 +250,7 @@
 			askers.remove(closed);
 		},
 		onDefect(error) {
-			log.error('Message could not be handled.', {error: error.stack});
+			log.error('A message from another host could not be handled.', {error: error.stack});
 		},
 	});
 	const traffic = await proxy.openTrafficServer(settings.trafficAddress, {
@@ -273,7 +273,7 @@
 	opened.traffic = traffic;
 	context.metrics.registerGauge('requests_in_flight', traffic.getInFlight);
 	context.metrics.registerGauge('generation_version', () => fleetView.getGeneration()?.version ?? 0);
-	log.info('Host started.', {traffic: core.formatAddress(settings.trafficAddress), seeds: settings.seeds.map(seed => seed.id)});
+	log.info('The entry host has started.', {traffic: core.formatAddress(settings.trafficAddress), seeds: settings.seeds.map(seed => seed.id)});
 	const teardown = utils.mergeTeardowns(watchPauses(context), controlLinks.close, standbys.teardown, ownDispatcher.teardown, meter.teardown);
 	return {
 		isReady,
@@ -286,17 +286,20 @@
 		async stop() {
 			isStopping = true;
 			reportState();
-			log.info('Host stopping.', {inFlight: traffic.getInFlight()});
+			log.info('The entry host is stopping.', {inFlight: traffic.getInFlight()});
 			const {acceptingMilliseconds, drainingMilliseconds} = divideStop(settings.stopMilliseconds);
 			await timers.setTimeout(acceptingMilliseconds);
 			await Promise.race([traffic.drain(), timers.setTimeout(drainingMilliseconds)]);
-			log.info('Host stopped.', {inFlight: traffic.getInFlight()});
+			log.info('The entry host has stopped.', {inFlight: traffic.getInFlight()});
 			teardown();
 			await linkServer.close();
 		},
 	};
 }
 
+/**
+This kind of fleet quarantines no requests.
+*/
 const PERMISSIVE_GUARD: proxy.Guard = {
 	getStanding: () => 'free',
 	requestTrial: async () => ({kind: 'free'}),
--- a/packages/wagtailroute-fleet/src/fleet-view.ts
+++ b/packages/wagtailroute-fleet/src/fleet-view.ts
@@ -1,9 +1,9 @@
 /**
-What an entry host knows from the control hosts: the generation in force, the instances of upstreams, and which of them take
-no more work.
+What an entry host has received from the control hosts: the catalogue generation in force, the instances of upstreams, and the retired ones among
+them.
 
-A generation only ever moves forward. It is fetched from a control host of the own failure domain where there is one: each
-host fetches it once, and bytes between failure domains cost.
+The generation's version never decreases. A generation is fetched from a control host of the same failure domain if possible: each host fetches it
+once, and traffic between failure domains costs.
 */
 import * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -21,7 +21,7 @@
 import {type FetchedGeneration, type InstanceNews, METHODS} from './messages.ts';
 
 /**
-The knowledge of an entry host.
+An entry host's copy of the catalogue and the instances. Lookups of an unknown route, key or service return undefined.
 */
 export type FleetView = {
 	readonly getGeneration: () => generations.Generation | undefined;
@@ -31,24 +31,30 @@
 	readonly listCandidates: (service: core.ServiceName) => readonly dispatch.Candidate[];
 	readonly isRetired: (upstream: core.UpstreamId) => boolean;
 	/**
-	Returns the addresses of all instances that are known, as text.
+	Returns the addresses of all known instances, as text.
 	*/
 	readonly listAddresses: () => ReadonlySet<string>;
 	/**
-	A control host told the version that it has.
+	Records the generation version that a control host has, and fetches the generation if it is newer than this host's.
 	*/
 	readonly recordVersion: (control: LinkedHost, version: number) => void;
+	/**
+	Applies new, changed and forgotten instances, and retirements.
+	*/
 	readonly applyInstances: (news: InstanceNews) => void;
 	readonly applyRetirements: (retirements: readonly generations.Retirement[]) => void;
 	/**
-	Follows the instances through one of the open control hosts.
+	Fetches all instances from one of the linked control hosts, which then sends every change; does nothing while such a link is open.
 	*/
 	readonly followInstances: () => void;
+	/**
+	Follows the instances through another control host if the lost one sent them.
+	*/
 	readonly handleControlHostLost: (control: LinkedHost) => void;
 };
 
 /**
-What the knowledge needs.
+Collaborators of a fleet view.
 */
 export type FleetViewOptions = {
 	readonly failureDomain: core.FailureDomain;
@@ -63,7 +69,7 @@
 	findOrganisation: generations.KeyFinder;
 	services: ReadonlyMap<core.ServiceName, generations.GenerationService>;
 	/**
-	Highest version heard, by the control hosts that told it.
+	Highest version that a control host reported, and the control hosts that reported it.
 	*/
 	newestVersion: number;
 	newestVersionHolders: Set<core.HostId>;
@@ -72,7 +78,7 @@
 };
 
 /**
-Creates the knowledge of a host that has heard nothing.
+Creates the view of a host that has received nothing.
 */
 export function createFleetView(context: FleetContext, options: FleetViewOptions): FleetView {
 	const {now, schedule} = context;
@@ -95,7 +101,7 @@
 	const isNear = (control: LinkedHost) => control.host.failureDomain === options.failureDomain;
 
 	const applyGeneration = (generation: generations.Generation) => {
-		// A control host that lags behind may answer: what is in force here never gets older.
+		// The answer may come from a control host that lags behind; it must not replace a newer generation.
 		if (generation.version <= getVersion()) {
 			return;
 		}
@@ -104,7 +110,7 @@
 		state.findRoute = generations.createRouteFinder(generation);
 		state.findOrganisation = generations.createKeyFinder(generation);
 		state.services = new Map(generation.services.map(service => [service.name, service]));
-		log.info('Generation in force.', {version: generation.version, routes: generation.routes.length});
+		log.info('A catalogue generation is now in force.', {version: generation.version, routes: generation.routes.length});
 		options.onGeneration(generation);
 	};
 
@@ -146,7 +152,7 @@
 				continue;
 			}
 
-			log.info('Instance retired.', {upstream, service, state: retirement});
+			log.info('An upstream instance was retired.', {upstream, service, state: retirement});
 			options.onInstancesChanged(service);
 		}
 	};
@@ -197,7 +203,7 @@
 		findRoute: (host, path) => state.findRoute(host, path),
 		findOrganisation: key => state.findOrganisation(key),
 		findService: name => state.services.get(name),
-		// Silence is told by control hosts only: what follows one of them hears of changes, not of heartbeats.
+		// Only control hosts receive heartbeats and detect silent instances; this host receives changes only, so none counts as silent here.
 		listCandidates: service => instanceTable.list(service).map(instance => toCandidate(instance, false)),
 		isRetired: upstream => retired.has(upstream),
 		listAddresses: () => new Set(instanceTable.listAll().map(instance => core.formatAddress(instance.address))),
--- a/packages/wagtailroute-fleet/src/held-slots.ts
+++ b/packages/wagtailroute-fleet/src/held-slots.ts
@@ -1,7 +1,8 @@
 /**
-The places that an entry host holds at upstreams, and who gave each.
+The slots that an entry host holds at upstreams, and the dispatcher that granted each.
 
-A dispatcher that the host turns to anew does not know what is under way from here: it is told, or it would fill slots that are taken.
+A dispatcher that the host starts to use does not know which slots the host holds. The host reports them first; otherwise the dispatcher would
+grant slots that are in use.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -12,7 +13,7 @@
 import type {RecentUses} from './recent-uses.ts';
 
 /**
-A place that was granted.
+A granted slot whose attempt has not ended.
 */
 export type HeldSlot = {
 	readonly request: dispatch.Ask;
@@ -22,33 +23,33 @@
 	*/
 	readonly grantedAt: number;
 	/**
-	Absent when this host dispatched alone.
+	Absent when this host's own dispatcher granted the slot.
 	*/
 	readonly dispatcher?: LinkedHost;
 };
 
 /**
-The places of a host.
+The slots that a host holds, by the ID of their slot requests.
 */
 export type HeldSlots = {
 	readonly add: (held: HeldSlot) => void;
 	/**
-	Removes a place and returns it, if it is held.
+	Removes a slot and returns it; undefined if it is not held.
 	*/
 	readonly remove: (id: dispatch.AskId) => HeldSlot | undefined;
 	/**
-	Returns a place, if it is held.
+	Returns a slot; undefined if it is not held.
 	*/
 	readonly find: (id: dispatch.AskId) => HeldSlot | undefined;
 	readonly count: () => number;
 	/**
-	Tells a dispatcher the places of a service, what its upstreams advertised and what callers were admitted, if the last ask for it went elsewhere.
+	Reports to a dispatcher the slots held of a service, what its upstreams advertised and which uses of allotments were admitted. Does nothing if the service's last report went to the same link.
 	*/
 	readonly reportTo: (service: core.ServiceName, dispatcher: LinkedHost) => void;
 };
 
 /**
-What a dispatcher is told beside the places.
+What is reported to a dispatcher together with the held slots.
 */
 export type HeldSlotsOptions = {
 	readonly advertisements: Pick<Advertisements, 'list'>;
--- a/packages/wagtailroute-fleet/src/leader-calls.ts
+++ b/packages/wagtailroute-fleet/src/leader-calls.ts
@@ -1,8 +1,8 @@
 /**
-Brings commands and reads to the leader of the group, from any control host.
+Sends commands and reads from any control host to the leader of the control group.
 
-A command that may have been taken is sent again: putting the same generation or retiring the same upstream twice changes
-nothing. What comes of it is told as done only once it is committed.
+A command is sent again even if an earlier attempt may have reached the leader: commands are idempotent, putting the same generation or retiring the
+same upstream twice changes nothing. A command succeeds only once it is committed.
 */
 import * as timers from 'node:timers/promises';
 import * as core from 'wagtailroute-core';
@@ -14,12 +14,12 @@
 import {METHODS, type ProposalAnswer, type ReadAnswer} from './messages.ts';
 
 /**
-Why a command or read did not come to an end. A command may have been taken all the same.
+The failure of a command or read that no leader answered. A command may have been committed nevertheless.
 */
 export type LeaderFailure = core.Failure<'no-leader'>;
 
 /**
-What the calls need.
+The calling host, its control group, and its links to the other control hosts.
 */
 export type LeaderCallOptions = {
 	readonly hostId: core.HostId;
@@ -28,7 +28,7 @@
 };
 
 /**
-Brings a command to the leader. Resolves with the version in force once the command is committed.
+Sends a command to the leader. Resolves with the catalogue version in force once the command is committed.
 */
 export async function proposeToLeader(
 	calls: LeaderCallOptions,
@@ -43,7 +43,7 @@
 }
 
 /**
-Reads the newest generation's document; null before the first.
+Reads the document of the newest generation from the leader; null before the first generation.
 */
 export async function readFromLeader(calls: LeaderCallOptions): Promise<results.Result<string | null, LeaderFailure>> {
 	return callWithRetries(calls, async leader => {
@@ -60,13 +60,13 @@
 ): Promise<results.Result<Value, LeaderFailure>> {
 	for (let count = 0; count < MAX_LEADER_CALL_ATTEMPTS; count++) {
 		const leader = group.getLeader();
-		// eslint-disable-next-line no-await-in-loop -- One try after the other.
+		// eslint-disable-next-line no-await-in-loop -- One attempt after the other.
 		const value = leader === null ? undefined : await attempt(leader);
 		if (value !== undefined) {
 			return results.Ok(value);
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- An election takes its time.
+		// eslint-disable-next-line no-await-in-loop -- Gives an election time to finish.
 		await timers.setTimeout(LEADER_CALL_RETRY_DELAY_MILLISECONDS);
 	}
 
--- a/packages/wagtailroute-fleet/src/message-order.ts
+++ b/packages/wagtailroute-fleet/src/message-order.ts
@@ -1,5 +1,5 @@
 /**
-Which messages go first at a busy host.
+Which messages a busy host handles first, and which it drops when they have waited too long.
 */
 import type * as link from 'wagtailroute-link';
 import {SLOT_REQUEST_TIMEOUT_MILLISECONDS} from './constants.ts';
@@ -7,7 +7,8 @@
 import {METHODS} from './messages.ts';
 
 /**
-What elections, reads, changes and confirmations of the catalogue and of leaving upstreams hang on, until they are in force on every host. All of them are few, whatever the load.
+Messages handled before all others: elections, reads and changes of the catalogue and of retired upstreams, and their distribution to every host, depend on them. Their
+number does not grow with the load.
 */
 const URGENT_METHODS: ReadonlySet<string> = new Set([
 	METHODS.hello,
@@ -20,12 +21,12 @@
 ]);
 
 /**
-A host turns to another dispatcher after this time, and cancels what it asked.
+Milliseconds for which messages may wait to be handled. After this time the requesting host has cancelled the slot request and sent it to another dispatcher.
 */
 const QUEUE_TIME_LIMITS: ReadonlyMap<string, number> = new Map([[METHODS.ask, SLOT_REQUEST_TIMEOUT_MILLISECONDS]]);
 
 /**
-Creates the order of a host's messages.
+Creates the order in which a host handles messages. Dropped ones are counted in its metrics.
 */
 export function createMessageOrder({metrics}: Pick<FleetContext, 'metrics'>): link.MessageOrder {
 	return {
--- a/packages/wagtailroute-fleet/src/routing.ts
+++ b/packages/wagtailroute-fleet/src/routing.ts
@@ -1,5 +1,5 @@
 /**
-What an entry host holds for a request of a route: its limits, and the attempts that a dispatcher gives it places for.
+Finds the route of a request, and the port through which the proxy gets its limits and a slot from a dispatcher for each attempt.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -13,12 +13,12 @@
 import {createUsualTimes, type UsualTimes} from './usual-times.ts';
 
 /**
-Finds the route of a request and what this host holds for it.
+Finds the route of a request and the port of its service; returns a failure for a request that has none.
 */
 export type Router = (request: proxy.CallerRequest) => proxy.RoutedRequest | proxy.RequestFailure;
 
 /**
-What routing needs.
+Collaborators of a router.
 */
 export type RouterOptions = {
 	readonly fleetView: Pick<FleetView, 'getGeneration' | 'findRoute' | 'findOrganisation' | 'findService' | 'listCandidates'>;
@@ -30,22 +30,22 @@
 	readonly service: generations.GenerationService;
 	readonly bodyBytes: number;
 	/**
-	Milliseconds that the caller waited before this host heard of it.
+	Milliseconds that the caller has waited before this host received the request.
 	*/
 	readonly waitedMilliseconds: number;
 	readonly caller: Caller;
 };
 
 /**
-Who calls, where the catalogue has organisations.
+The organisation and the priority of a request.
 */
 type Caller = {
 	/**
-	Empty on a route that needs no key.
+	Absent if the catalogue has no organisations; empty for a request without a known key on a public route.
 	*/
 	readonly organisation?: core.Organisation;
 	/**
-	Rank of the request, 0 is the highest.
+	Priority of the request, 0 is the highest.
 	*/
 	readonly priority: number;
 };
@@ -90,8 +90,8 @@
 const UNKNOWN_KEY = proxy.createRequestFailure('key-unknown', 'No organisation holds the key of the request.');
 
 /**
-Finds who calls by the key that was sent. A key that is unknown here is refused before anything else is done for the request: it may have been taken away
-from its organisation.
+Finds the organisation that holds the key of a request. An unknown key is refused before anything else is done for the request: it may have been
+revoked.
 */
 function identifyCaller(
 	{fleetView}: RouterOptions,
@@ -119,7 +119,7 @@
 		route: route.name,
 		requestClass: route.class,
 		priority,
-		// Nobody's allotment counts for a request without an organisation.
+		// A request without an organisation counts against no allotment.
 		...organisation !== undefined && organisation !== '' && {organisation},
 		remainingMilliseconds: choice.remainingMilliseconds,
 		objectiveMilliseconds: route.objectiveMilliseconds,
@@ -151,7 +151,7 @@
 
 					const target: proxy.Target = {id: answer.upstream, address: answer.address, kind: 'upstream'};
 					grantedIds.set(target, answer.id);
-					context.logs('dispatch').debug('Place granted.', {request: choice.requestId, ask: answer.id, upstream: answer.upstream});
+					context.logs('dispatch').debug('A slot was granted for an attempt.', {request: choice.requestId, ask: answer.id, upstream: answer.upstream});
 					return target;
 				})(),
 			};
@@ -175,7 +175,7 @@
 				dispatchClient.reportEnd(id, toDispatchEnding(ending, failure), latencyMilliseconds);
 			}
 		},
-		// The dispatcher keeps the budget, for all hosts.
+		// The dispatcher enforces the budget of resends for all hosts.
 		retry: {
 			hasBudget: () => true,
 			spend: () => undefined,
@@ -209,7 +209,7 @@
 };
 
 /**
-Nobody listening and no way there both end an attempt before it was sent, but only the first is the upstream's doing.
+Translates the ending of an attempt. A refused connection and an unreachable upstream both end an attempt before it was sent, but only the first is the upstream's fault.
 */
 function toDispatchEnding(ending: proxy.AttemptEnding, failure: proxy.RequestFailureKind | undefined): dispatch.Ending {
 	return failure === 'connect-refused' ? 'refused' : ENDINGS[ending];
--- a/packages/wagtailroute-fleet/src/standby-choice.ts
+++ b/packages/wagtailroute-fleet/src/standby-choice.ts
@@ -1,5 +1,5 @@
 /**
-Which entry hosts dispatch while no control host does: the same few for all hosts, in all failure domains.
+Chooses the standbys: the few entry hosts, the same for all hosts and spread over the failure domains, that dispatch while no control host does.
 */
 import {MAX_STANDBYS} from './constants.ts';
 import {orderDispatchers} from './dispatch-order.ts';
@@ -7,8 +7,8 @@
 import type {StandbyHost} from './settings.ts';
 
 /**
-Chooses the standbys: the first of each failure domain, then the second of each, and so on. The order of the names does not change with
-the load, so the choice changes only when one of these hosts comes or goes.
+Chooses the standbys: the first of each failure domain, then the second of each, and so on. The order depends on the hosts' IDs alone and not on
+their load, so the choice changes only when one of these hosts joins or leaves.
 */
 export function chooseStandbys(entries: readonly EntryHost[]): readonly StandbyHost[] {
 	const ordered = orderDispatchers('standby', entries, ({id}) => id);
--- a/packages/wagtailroute-fleet/src/standbys.ts
+++ b/packages/wagtailroute-fleet/src/standbys.ts
@@ -1,8 +1,8 @@
 /**
-Links to the entry hosts that dispatch while no control host does.
+Links to the standbys, the entry hosts that dispatch while no control host does.
 
-They are opened when a control host leaves an ask unanswered, so that they are there when the last one has: 48 hosts with a lasting link
-to each would spend more on pings than on asks. After a while without need they are closed again.
+The links are opened when a control host does not answer a slot request, so that they are open by the time that none answers. They are not kept
+open: pings on lasting links of 48 hosts to every standby would cost more than the slot requests. They are closed after a time without need.
 */
 import type * as core from 'wagtailroute-core';
 import * as link from 'wagtailroute-link';
@@ -21,36 +21,36 @@
 import type {StandbyHost} from './settings.ts';
 
 /**
-The links to hosts that may dispatch.
+The links to the standbys.
 */
 export type Standbys = {
 	/**
-	Takes the list that a control host told. An empty one changes nothing: it comes from a control host that has just started.
+	Replaces the list of standbys by the one that a control host sent. An empty list is ignored: it comes from a control host that has just started.
 	*/
 	readonly setHosts: (hosts: readonly StandbyHost[]) => void;
 	/**
-	Opens the links, or keeps them open: a dispatcher has not answered.
+	Opens the links, or keeps them open, because a dispatcher did not answer.
 	*/
 	readonly open: () => void;
 	readonly getOpen: () => readonly LinkedHost[];
 	readonly notifyAll: (method: string, parameters: unknown) => void;
 	/**
-	Resolves once one of them is open; soon in any case.
+	Resolves once a link to a standby is open, or after a short time without one.
 	*/
 	readonly waitForOne: () => Promise<void>;
 	/**
-	Says whether this host is one of them.
+	Returns whether this host is one of the standbys.
 	*/
 	readonly isOwnHostStandby: () => boolean;
 	readonly teardown: utils.Teardown;
 };
 
 /**
-What the links are made with.
+Settings and callbacks of the links to standbys.
 */
 export type StandbysOptions = {
 	/**
-	This host's own name: it needs no link to itself.
+	This host's own ID: it opens no link to itself.
 	*/
 	readonly hostId: core.HostId;
 	readonly createHello: () => Hello;
@@ -65,7 +65,7 @@
 };
 
 /**
-Starts without any link.
+Creates the links; none is opened yet.
 */
 export function createStandbys(context: FleetContext, options: StandbysOptions): Standbys {
 	const {now, random} = context;
@@ -85,7 +85,7 @@
 		}
 
 		entry.open = {host: entry.host, link: opened};
-		log.info('Standby reached.', {standby: id});
+		log.info('A link to a standby is open.', {standby: id});
 		for (const resolve of waiters.splice(0)) {
 			resolve();
 		}
@@ -119,7 +119,7 @@
 					handleClose(host.id);
 				},
 				onDefect(error) {
-					log.error('Message could not be handled.', {standby: host.id, error: error.stack});
+					log.error('A message from a standby could not be handled.', {standby: host.id, error: error.stack});
 				},
 			}),
 		});
--- a/packages/wagtailroute-fleet/src/startup-gate.ts
+++ b/packages/wagtailroute-fleet/src/startup-gate.ts
@@ -1,37 +1,37 @@
 /**
-When a host that has just started begins to serve what came meanwhile: once it has a generation and links to all control hosts.
+Holds the requests that arrive at a host that has just started, until it has a catalogue generation and links to all control hosts.
 
-Refused before, callers would use up their few attempts, or come back long after the host serves: late is better. And before all
-links are there, hosts would ask whichever control host they have: five dispatchers that know nothing of each other give each slot out
-five times, and the crowd that comes back after a restart of everything queues at the upstreams for a second.
+Requests are held and not refused: refused callers use up their few attempts, or come back long after the host is ready. The host waits for all links
+because hosts with a part of them use different dispatchers: five that do not know of each other grant each slot five times, and after a
+restart of the whole fleet the returning requests queue at the upstreams for a second.
 */
 import type * as proxy from 'wagtailroute-proxy';
 import {MAX_FIRST_GENERATION_WAIT_MILLISECONDS, MAX_CONTROL_LINKS_WAIT_MILLISECONDS} from './constants.ts';
 import type {FleetContext} from './context.ts';
 
 /**
-Whether the host has begun, for its traffic server, and what may let it begin.
+Tells the traffic server whether the host serves requests, and lets them wait until it does.
 */
 export type StartupGate = proxy.RoutesPort & {
 	/**
-	A generation or a link has come.
+	Opens the gate if its conditions hold. Called after a generation was received or a link was opened.
 	*/
 	readonly check: () => void;
 };
 
 /**
-What a beginning hangs on.
+The conditions under which a gate opens.
 */
 export type StartupGateOptions = {
 	readonly hasGeneration: () => boolean;
 	/**
-	There is a link to every control host that is known.
+	Returns whether there is an open link to every known control host.
 	*/
 	readonly areControlLinksOpen: () => boolean;
 };
 
 /**
-Creates the beginning of a host that has just started.
+Creates a closed gate.
 */
 export function createStartupGate(context: Pick<FleetContext, 'schedule'>, {hasGeneration, areControlLinksOpen}: StartupGateOptions): StartupGate {
 	const opened = Promise.withResolvers<void>();
@@ -59,7 +59,7 @@
 			if (areControlLinksOpen()) {
 				open();
 			} else if (!isWaitingForLinks) {
-				// One of them may be away.
+				// One of the control hosts may be down, so this wait is bounded.
 				isWaitingForLinks = true;
 				context.schedule(MAX_CONTROL_LINKS_WAIT_MILLISECONDS, open);
 			}
