--- a/packages/wagtailroute-fleet/src/__tests__/unit/startup-gate.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/startup-gate.test.ts
@@ -3,7 +3,7 @@
 */
 import test from 'ava';
 import {createStartupGate} from '../../startup-gate.ts';
-import {MAX_FIRST_GENERATION_WAIT_MILLISECONDS, MAX_CONTROL_LINKS_WAIT_MILLISECONDS} from '../../constants.ts';
+import {MAX_CONTROL_LINKS_WAIT_MILLISECONDS, MAX_FIRST_GENERATION_WAIT_MILLISECONDS} from '../../constants.ts';
 import * as fixture from './fixture.ts';
 
 const CASES = [
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -26,13 +26,13 @@
 export const MAX_FAILED_DISPATCHERS = 3;
 
 /**
-Milliseconds after which a caller is to retry when no upstream of the service is known: heartbeats arrive every second or two.
+Milliseconds after which a caller is to retry when no upstream of the service is known: heartbeats arrive every one or two seconds.
 */
 export const UNKNOWN_SERVICE_RETRY_MILLISECONDS = 500;
 
 /**
-Milliseconds that a control host may take to answer a probe, after another one did not answer a slot request: shorter than the timeout of the
-request, part of whose time is already used.
+Milliseconds that a control host may take to answer a probe, which is sent after another one did not answer a slot request: less than the timeout of a
+slot request, since part of the caller's time is already lost.
 */
 export const PROBE_TIMEOUT_MILLISECONDS = 150;
 
@@ -95,7 +95,7 @@
 export const SILENT_UPSTREAM_MILLISECONDS = 5000;
 
 /**
-Milliseconds between two checks for silent upstreams, unused links and forgotten hosts.
+Milliseconds between two checks for silent upstreams, idle links to standbys and expired control hosts.
 */
 export const HOUSEKEEPING_INTERVAL_MILLISECONDS = 1000;
 
@@ -121,7 +121,7 @@
 export const MAX_CONTROL_LINKS_WAIT_MILLISECONDS = 250;
 
 /**
-Milliseconds after which a caller is to retry when the host has no generation: requests wait out a usual start, so the cause is another one and lasts longer.
+Milliseconds after which a caller is to retry when the host has no generation: the cause lasts longer than a usual start, for which requests wait.
 */
 export const NO_GENERATION_RETRY_MILLISECONDS = 700;
 
@@ -136,7 +136,7 @@
 export const CONTROL_HOST_EXPIRY_MILLISECONDS = 15_000;
 
 /**
-Milliseconds that one call of the leader may take: operators' tools try another host after a second.
+Milliseconds that one call of the leader may take: operators try another host after a second.
 */
 export const LEADER_CALL_TIMEOUT_MILLISECONDS = 700;
 
--- a/packages/wagtailroute-fleet/src/control-links.ts
+++ b/packages/wagtailroute-fleet/src/control-links.ts
@@ -7,13 +7,13 @@
 import * as core from 'wagtailroute-core';
 import * as link from 'wagtailroute-link';
 import {
+	CONTROL_HOST_EXPIRY_MILLISECONDS,
 	DISPATCHER_PING_INTERVAL_MILLISECONDS,
 	FAR_PING_INTERVAL_MILLISECONDS,
-	CONTROL_HOST_EXPIRY_MILLISECONDS,
 	HELLO_TIMEOUT_MILLISECONDS,
 	HOUSEKEEPING_INTERVAL_MILLISECONDS,
-	NEAR_PING_INTERVAL_MILLISECONDS,
 	LINK_REPORT_INTERVAL_MILLISECONDS,
+	NEAR_PING_INTERVAL_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 import {createMessageOrder} from './message-order.ts';
--- a/packages/wagtailroute-fleet/src/dispatch-client.ts
+++ b/packages/wagtailroute-fleet/src/dispatch-client.ts
@@ -9,10 +9,10 @@
 import * as dispatch from 'wagtailroute-dispatch';
 import type * as link from 'wagtailroute-link';
 import {
-	SLOT_REQUEST_TIMEOUT_MILLISECONDS,
-	REQUESTING_HOST_EXPIRY_MILLISECONDS,
 	MAX_FAILED_DISPATCHERS,
 	PROBE_TIMEOUT_MILLISECONDS,
+	REQUESTING_HOST_EXPIRY_MILLISECONDS,
+	SLOT_REQUEST_TIMEOUT_MILLISECONDS,
 	UNKNOWN_SERVICE_RETRY_MILLISECONDS,
 } from './constants.ts';
 import {type Advertisements, type Closure, createAdvertisements} from './advertisements.ts';
--- a/packages/wagtailroute-fleet/src/dispatcher-finder.ts
+++ b/packages/wagtailroute-fleet/src/dispatcher-finder.ts
@@ -21,7 +21,7 @@
 	*/
 	readonly find: (service: core.ServiceName) => LinkedHost | undefined;
 	/**
-	Records that a dispatcher did not answer in time, or knows no upstream of a service. It is skipped for a while.
+	Records that a dispatcher did not answer in time, or knows no upstream of a service. It is skipped for a while, and until a message from it arrives.
 	*/
 	readonly markUnresponsive: (dispatcher: LinkedHost) => void;
 	/**
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -14,12 +14,12 @@
 import {createDispatchClient} from './dispatch-client.ts';
 import {createStartupGate} from './startup-gate.ts';
 import {
-	MIN_REPORTED_LOAD_CHANGE,
-	MILLISECONDS_PER_SECOND,
-	MAX_LINK_DELAY_MILLISECONDS,
+	ASSUMED_ENTRY_HOSTS,
 	CONNECTION_PRUNE_DELAY_MILLISECONDS,
+	MAX_LINK_DELAY_MILLISECONDS,
+	MILLISECONDS_PER_SECOND,
+	MIN_REPORTED_LOAD_CHANGE,
 	STANDBY_EXTRA_RESENDS,
-	ASSUMED_ENTRY_HOSTS,
 	UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
--- a/packages/wagtailroute-fleet/src/fleet-view.ts
+++ b/packages/wagtailroute-fleet/src/fleet-view.ts
@@ -11,9 +11,9 @@
 import * as instances from 'wagtailroute-instances';
 import * as utils from 'wagtailroute-utils';
 import {
+	FAR_FETCH_DELAY_MILLISECONDS,
 	FETCH_RETRY_DELAY_MILLISECONDS,
 	FETCH_TIMEOUT_MILLISECONDS,
-	FAR_FETCH_DELAY_MILLISECONDS,
 } from './constants.ts';
 import {toCandidate} from './candidates.ts';
 import type {FleetContext} from './context.ts';
--- a/packages/wagtailroute-fleet/src/leader-calls.ts
+++ b/packages/wagtailroute-fleet/src/leader-calls.ts
@@ -31,13 +31,13 @@
 Sends a command to the leader. Resolves with the catalogue version in force once the command is committed.
 */
 export async function proposeToLeader(
-	calls: LeaderCallOptions,
+	options: LeaderCallOptions,
 	command: generations.GenerationCommand,
 ): Promise<results.Result<number, LeaderFailure>> {
-	return callWithRetries(calls, async leader => {
-		const answer = leader === calls.hostId
-			? await withTimeout(calls.group.propose(command))
-			: await callLeader<ProposalAnswer>(calls, leader, {method: METHODS.propose, parameters: {command}});
+	return callWithRetries(options, async leader => {
+		const answer = leader === options.hostId
+			? await withTimeout(options.group.propose(command))
+			: await callLeader<ProposalAnswer>(options, leader, {method: METHODS.propose, parameters: {command}});
 		return answer?.kind === 'applied' ? answer.version : undefined;
 	});
 }
@@ -45,11 +45,11 @@
 /**
 Reads the document of the newest generation from the leader; null before the first generation.
 */
-export async function readFromLeader(calls: LeaderCallOptions): Promise<results.Result<string | null, LeaderFailure>> {
-	return callWithRetries(calls, async leader => {
-		const answer = leader === calls.hostId
-			? await withTimeout(calls.group.read())
-			: await callLeader<ReadAnswer>(calls, leader, {method: METHODS.readGeneration, parameters: {}});
+export async function readFromLeader(options: LeaderCallOptions): Promise<results.Result<string | null, LeaderFailure>> {
+	return callWithRetries(options, async leader => {
+		const answer = leader === options.hostId
+			? await withTimeout(options.group.read())
+			: await callLeader<ReadAnswer>(options, leader, {method: METHODS.readGeneration, parameters: {}});
 		return answer?.kind === 'read' ? answer.document : undefined;
 	});
 }
--- a/packages/wagtailroute-fleet/src/routing.ts
+++ b/packages/wagtailroute-fleet/src/routing.ts
@@ -6,7 +6,7 @@
 import * as generations from 'wagtailroute-generations';
 import * as proxy from 'wagtailroute-proxy';
 import type {SlotRequestDraft, DispatchClient} from './dispatch-client.ts';
-import {NO_GENERATION_RETRY_MILLISECONDS, MIN_OVERDUE_MILLISECONDS, OVERDUE_RATIO} from './constants.ts';
+import {MIN_OVERDUE_MILLISECONDS, NO_GENERATION_RETRY_MILLISECONDS, OVERDUE_RATIO} from './constants.ts';
 import type {FleetContext} from './context.ts';
 import type {FleetView} from './fleet-view.ts';
 import {createCallerTimes} from './caller-times.ts';
--- a/packages/wagtailroute-fleet/src/standbys.ts
+++ b/packages/wagtailroute-fleet/src/standbys.ts
@@ -11,8 +11,8 @@
 	FAR_PING_INTERVAL_MILLISECONDS,
 	HELLO_TIMEOUT_MILLISECONDS,
 	HOUSEKEEPING_INTERVAL_MILLISECONDS,
-	STANDBY_IDLE_TIMEOUT_MILLISECONDS,
 	MAX_STANDBY_WAIT_MILLISECONDS,
+	STANDBY_IDLE_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 import {createMessageOrder} from './message-order.ts';
--- a/packages/wagtailroute-fleet/src/startup-gate.ts
+++ b/packages/wagtailroute-fleet/src/startup-gate.ts
@@ -6,7 +6,7 @@
 restart of the whole fleet the returning requests queue at the upstreams for a second.
 */
 import type * as proxy from 'wagtailroute-proxy';
-import {MAX_FIRST_GENERATION_WAIT_MILLISECONDS, MAX_CONTROL_LINKS_WAIT_MILLISECONDS} from './constants.ts';
+import {MAX_CONTROL_LINKS_WAIT_MILLISECONDS, MAX_FIRST_GENERATION_WAIT_MILLISECONDS} from './constants.ts';
 import type {FleetContext} from './context.ts';
 
 /**
