--- a/packages/wagtailroute-fleet/src/absences.ts
+++ b/packages/wagtailroute-fleet/src/absences.ts
@@ -12,7 +12,7 @@
 	MAX_ABSENCE_MILLISECONDS,
 	ABSENCE_CHECK_INTERVAL_MILLISECONDS,
 	ABSENCE_GROUP_MILLISECONDS,
-	ASKER_MILLISECONDS,
+	REQUESTING_HOST_EXPIRY_MILLISECONDS,
 	PAUSE_MILLISECONDS,
 	SILENT_REQUESTING_HOST_MILLISECONDS,
 	SILENT_FAR_ENTRY_MILLISECONDS,
@@ -100,7 +100,7 @@
 	let processResumedAt = -Infinity;
 
 	const isSilent = ({id, silenceMilliseconds}: LinkedHost) => {
-		const isRequestingHost = now() - (requestedAt.get(id) ?? -Infinity) < ASKER_MILLISECONDS;
+		const isRequestingHost = now() - (requestedAt.get(id) ?? -Infinity) < REQUESTING_HOST_EXPIRY_MILLISECONDS;
 		return Math.min(silenceMilliseconds, now() - processResumedAt) > (isRequestingHost ? SILENT_REQUESTING_HOST_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS);
 	};
 
--- a/packages/wagtailroute-fleet/src/control-links.ts
+++ b/packages/wagtailroute-fleet/src/control-links.ts
@@ -1,19 +1,19 @@
 /**
-Links from this host to every control host it knows.
+Links from this host to every control host that it knows.
 
-Hosts start with a few seeds and learn the others from them; a control host that is gone for long and that nobody names any
-more is forgotten. Seeds stay: they may be all there is after a long outage.
+A host starts with a few seeds and discovers the other control hosts through them. A control host is forgotten after a time without a link to it and
+without any host naming it. Seeds are never forgotten: they may be the only way back after a long outage.
 */
 import * as core from 'wagtailroute-core';
 import * as link from 'wagtailroute-link';
 import {
-	ASKED_PING_MILLISECONDS,
-	FAR_PING_MILLISECONDS,
-	FORGET_CONTROL_MILLISECONDS,
-	HELLO_MILLISECONDS,
-	HOUSEKEEPING_MILLISECONDS,
-	NEAR_PING_MILLISECONDS,
-	REPORT_MILLISECONDS,
+	CONTROL_HOST_EXPIRY_MILLISECONDS,
+	DISPATCHER_PING_INTERVAL_MILLISECONDS,
+	FAR_PING_INTERVAL_MILLISECONDS,
+	HELLO_TIMEOUT_MILLISECONDS,
+	HOUSEKEEPING_INTERVAL_MILLISECONDS,
+	LINK_REPORT_INTERVAL_MILLISECONDS,
+	NEAR_PING_INTERVAL_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 import {createMessageOrder} from './message-order.ts';
@@ -25,72 +25,78 @@
 import type {ControlHost} from './settings.ts';
 
 /**
-A control host with an open link that was greeted.
+A control host, or a standby, with an open link over which it has answered the hello.
 */
-export type OpenControl = {
+export type LinkedHost = {
 	readonly host: ControlHost;
 	readonly link: link.Link;
 };
 
 /**
-What the links are made with.
+Settings and callbacks of the links to control hosts.
 */
-export type ControlLinksPlan = {
+export type ControlLinksOptions = {
 	readonly seeds: readonly ControlHost[];
 	/**
-	This host's own name: it keeps no link to itself.
+	This host's own ID: it opens no link to itself.
 	*/
-	readonly self: core.HostId;
+	readonly hostId: core.HostId;
 	readonly failureDomain: core.FailureDomain;
 	readonly createHello: () => Hello;
 	readonly methods: link.LinkMethods;
 	/**
-	Says whether the dispatcher of a control host counts this host among those that ask it: it is to notice soon when it does not hear this host any more.
+	Returns whether the dispatcher of a control host counts this host among its requesting hosts. Such links get frequent pings, so that the dispatcher soon notices when this host is silent.
 	*/
-	readonly isAsked?: (over: link.Link) => boolean;
-	readonly onOpen: (control: OpenControl, welcome: Welcome) => void;
-	readonly onLost: (control: OpenControl) => void;
+	readonly isRecentlyAsked?: (controlLink: link.Link) => boolean;
+	/**
+	Called when a control host has answered the hello.
+	*/
+	readonly onOpen: (control: LinkedHost, welcome: Welcome) => void;
+	readonly onLost: (control: LinkedHost) => void;
 };
 
 /**
-Keeps the links to the control hosts and tells which are open.
+The links to the control hosts.
 */
 export type ControlLinks = {
-	readonly getOpen: () => readonly OpenControl[];
+	readonly getOpen: () => readonly LinkedHost[];
 	/**
-	Says whether there is a link to every control host that is known.
+	Returns whether there is an open link to every known control host; false when none is known.
 	*/
 	readonly isComplete: () => boolean;
 	readonly find: (id: core.HostId) => link.Link | undefined;
 	/**
-	Takes note of control hosts that another host named.
+	Opens links to control hosts that another host named, if they are not known yet.
 	*/
-	readonly learn: (hosts: readonly ControlHost[]) => void;
+	readonly addDiscovered: (hosts: readonly ControlHost[]) => void;
 	readonly addSeeds: (seeds: readonly ControlHost[]) => void;
 	readonly notifyAll: (method: string, parameters: unknown) => void;
 	readonly close: () => void;
 };
 
-type Known = {
+type KnownControlHost = {
 	host: ControlHost;
 	isSeed: boolean;
-	advertisedAt: number;
-	open?: OpenControl;
+	/**
+	When a host last named it or its link was lost, in milliseconds of monotonic time.
+	*/
+	lastSeenAt: number;
+	open?: LinkedHost;
 	readonly dialer: link.Dialer;
 };
 
 /**
-Starts the links.
+Starts the links to the seeds.
 */
-export function startControlLinks(context: FleetContext, plan: ControlLinksPlan): ControlLinks {
+export function startControlLinks(context: FleetContext, options: ControlLinksOptions): ControlLinks {
 	const {now, random} = context;
 	const order = createMessageOrder(context);
 	const log = context.logs('links');
-	const known = new Map<core.HostId, Known>();
+	const knownHosts = new Map<core.HostId, KnownControlHost>();
 
-	const greet = async (id: core.HostId, opened: link.Link) => {
-		const answer = await opened.call(METHODS.hello, plan.createHello(), HELLO_MILLISECONDS);
-		const entry = known.get(id);
+	const sendHello = async (id: core.HostId, opened: link.Link) => {
+		const answer = await opened.call(METHODS.hello, options.createHello(), HELLO_TIMEOUT_MILLISECONDS);
+		const entry = knownHosts.get(id);
 		if (entry === undefined || answer.isErr() || !opened.isOpen()) {
 			opened.close();
 			return;
@@ -99,70 +105,70 @@
 		const welcome = answer.value as Welcome;
 		entry.host = {...entry.host, failureDomain: welcome.failureDomain};
 		entry.open = {host: entry.host, link: opened};
-		log.info('Link opened.', {control: id, version: welcome.version});
-		learn(welcome.controls);
-		plan.onOpen(entry.open, welcome);
+		log.info('A link to a control host is open.', {control: id, version: welcome.version});
+		addDiscovered(welcome.controls);
+		options.onOpen(entry.open, welcome);
 	};
 
-	const lose = (id: core.HostId) => {
-		const entry = known.get(id);
+	const handleClose = (id: core.HostId) => {
+		const entry = knownHosts.get(id);
 		const {open} = entry ?? {};
 		if (entry === undefined || open === undefined) {
 			return;
 		}
 
 		entry.open = undefined;
-		entry.advertisedAt = now();
-		log.warn('Link lost.', {control: id});
-		plan.onLost(open);
+		entry.lastSeenAt = now();
+		log.warn('A link to a control host was lost.', {control: id});
+		options.onLost(open);
 	};
 
-	const getPing = (id: core.HostId) => {
-		const entry = known.get(id);
-		if (entry?.open !== undefined && plan.isAsked?.(entry.open.link) === true) {
-			return ASKED_PING_MILLISECONDS;
+	const getPingInterval = (id: core.HostId) => {
+		const entry = knownHosts.get(id);
+		if (entry?.open !== undefined && options.isRecentlyAsked?.(entry.open.link) === true) {
+			return DISPATCHER_PING_INTERVAL_MILLISECONDS;
 		}
 
-		// A seed's failure domain is known from its first answer on.
-		return entry?.host.failureDomain === plan.failureDomain ? NEAR_PING_MILLISECONDS : FAR_PING_MILLISECONDS;
+		// The failure domain of a seed is unknown until it has answered the hello.
+		return entry?.host.failureDomain === options.failureDomain ? NEAR_PING_INTERVAL_MILLISECONDS : FAR_PING_INTERVAL_MILLISECONDS;
 	};
 
 	const add = (host: ControlHost, isSeed: boolean) => {
-		const present = known.get(host.id);
-		if (present !== undefined || host.id === plan.self) {
-			if (present !== undefined) {
-				present.isSeed ||= isSeed;
-				present.advertisedAt = now();
+		const existing = knownHosts.get(host.id);
+		if (existing !== undefined || host.id === options.hostId) {
+			if (existing !== undefined) {
+				existing.isSeed ||= isSeed;
+				existing.lastSeenAt = now();
 			}
 
 			return;
 		}
 
-		known.set(host.id, {
+		knownHosts.set(host.id, {
 			host,
 			isSeed,
-			advertisedAt: now(),
+			lastSeenAt: now(),
 			dialer: link.startDialer({
 				address: host.address,
-				methods: plan.methods,
+				methods: options.methods,
 				order,
 				now,
 				random,
-				pingMilliseconds: () => getPing(host.id),
+				pingMilliseconds: () => getPingInterval(host.id),
 				onOpen(opened) {
-					void greet(host.id, opened);
+					void sendHello(host.id, opened);
 				},
 				onClose() {
-					lose(host.id);
+					handleClose(host.id);
 				},
 				onDefect(error) {
-					log.error('Message could not be handled.', {control: host.id, error: error.stack});
+					log.error('A message from a control host could not be handled.', {control: host.id, error: error.stack});
 				},
 			}),
 		});
 	};
 
-	const learn = (hosts: readonly ControlHost[]) => {
+	const addDiscovered = (hosts: readonly ControlHost[]) => {
 		for (const host of hosts) {
 			add(host, false);
 		}
@@ -174,34 +180,34 @@
 		}
 	};
 
-	const forget = () => {
-		for (const [id, entry] of known) {
-			if (!(entry.open === undefined && !entry.isSeed && now() - entry.advertisedAt > FORGET_CONTROL_MILLISECONDS)) {
+	const removeExpired = () => {
+		for (const [id, entry] of knownHosts) {
+			if (!(entry.open === undefined && !entry.isSeed && now() - entry.lastSeenAt > CONTROL_HOST_EXPIRY_MILLISECONDS)) {
 				continue;
 			}
 
-			log.info('Control host forgotten.', {control: id, address: core.formatAddress(entry.host.address)});
+			log.info('A control host without a link was forgotten.', {control: id, address: core.formatAddress(entry.host.address)});
 			entry.dialer.close();
-			known.delete(id);
+			knownHosts.delete(id);
 		}
 	};
 
-	const getOpen = () => known.values().map(entry => entry.open).filter(open => open !== undefined).toArray();
+	const getOpen = () => knownHosts.values().map(entry => entry.open).filter(open => open !== undefined).toArray();
 
-	const reportBytes = () => {
+	const logBytes = () => {
 		for (const {host, link: open} of getOpen()) {
-			log.debug('Link bytes.', {control: host.id, isNear: host.failureDomain === plan.failureDomain, ...open.getBytes()});
+			log.debug('Bytes of a link to a control host were counted.', {control: host.id, isNear: host.failureDomain === options.failureDomain, ...open.getBytes()});
 		}
 	};
 
-	addSeeds(plan.seeds);
-	const stopReporting = context.repeat(REPORT_MILLISECONDS, reportBytes);
-	const stopForgetting = context.repeat(HOUSEKEEPING_MILLISECONDS, forget);
+	addSeeds(options.seeds);
+	const stopReporting = context.repeat(LINK_REPORT_INTERVAL_MILLISECONDS, logBytes);
+	const stopRemovingExpired = context.repeat(HOUSEKEEPING_INTERVAL_MILLISECONDS, removeExpired);
 	return {
 		getOpen,
-		isComplete: () => known.size > 0 && known.values().every(entry => entry.open !== undefined),
-		find: id => known.get(id)?.open?.link,
-		learn,
+		isComplete: () => knownHosts.size > 0 && knownHosts.values().every(entry => entry.open !== undefined),
+		find: id => knownHosts.get(id)?.open?.link,
+		addDiscovered,
 		addSeeds,
 		notifyAll(method, parameters) {
 			for (const open of getOpen()) {
@@ -209,9 +215,9 @@
 			}
 		},
 		close() {
-			stopForgetting();
+			stopRemovingExpired();
 			stopReporting();
-			for (const entry of known.values()) {
+			for (const entry of knownHosts.values()) {
 				entry.open = undefined;
 				entry.dialer.close();
 			}
--- /dev/null
+++ b/packages/wagtailroute-fleet/src/dispatch-client.ts
@@ -0,0 +1,510 @@
+/**
+Requests a slot at an upstream for each attempt of a request. The request goes to the service's dispatcher on a control host, to the next one
+when that does not answer, to a standby on an entry host while no control host answers, and to this host's own dispatcher last.
+
+The own dispatcher counts only the slots that this host holds, and starts from the doubts that other dispatchers reported. Its grants may exceed
+an upstream's slots, so that the upstream sheds requests; they never cause a wrong answer.
+*/
+import type * as core from 'wagtailroute-core';
+import * as dispatch from 'wagtailroute-dispatch';
+import type * as link from 'wagtailroute-link';
+import {
+	MAX_FAILED_DISPATCHERS,
+	PROBE_TIMEOUT_MILLISECONDS,
+	REQUESTING_HOST_EXPIRY_MILLISECONDS,
+	SLOT_REQUEST_TIMEOUT_MILLISECONDS,
+	UNKNOWN_SERVICE_RETRY_MILLISECONDS,
+} from './constants.ts';
+import {type Advertisements, type Closure, createAdvertisements} from './advertisements.ts';
+import {
+	type AskOrigin,
+	createAskId,
+	createOrganisationNumbers,
+	createRouteNumbers,
+	getAskedRoute,
+	getAskNumber,
+	type OrganisationTelling,
+	restoreAnswer,
+	type RouteTelling,
+	type ShortAdvertisements,
+	type ShortAnswer,
+	type ShortAsk,
+	shortenAsk,
+	type ShortEnd,
+} from './ask-wire.ts';
+import type {FleetContext} from './context.ts';
+import type {LinkedHost} from './control-links.ts';
+import {createDispatcherFinder, type DispatcherFinder} from './dispatcher-finder.ts';
+import type {Dispatching} from './dispatching.ts';
+import {type AskAnswer, type DecidedAnswer, METHODS} from './messages.ts';
+import {createHeldSlots, type HeldSlot, type HeldSlots} from './held-slots.ts';
+import type {EntrySettings} from './settings.ts';
+import {createRecentUsage, type RecentUsage} from './recent-usage.ts';
+import type {Standbys} from './standbys.ts';
+
+/**
+The final answer to a slot request: a granted slot, or a refusal.
+*/
+export type FinalAnswer =
+	| (Extract<AskAnswer, {kind: 'grant'}> & {
+		/**
+		Identifies the granted slot when its end or an advertisement is reported.
+		*/
+		readonly id: dispatch.SlotRequestId;
+	})
+	| Extract<AskAnswer, {kind: 'refuse'}>;
+
+/**
+A slot request in progress.
+*/
+export type SlotRequestHandle = {
+	readonly answer: Promise<FinalAnswer>;
+	/**
+	Cancels the slot request. A slot that is granted nevertheless is given back.
+	*/
+	readonly cancel: () => void;
+};
+
+/**
+A slot request without the ID and the host, which the client fills in.
+*/
+export type SlotRequestDraft = Omit<dispatch.SlotRequest, 'id' | 'host' | 'failureDomain'>;
+
+/**
+Requests slots from dispatchers, and reports to them what becomes of granted ones.
+*/
+export type DispatchClient = {
+	readonly requestSlot: (draft: SlotRequestDraft) => SlotRequestHandle;
+	/**
+	Gives a slot back with the ending of its attempt, and the milliseconds that the attempt took. Ignored for a slot that is not held.
+	*/
+	readonly reportEnd: (id: dispatch.SlotRequestId, ending: dispatch.Ending, milliseconds: number) => void;
+	/**
+	Records what the answer to an attempt advertised about its upstream, and passes it on to the dispatcher that granted the slot.
+	*/
+	readonly recordAdvertisements: (id: dispatch.SlotRequestId, advertisements: readonly core.Advertisement[]) => void;
+	/**
+	Returns whether an advertised backoff or drain forbids this host to send to an upstream now.
+	*/
+	readonly isClosed: (upstream: core.UpstreamId) => boolean;
+	/**
+	Handles the final answer to a slot request that had to wait.
+	*/
+	readonly handleAnswer: (requestNumber: number, answer: ShortAnswer) => void;
+	/**
+	Returns whether the dispatcher at the other end of a link still counts this host among its requesting hosts.
+	*/
+	readonly isRecentlyAsked: (dispatcherLink: link.Link) => boolean;
+	/**
+	Sends the slot requests that are pending at a dispatcher whose link was lost to other dispatchers.
+	*/
+	readonly handleDispatcherLost: (dispatcher: LinkedHost) => void;
+};
+
+/**
+Settings and collaborators of a dispatch client.
+*/
+export type DispatchClientOptions = {
+	readonly settings: Pick<EntrySettings, 'hostId' | 'failureDomain' | 'allotments'>;
+	/**
+	Returns how many entry hosts serve callers, 0 when it is not known.
+	*/
+	readonly countEntryHosts: () => number;
+	readonly getControlHosts: () => readonly LinkedHost[];
+	readonly standbys: Pick<Standbys, 'getOpen' | 'open' | 'waitForOne' | 'isOwnHostStandby'>;
+	/**
+	This host's own dispatcher. Its later decisions are passed to {@link DispatchClient.handleAnswer}.
+	*/
+	readonly ownDispatcher: Pick<Dispatching, 'ask' | 'cancel' | 'end' | 'recordAdvertisements' | 'applyUpdates' | 'takeOver'>;
+	readonly isRetired: (upstream: core.UpstreamId) => boolean;
+	/**
+	Returns the milliseconds for which messages may wait behind large bodies on this host's own network link.
+	*/
+	readonly getLinkDelay: () => number;
+};
+
+type PendingSlotRequest = {
+	request: dispatch.SlotRequest;
+	requestedAt: number;
+	/**
+	Number of dispatchers that gave no decision: they did not answer, their link was lost, or they answered `elsewhere`.
+	*/
+	failedDispatchers: number;
+	/**
+	The dispatcher answered `wait`: it has queued the request until a slot is free.
+	*/
+	isWaiting?: boolean;
+	readonly resolve: (answer: FinalAnswer) => void;
+	/**
+	The dispatcher that has the request; absent for this host's own.
+	*/
+	dispatcher?: LinkedHost;
+};
+
+/**
+Creates the client without any held slot or known dispatcher.
+*/
+export function createDispatchClient(context: FleetContext, options: DispatchClientOptions): DispatchClient {
+	return new HostDispatchClient(context, options);
+}
+
+class HostDispatchClient implements DispatchClient {
+	readonly #context: FleetContext;
+	readonly #options: DispatchClientOptions;
+	readonly #pending = new Map<dispatch.SlotRequestId, PendingSlotRequest>();
+	readonly #heldSlots: HeldSlots;
+	readonly #advertisements: Advertisements;
+	readonly #recentUses: RecentUsage;
+	readonly #finder: DispatcherFinder;
+	readonly #routeNumbers = createRouteNumbers();
+	readonly #organisationNumbers = createOrganisationNumbers();
+	readonly #lastRequestAt = new WeakMap<link.Link, number>();
+	#lastRequestNumber = 0;
+	#isProbing = false;
+
+	constructor(context: FleetContext, options: DispatchClientOptions) {
+		this.#context = context;
+		this.#options = options;
+		this.#advertisements = createAdvertisements(options.settings.hostId, context.now);
+		this.#recentUses = createRecentUsage(context.now, options.settings.allotments.windowMilliseconds);
+		this.#heldSlots = createHeldSlots(context.now, {
+			advertisements: this.#advertisements, recentUses: this.#recentUses, countEntryHosts: options.countEntryHosts,
+		});
+		this.#finder = createDispatcherFinder(context, {
+			hostId: options.settings.hostId,
+			getControlHosts: options.getControlHosts,
+			getStandbys: options.standbys.getOpen,
+			isOwnHostStandby: options.standbys.isOwnHostStandby,
+		});
+		context.metrics.registerGauge('requests_held', this.#heldSlots.count);
+	}
+
+	requestSlot(draft: SlotRequestDraft): SlotRequestHandle {
+		const {hostId, failureDomain} = this.#options.settings;
+		const request: dispatch.SlotRequest = {
+			...draft, id: this.#createId(), host: hostId, failureDomain,
+		};
+		const {promise, resolve} = Promise.withResolvers<FinalAnswer>();
+		const pending: PendingSlotRequest = {
+			request, requestedAt: this.#context.now(), failedDispatchers: 0, resolve,
+		};
+		this.#pending.set(request.id, pending);
+		void this.#send(pending);
+		return {
+			answer: promise,
+			cancel: () => {
+				this.#cancel(pending);
+			},
+		};
+	}
+
+	reportEnd(id: dispatch.SlotRequestId, ending: dispatch.Ending, milliseconds: number): void {
+		const held = this.#heldSlots.remove(id);
+		if (held === undefined) {
+			return;
+		}
+
+		if (ending === 'success') {
+			this.#advertisements.liftRateLimit(held.request.service, held.upstream, held.grantedAt);
+		}
+
+		this.#notifyEnd(held, ending, milliseconds);
+	}
+
+	recordAdvertisements(id: dispatch.SlotRequestId, advertisements: readonly core.Advertisement[]): void {
+		const held = this.#heldSlots.find(id);
+		if (held === undefined) {
+			return;
+		}
+
+		const {request, upstream, dispatcher} = held;
+		for (const advertisement of advertisements) {
+			this.#advertisements.record(request.service, upstream, advertisement);
+		}
+
+		if (dispatcher === undefined) {
+			this.#options.ownDispatcher.recordAdvertisements(id, advertisements);
+		} else {
+			dispatcher.link.notify(METHODS.advertised, [getAskNumber(id), advertisements] satisfies ShortAdvertisements);
+		}
+	}
+
+	isClosed(upstream: core.UpstreamId): boolean {
+		return this.#advertisements.findClosure(upstream) !== undefined;
+	}
+
+	handleAnswer(requestNumber: number, answer: ShortAnswer): void {
+		const pending = this.#pending.get(createAskId(this.#options.settings.hostId, requestNumber));
+		const restored = restoreAnswer(answer);
+		if (pending !== undefined && (restored.kind === 'grant' || restored.kind === 'refuse')) {
+			this.#settle(pending, restored);
+		}
+	}
+
+	isRecentlyAsked(dispatcherLink: link.Link): boolean {
+		return this.#context.now() - (this.#lastRequestAt.get(dispatcherLink) ?? -Infinity) < REQUESTING_HOST_EXPIRY_MILLISECONDS + SLOT_REQUEST_TIMEOUT_MILLISECONDS;
+	}
+
+	handleDispatcherLost(lostDispatcher: LinkedHost): void {
+		this.#options.standbys.open();
+		const affected = this.#pending.values().filter(({dispatcher}) => dispatcher?.link === lostDispatcher.link).toArray();
+		this.#retryElsewhere(affected);
+	}
+
+	#createId(): dispatch.SlotRequestId {
+		this.#lastRequestNumber++;
+		return createAskId(this.#options.settings.hostId, this.#lastRequestNumber);
+	}
+
+	#encode(dispatcherLink: link.Link, request: dispatch.SlotRequest): ShortAsk {
+		return shortenAsk(request, this.#registerRoute(dispatcherLink, request));
+	}
+
+	#registerRoute(dispatcherLink: link.Link, request: dispatch.SlotRequest): AskOrigin {
+		const route = getAskedRoute(request);
+		const {number, isNew} = this.#routeNumbers.number(dispatcherLink, route);
+		if (isNew) {
+			dispatcherLink.notify(METHODS.route, [number, route] satisfies RouteTelling);
+		}
+
+		return request.organisation === undefined ? number : [number, this.#registerOrganisation(dispatcherLink, request.organisation)];
+	}
+
+	#registerOrganisation(dispatcherLink: link.Link, organisation: core.Organisation): number {
+		const {number, isNew} = this.#organisationNumbers.number(dispatcherLink, organisation);
+		if (isNew) {
+			dispatcherLink.notify(METHODS.organisation, [number, organisation] satisfies OrganisationTelling);
+		}
+
+		return number;
+	}
+
+	async #send(pending: PendingSlotRequest): Promise<void> {
+		const {request} = pending;
+		const dispatcher = pending.failedDispatchers < MAX_FAILED_DISPATCHERS
+			? this.#finder.find(request.service) ?? await this.#waitForStandby(request.service)
+			: undefined;
+		// Cancelled, or sent anew, while this waited for a link to a standby.
+		if (pending.request !== request || !this.#pending.has(request.id)) {
+			return;
+		}
+
+		if (dispatcher === undefined) {
+			this.#askOwnDispatcher(pending);
+			return;
+		}
+
+		pending.dispatcher = dispatcher;
+		this.#lastRequestAt.set(dispatcher.link, this.#context.now());
+		this.#heldSlots.reportTo(request.service, dispatcher);
+		const answer = await dispatcher.link.call(METHODS.ask, this.#encode(dispatcher.link, request), SLOT_REQUEST_TIMEOUT_MILLISECONDS + this.#options.getLinkDelay());
+		// The request has been sent to another dispatcher meanwhile.
+		if (pending.request !== request || pending.dispatcher !== dispatcher) {
+			return;
+		}
+
+		if (answer.isOk()) {
+			this.#handleFirstAnswer(pending, restoreAnswer(answer.value as ShortAnswer));
+		} else {
+			this.#abandonDispatcher(dispatcher, answer.error.kind);
+		}
+	}
+
+	/**
+	Right after the control hosts are lost, no link to a standby is open yet. Opening one takes some milliseconds, which costs less than a choice by this host alone.
+	*/
+	async #waitForStandby(service: core.ServiceName): Promise<LinkedHost | undefined> {
+		const {standbys} = this.#options;
+		if (standbys.isOwnHostStandby()) {
+			return undefined;
+		}
+
+		standbys.open();
+		await standbys.waitForOne();
+		return this.#finder.find(service);
+	}
+
+	/**
+	Handles the first answer to a slot request; after `wait`, the final one comes to {@link handleAnswer}.
+	*/
+	#handleFirstAnswer(pending: PendingSlotRequest, answer: AskAnswer): void {
+		if (answer.kind === 'wait') {
+			pending.isWaiting = true;
+		} else if (answer.kind === 'elsewhere') {
+			this.#finder.markUnresponsive(pending.dispatcher!);
+			this.#retryElsewhere([pending]);
+		} else {
+			this.#settle(pending, answer);
+		}
+	}
+
+	/**
+	Sends the requests of a dispatcher that did not answer to other dispatchers: each would reach the same timeout, one after the other. Requests
+	that are queued there for a slot stay, unless the link was silent for the whole timeout: the dispatcher may be frozen, and would then never answer.
+	*/
+	#abandonDispatcher(dispatcher: LinkedHost, reason: string): void {
+		this.#finder.markUnresponsive(dispatcher);
+		const isSilent = dispatcher.link.getSilence() >= SLOT_REQUEST_TIMEOUT_MILLISECONDS;
+		const affected = this.#pending.values()
+			.filter(pending => pending.dispatcher === dispatcher && (isSilent || !pending.isWaiting))
+			.toArray();
+		this.#context.logs('dispatch').warn('A dispatcher did not answer; its slot requests go to other dispatchers.', {
+			dispatcher: dispatcher.host.id, reason, isSilent, asks: affected.length,
+		});
+		this.#context.metrics.count('dispatchers_left', {reason});
+		this.#options.standbys.open();
+		void this.#probeControlHosts();
+		for (const pending of affected) {
+			// A slot that the dispatcher grants late is given back.
+			notifyCancelled(dispatcher.link, pending.request);
+		}
+
+		this.#retryElsewhere(affected);
+	}
+
+	/**
+	Probes all control hosts at once. Otherwise, after five have lost power together, slot requests reach the timeout at one after the other.
+	*/
+	async #probeControlHosts(): Promise<void> {
+		if (this.#isProbing) {
+			return;
+		}
+
+		this.#isProbing = true;
+		await Promise.all(this.#finder.listResponsiveControlHosts().map(async control => {
+			const answer = await control.link.call(METHODS.probe, {}, PROBE_TIMEOUT_MILLISECONDS + this.#options.getLinkDelay());
+			if (answer.isErr() && answer.error.kind === 'call-timeout') {
+				this.#abandonDispatcher(control, 'probe');
+			}
+		}));
+		this.#isProbing = false;
+	}
+
+	#retryElsewhere(requests: readonly PendingSlotRequest[]): void {
+		for (const pending of requests) {
+			this.#pending.delete(pending.request.id);
+			pending.failedDispatchers++;
+			this.#retry(pending);
+		}
+	}
+
+	#askOwnDispatcher(pending: PendingSlotRequest): void {
+		pending.dispatcher = undefined;
+		const {request} = pending;
+		const reason = pending.failedDispatchers === 0 ? 'no-dispatcher' : 'no-answer';
+		const remainingMilliseconds = request.remainingMilliseconds - (this.#context.now() - pending.requestedAt);
+		this.#context.metrics.count('asks_own', {reason});
+		this.#context.logs('dispatch').warn('No other dispatcher is available; the host requests the slot from its own.', {id: request.id, service: request.service, reason});
+		this.#options.ownDispatcher.applyUpdates({service: request.service, updates: this.#advertisements.list(request.service)});
+		const uses = this.#recentUses.collectUnreported(this.#options.ownDispatcher);
+		if (uses !== undefined) {
+			this.#options.ownDispatcher.takeOver(this.#options.settings.hostId, uses);
+		}
+
+		const answer = this.#options.ownDispatcher.ask({...request, remainingMilliseconds});
+		this.#handleFirstAnswer(pending, answer.kind === 'elsewhere' ? NO_UPSTREAM_REFUSAL : answer);
+	}
+
+	#settle(pending: PendingSlotRequest, answer: DecidedAnswer): void {
+		const {request, dispatcher} = pending;
+		if (!this.#pending.delete(request.id)) {
+			// Cancelled meanwhile, or answered twice.
+			if (answer.kind === 'grant') {
+				this.#notifyEnd({
+					request, upstream: answer.upstream, grantedAt: 0, dispatcher,
+				}, 'unused', 0);
+			}
+
+			return;
+		}
+
+		if (answer.kind === 'grant') {
+			const held: HeldSlot = {
+				request, upstream: answer.upstream, grantedAt: this.#context.now(), dispatcher,
+			};
+			const cause = this.#options.isRetired(answer.upstream) ? 'retired' : this.#advertisements.findClosure(answer.upstream);
+			if (cause !== undefined) {
+				// The dispatcher does not know yet that the upstream is closed; this host must not send there.
+				this.#giveBack(held, cause);
+				this.#retry(pending, [answer.upstream]);
+				return;
+			}
+
+			this.#heldSlots.add(held);
+			this.#recordUse(held);
+		}
+
+		pending.resolve(answer.kind === 'grant' ? {...answer, id: request.id} : answer);
+	}
+
+	/**
+	Only the first attempt of a request counts against its organisation's allotment.
+	*/
+	#recordUse({request, dispatcher}: HeldSlot): void {
+		const {service, organisation} = request;
+		if (organisation !== undefined && dispatch.isFirstAttempt(request)) {
+			this.#recentUses.record({service, organisation, admittedBy: dispatcher?.link ?? this.#options.ownDispatcher});
+		}
+	}
+
+	#giveBack(held: HeldSlot, cause: Closure | 'retired'): void {
+		const {request, upstream} = held;
+		this.#context.metrics.count('places_given_back', {cause});
+		this.#context.logs('dispatch').info('The granted slot is given back, because its upstream is closed or retired.', {
+			id: request.id, service: request.service, upstream, cause,
+		});
+		this.#notifyEnd(held, 'unused', 0);
+	}
+
+	#retry(pending: PendingSlotRequest, excluded: readonly core.UpstreamId[] = []): void {
+		const now = this.#context.now();
+		const {request} = pending;
+		pending.request = {
+			...request,
+			id: this.#createId(),
+			isAgain: true,
+			excluded: [...request.excluded, ...excluded],
+			remainingMilliseconds: request.remainingMilliseconds - (now - pending.requestedAt),
+			waitedMilliseconds: request.waitedMilliseconds + (now - pending.requestedAt),
+		};
+		pending.requestedAt = now;
+		pending.isWaiting = false;
+		this.#pending.set(pending.request.id, pending);
+		void this.#send(pending);
+	}
+
+	#cancel(pending: PendingSlotRequest): void {
+		if (!this.#pending.delete(pending.request.id)) {
+			return;
+		}
+
+		if (pending.dispatcher === undefined) {
+			this.#options.ownDispatcher.cancel(pending.request.id);
+		} else {
+			notifyCancelled(pending.dispatcher.link, pending.request);
+		}
+
+		pending.resolve({kind: 'refuse', reason: 'no-slot-in-time', retryAfterMilliseconds: 0});
+	}
+
+	#notifyEnd({request, dispatcher}: HeldSlot, ending: dispatch.Ending, milliseconds: number): void {
+		if (dispatcher === undefined) {
+			this.#options.ownDispatcher.end({id: request.id, ending, milliseconds});
+		} else {
+			dispatcher.link.notify(METHODS.end, [getAskNumber(request.id), ending, Math.round(milliseconds)] satisfies ShortEnd);
+		}
+	}
+}
+
+/**
+The answer when not even this host's own dispatcher knows an upstream of the service.
+*/
+const NO_UPSTREAM_REFUSAL: DecidedAnswer = {kind: 'refuse', reason: 'no-upstream', retryAfterMilliseconds: UNKNOWN_SERVICE_RETRY_MILLISECONDS};
+
+/**
+Notifies a dispatcher that a slot request is cancelled, and gives its slot back in case the grant is already on its way.
+*/
+function notifyCancelled(dispatcherLink: link.Link, request: dispatch.SlotRequest): void {
+	dispatcherLink.notify(METHODS.cancel, [getAskNumber(request.id)]);
+	dispatcherLink.notify(METHODS.end, [getAskNumber(request.id), 'unused', 0] satisfies ShortEnd);
+}
--- a/packages/wagtailroute-fleet/src/routing.ts
+++ b/packages/wagtailroute-fleet/src/routing.ts
@@ -1,28 +1,28 @@
 /**
-What an entry host holds for a request of a route: its limits, and the attempts that a dispatcher gives it places for.
+Finds the route of a request, and the port through which the proxy gets its limits and a slot from a dispatcher for each attempt.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
 import * as generations from 'wagtailroute-generations';
 import * as proxy from 'wagtailroute-proxy';
-import type {AskDraft, Asking} from './asking.ts';
-import {NO_GENERATION_MILLISECONDS, PATIENCE_MILLISECONDS, PATIENCE_RATIO} from './constants.ts';
+import type {SlotRequestDraft, DispatchClient} from './dispatch-client.ts';
+import {MIN_OVERDUE_MILLISECONDS, NO_GENERATION_RETRY_MILLISECONDS, OVERDUE_RATIO} from './constants.ts';
 import type {FleetContext} from './context.ts';
-import type {Knowledge} from './knowledge.ts';
+import type {FleetView} from './fleet-view.ts';
 import {createCallerDeadlines} from './caller-deadlines.ts';
 import {createUsualTimes, type UsualTimes} from './usual-times.ts';
 
 /**
-Finds the route of a request and what this host holds for it.
+Finds the route of a request and the port of its service; returns a failure for a request that has none.
 */
 export type Router = (request: proxy.CallerRequest) => proxy.RoutedRequest | proxy.RequestFailure;
 
 /**
-What routing needs.
+Collaborators of a router.
 */
-export type RoutingPlan = {
-	readonly knowledge: Pick<Knowledge, 'getGeneration' | 'findRoute' | 'findOrganisation' | 'findService' | 'listCandidates'>;
-	readonly asking: Asking;
+export type RouterOptions = {
+	readonly fleetView: Pick<FleetView, 'getGeneration' | 'findRoute' | 'findOrganisation' | 'findService' | 'listCandidates'>;
+	readonly dispatchClient: DispatchClient;
 };
 
 type RouteContext = {
@@ -30,22 +30,22 @@
 	readonly service: generations.GenerationService;
 	readonly bodyBytes: number;
 	/**
-	Milliseconds that the caller waited before this host heard of it.
+	Milliseconds that the caller has waited before this host received the request.
 	*/
 	readonly waitedMilliseconds: number;
 	readonly caller: Caller;
 };
 
 /**
-Who calls, where the catalogue has organisations.
+The organisation and the priority of a request.
 */
 type Caller = {
 	/**
-	Empty on a route that needs no key.
+	Absent if the catalogue has no organisations; empty for a request without a known key on a public route.
 	*/
 	readonly organisation?: core.Organisation;
 	/**
-	Rank of the request, 0 is the highest.
+	Priority of the request, 0 is the highest.
 	*/
 	readonly priority: number;
 };
@@ -53,36 +53,36 @@
 /**
 Creates the router of a host.
 */
-export function createRouter(context: FleetContext, plan: RoutingPlan): Router {
-	const {knowledge} = plan;
+export function createRouter(context: FleetContext, options: RouterOptions): Router {
+	const {fleetView} = options;
 	const chooseShare = generations.createShareChooser(context.random);
 	const usualTimes = createUsualTimes();
 	const callerTimes = createCallerDeadlines();
 
 	return ({host, path, method, timeoutMilliseconds, key}) => {
-		const generation = knowledge.getGeneration();
+		const generation = fleetView.getGeneration();
 		if (generation === undefined) {
-			return proxy.createRequestFailure('no-upstream', 'This host has no catalogue yet.', NO_GENERATION_MILLISECONDS);
+			return proxy.createRequestFailure('no-upstream', 'This host has no catalogue yet.', NO_GENERATION_RETRY_MILLISECONDS);
 		}
 
-		const route = knowledge.findRoute(host, path);
+		const route = fleetView.findRoute(host, path);
 		if (route === undefined) {
 			return proxy.createRequestFailure('route-unknown', `No service has a route for ${method} ${host}${path}.`);
 		}
 
-		const caller = identifyCaller(plan, {generation, route, key});
+		const caller = identifyCaller(options, {generation, route, key});
 		if ('kind' in caller) {
 			return caller;
 		}
 
-		const service = knowledge.findService(chooseShare(route))!;
+		const service = fleetView.findService(chooseShare(route))!;
 		const routeContext: RouteContext = {
 			route, service, bodyBytes: generation.limits.bodyBytes, waitedMilliseconds: callerTimes.estimateWaited(route, timeoutMilliseconds), caller,
 		};
 		return {
 			match: {service: service.name, route: {class: route.class}},
 			organisation: caller.organisation,
-			service: createPort(context, plan, {...routeContext, usualTimes}),
+			service: createServicePort(context, options, {...routeContext, usualTimes}),
 		};
 	};
 }
@@ -90,36 +90,36 @@
 const UNKNOWN_KEY = proxy.createRequestFailure('key-unknown', 'No organisation holds the key of the request.');
 
 /**
-Finds who calls by the key that was sent. A key that is unknown here is refused before anything else is done for the request: it may have been taken away
-from its organisation.
+Finds the organisation that holds the key of a request. An unknown key is refused before anything else is done for the request: it may have been
+revoked.
 */
 function identifyCaller(
-	{knowledge}: RoutingPlan,
+	{fleetView}: RouterOptions,
 	{generation, route, key}: {readonly generation: generations.Generation; readonly route: generations.GenerationRoute; readonly key?: string},
 ): Caller | proxy.RequestFailure {
 	if (generation.organisations === undefined) {
 		return {priority: route.priority};
 	}
 
-	const organisation = key === undefined ? undefined : knowledge.findOrganisation(key);
+	const organisation = key === undefined ? undefined : fleetView.findOrganisation(key);
 	return organisation === undefined && route.isPublic !== true ? UNKNOWN_KEY : {organisation: organisation?.name ?? '', priority: organisation?.priority ?? route.priority};
 }
 
-function createPort(
+function createServicePort(
 	context: FleetContext,
-	{knowledge, asking}: RoutingPlan,
+	{fleetView, dispatchClient}: RouterOptions,
 	{
 		route, service, bodyBytes, usualTimes, waitedMilliseconds, caller: {organisation, priority},
 	}: RouteContext & {readonly usualTimes: UsualTimes},
 ): proxy.ServicePort {
-	const granted = new Map<proxy.Target, dispatch.SlotRequestId>();
+	const grantedIds = new Map<proxy.Target, dispatch.SlotRequestId>();
 
-	const createAsk = (choice: proxy.ChoiceRequest): AskDraft => ({
+	const createDraft = (choice: proxy.ChoiceRequest): SlotRequestDraft => ({
 		service: service.name,
 		route: route.name,
 		requestClass: route.class,
 		priority,
-		// Nobody's allotment counts for a request without an organisation.
+		// A request without an organisation counts against no allotment.
 		...organisation !== undefined && organisation !== '' && {organisation},
 		remainingMilliseconds: choice.remainingMilliseconds,
 		objectiveMilliseconds: route.objectiveMilliseconds,
@@ -140,29 +140,29 @@
 		admit: () => undefined,
 		release: () => undefined,
 		choose(choice) {
-			const asked = asking.ask(createAsk(choice));
+			const handle = dispatchClient.requestSlot(createDraft(choice));
 			return {
-				cancel: asked.cancel,
+				cancel: handle.cancel,
 				result: (async () => {
-					const answer = await asked.answer;
+					const answer = await handle.answer;
 					if (answer.kind === 'refuse') {
 						return REFUSALS[answer.reason](answer.retryAfterMilliseconds);
 					}
 
 					const target: proxy.Target = {id: answer.upstream, address: answer.address, kind: 'upstream'};
-					granted.set(target, answer.id);
-					context.logs('dispatch').debug('Place granted.', {request: choice.requestId, ask: answer.id, upstream: answer.upstream});
+					grantedIds.set(target, answer.id);
+					context.logs('dispatch').debug('A slot was granted for an attempt.', {request: choice.requestId, ask: answer.id, upstream: answer.upstream});
 					return target;
 				})(),
 			};
 		},
-		hasOtherTarget: ({excluded}) => knowledge.listCandidates(service.name)
-			.some(({upstream, isDraining}) => !excluded.has(upstream) && !isDraining && !asking.isClosed(upstream)),
+		hasOtherTarget: ({excluded}) => fleetView.listCandidates(service.name)
+			.some(({upstream, isDraining}) => !excluded.has(upstream) && !isDraining && !dispatchClient.isClosed(upstream)),
 		begin: () => undefined,
 		recordAdvertisements(target, advertisements) {
-			const id = granted.get(target);
+			const id = grantedIds.get(target);
 			if (id !== undefined) {
-				asking.recordAdvertisements(id, advertisements);
+				dispatchClient.recordAdvertisements(id, advertisements);
 			}
 		},
 		end({target, ending, latencyMilliseconds, failure}) {
@@ -170,17 +170,17 @@
 				usualTimes.record(route, latencyMilliseconds);
 			}
 
-			const id = granted.get(target);
+			const id = grantedIds.get(target);
 			if (id !== undefined) {
-				asking.end(id, getEnding(ending, failure), latencyMilliseconds);
+				dispatchClient.reportEnd(id, toDispatchEnding(ending, failure), latencyMilliseconds);
 			}
 		},
-		// The dispatcher keeps the budget, for all hosts.
+		// The dispatcher enforces the budget of resends for all hosts.
 		retry: {
 			hasBudget: () => true,
 			spend: () => undefined,
 			getUsualMilliseconds: () => usualTimes.get(route),
-			getOverdueMilliseconds: () => Math.max(PATIENCE_MILLISECONDS, usualTimes.get(route) * PATIENCE_RATIO),
+			getOverdueMilliseconds: () => Math.max(MIN_OVERDUE_MILLISECONDS, usualTimes.get(route) * OVERDUE_RATIO),
 		},
 	};
 }
@@ -209,8 +209,8 @@
 };
 
 /**
-Nobody listening and no way there both end an attempt before it was sent, but only the first is the upstream's doing.
+Translates the ending of an attempt. A refused connection and an unreachable upstream both end an attempt before it was sent, but only the first is the upstream's fault.
 */
-function getEnding(ending: proxy.AttemptEnding, failure: proxy.RequestFailureKind | undefined): dispatch.Ending {
+function toDispatchEnding(ending: proxy.AttemptEnding, failure: proxy.RequestFailureKind | undefined): dispatch.Ending {
 	return failure === 'connect-refused' ? 'refused' : ENDINGS[ending];
 }
