--- a/packages/wagtailroute-fleet/src/__tests__/unit/allotting.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/allotting.test.ts
@@ -7,7 +7,7 @@
 import type * as dispatch from 'wagtailroute-dispatch';
 import * as telemetry from 'wagtailroute-telemetry';
 import {type AllottingPlan, startAllotting} from '../../allotting.ts';
-import {startDispatching} from '../../dispatching.ts';
+import {startHostDispatcher} from '../../host-dispatcher.ts';
 import {METHODS} from '../../messages.ts';
 import * as fixture from './fixture.ts';
 
@@ -47,7 +47,7 @@
 		...changes,
 	});
 	allotting.setOrganisations([PARISH]);
-	const dispatching = startDispatching(context, {
+	const dispatching = startHostDispatcher(context, {
 		...fixture.ONLY_DISPATCHER,
 		settings: {budget: {ratio: 0.2, extra: 20, windowMilliseconds: 10_000}, floor: 0},
 		allotting,
@@ -56,7 +56,7 @@
 		}],
 		listStandbys: () => [],
 		notify: () => undefined,
-		tellControls: () => undefined,
+		notifyControls: () => undefined,
 	});
 	await context.pass(FILLED_MILLISECONDS);
 	let count = 0;
@@ -64,7 +64,7 @@
 		count++;
 		const id = `front:${count}`;
 		return {
-			id, answer: dispatching.ask({
+			id, answer: dispatching.requestSlot({
 				...fixture.ASK_DRAFT, organisation: 'parish', id, host: 'front', failureDomain: 'x', ...more,
 			}),
 		};
--- a/packages/wagtailroute-fleet/src/__tests__/unit/asking.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/asking.test.ts
@@ -4,9 +4,9 @@
 import test from 'ava';
 import type * as dispatch from 'wagtailroute-dispatch';
 import {createAsking} from '../../asking.ts';
-import type {ShortAnswer, ShortAsk} from '../../ask-wire.ts';
+import type {EncodedAnswer, EncodedSlotRequest} from '../../slot-request-encoding.ts';
 import type {OpenControl} from '../../control-links.ts';
-import {startDispatching} from '../../dispatching.ts';
+import {startHostDispatcher} from '../../host-dispatcher.ts';
 import {orderDispatchers} from '../../dispatch-order.ts';
 import * as fixture from './fixture.ts';
 
@@ -45,15 +45,15 @@
 	const retired = new Set<string>();
 	const delay = {milliseconds: 0};
 	const controls = [control, ...others];
-	const own = startDispatching(context, {
+	const own = startHostDispatcher(context, {
 		...fixture.ONLY_DISPATCHER,
 		settings: {budget: {ratio: 0.2, extra: 2, windowMilliseconds: 10_000}, floor: 0.7},
 		listCandidates: () => [CANDIDATE],
 		listStandbys: () => [],
 		notify(_host, _method, parameters) {
-			asking.hearAnswer(...parameters as [number, ShortAnswer]);
+			asking.hearAnswer(...parameters as [number, EncodedAnswer]);
 		},
-		tellControls: () => undefined,
+		notifyControls: () => undefined,
 	});
 	const asking = createAsking(context, {
 		settings: {hostId: 'front', failureDomain: 'x', allotments: fixture.ALLOTMENTS},
@@ -197,7 +197,7 @@
 for (const {name, advertisement, endsAfter} of CLOSURES) {
 	test(`a place at an upstream that ${name} is given back and another one asked for`, async t => {
 		// Guards against dispatchers that do not know what an upstream told a host, and grant it all the same.
-		const {asking, link, context} = setUp((_method, ask: ShortAsk) => ask[3]?.includes('u') === true ? ['grant', 'v', '10.0.0.5:80', 0] : GRANT);
+		const {asking, link, context} = setUp((_method, ask: EncodedSlotRequest) => ask[3]?.includes('u') === true ? ['grant', 'v', '10.0.0.5:80', 0] : GRANT);
 		const first = await asking.ask(fixture.ASK_DRAFT).answer;
 		t.like(first, {kind: 'grant', upstream: 'u'});
 		asking.recordAdvertisements('front:1', [advertisement]);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/belief-store.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/belief-store.test.ts
@@ -6,8 +6,8 @@
 import * as path from 'node:path';
 import test from 'ava';
 import {createBeliefStore} from '../../belief-store.ts';
-import {BELIEFS_KEPT_MILLISECONDS} from '../../constants.ts';
-import {startDispatching} from '../../dispatching.ts';
+import {MAX_BELIEFS_AGE_MILLISECONDS} from '../../constants.ts';
+import {startHostDispatcher} from '../../host-dispatcher.ts';
 import * as fixture from './fixture.ts';
 
 const BELIEFS = [{service: 'archive', upstream: 'u', doubt: 6}];
@@ -21,7 +21,7 @@
 		name: 'after the time of day has jumped back', later: -60_000, beliefs: BELIEFS, age: 0,
 	},
 	{
-		name: 'not when they are of no use any more', later: BELIEFS_KEPT_MILLISECONDS + 1, beliefs: [], age: 0,
+		name: 'not when they are of no use any more', later: MAX_BELIEFS_AGE_MILLISECONDS + 1, beliefs: [], age: 0,
 	},
 ];
 
@@ -53,7 +53,7 @@
 	// Sequence: all processes are killed; a bad spell goes on; the new dispatcher knows of no failure.
 	// Cause: suspensions lived in the memory of the dispatcher alone.
 	const context = fixture.createFakeContext();
-	const dispatching = startDispatching(context, {
+	const dispatching = startHostDispatcher(context, {
 		...fixture.ONLY_DISPATCHER,
 		settings: {budget: {ratio: 0.2, extra: 2, windowMilliseconds: 10_000}, floor: 0},
 		listCandidates: () => ['u', 'v'].map(upstream => ({
@@ -61,11 +61,11 @@
 		})),
 		listStandbys: () => [],
 		notify: () => undefined,
-		tellControls: () => undefined,
+		notifyControls: () => undefined,
 	});
-	dispatching.hearBeliefs([...BELIEFS, {service: 'archive', upstream: 'v', doubt: 3.2}], 1500);
-	t.deepEqual(dispatching.report('archive').map(({upstream, isSuspended}) => [upstream, isSuspended]), [['u', true], ['v', false]]);
-	t.like(dispatching.ask({
+	dispatching.mergeBeliefs([...BELIEFS, {service: 'archive', upstream: 'v', doubt: 3.2}], 1500);
+	t.deepEqual(dispatching.listUpstreamReports('archive').map(({upstream, isSuspended}) => [upstream, isSuspended]), [['u', true], ['v', false]]);
+	t.like(dispatching.requestSlot({
 		...fixture.ASK_DRAFT, id: 'front:1', host: 'front', failureDomain: 'x',
 	}), {kind: 'grant', upstream: 'v'});
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/directory-width.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/directory-size.test.ts
@@ -3,12 +3,12 @@
 */
 import test from 'ava';
 import {
-	ADDRESSES_LEAST,
-	ADDRESSES_MOST,
-	NARROWING_MILLISECONDS,
+	MIN_DIRECTORY_ADDRESSES,
+	MAX_DIRECTORY_ADDRESSES,
+	DIRECTORY_HALF_LIFE_MILLISECONDS,
 	TARGET_LOAD,
 } from '../../constants.ts';
-import {adaptWidth} from '../../directory-width.ts';
+import {adaptDirectorySize} from '../../directory-size.ts';
 
 const TWENTY = 20;
 const idle = (hosts: number) => Array.from({length: hosts}, () => 0);
@@ -18,10 +18,10 @@
 		name: 'all hosts when nothing is known yet', previous: undefined, loads: idle(TWENTY), now: 0, hosts: TWENTY,
 	},
 	{
-		name: 'half of them after a while without load', previous: {hosts: TWENTY, at: 0}, loads: idle(TWENTY), now: NARROWING_MILLISECONDS, hosts: 10,
+		name: 'half of them after a while without load', previous: {hosts: TWENTY, at: 0}, loads: idle(TWENTY), now: DIRECTORY_HALF_LIFE_MILLISECONDS, hosts: 10,
 	},
 	{
-		name: 'the least in the end', previous: {hosts: TWENTY, at: 0}, loads: idle(TWENTY), now: NARROWING_MILLISECONDS * 10, hosts: ADDRESSES_LEAST,
+		name: 'the least in the end', previous: {hosts: TWENTY, at: 0}, loads: idle(TWENTY), now: DIRECTORY_HALF_LIFE_MILLISECONDS * 10, hosts: MIN_DIRECTORY_ADDRESSES,
 	},
 	{
 		// Symptom: on small hosts every answer takes more than a second, two thirds of the requests miss their deadline.
@@ -33,18 +33,18 @@
 		// Symptom: in the first seconds after a restart of everything, three hosts a failure domain carry all callers.
 		// Sequence: a caller looks up before any entry host has joined; the others join within half a second.
 		// Cause: no loads at all were taken for no load.
-		name: 'all that may join while none has', previous: undefined, loads: [], now: 0, hosts: ADDRESSES_MOST,
+		name: 'all that may join while none has', previous: undefined, loads: [], now: 0, hosts: MAX_DIRECTORY_ADDRESSES,
 	},
 	{
 		name: 'as many as before when all have left', previous: {hosts: 7, at: 5}, loads: [], now: 5, hosts: 7,
 	},
 	{
-		name: 'no more than callers take', previous: {hosts: 3, at: 0}, loads: Array.from({length: 300}, () => 1), now: 100, hosts: ADDRESSES_MOST,
+		name: 'no more than callers take', previous: {hosts: 3, at: 0}, loads: Array.from({length: 300}, () => 1), now: 100, hosts: MAX_DIRECTORY_ADDRESSES,
 	},
 ];
 
 for (const {name, previous, loads, now, hosts} of CASES) {
 	test(`the directory names ${name}`, t => {
-		t.deepEqual(adaptWidth(previous, loads, now), {hosts, at: now});
+		t.deepEqual(adaptDirectorySize(previous, loads, now), {hosts, at: now});
 	});
 }
--- a/packages/wagtailroute-fleet/src/__tests__/unit/directory.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/directory.test.ts
@@ -5,7 +5,7 @@
 import type * as dispatch from 'wagtailroute-dispatch';
 import type * as generations from 'wagtailroute-generations';
 import {startDirectory} from '../../directory.ts';
-import {type DirectoryTable, EMPTY_TABLE, lookUp} from '../../directory-table.ts';
+import {type DirectoryTable, EMPTY_DIRECTORY_TABLE, lookUpAddresses} from '../../directory-table.ts';
 import {createEntryHosts} from '../../entry-hosts.ts';
 import * as fixture from './fixture.ts';
 
@@ -25,13 +25,13 @@
 		name: 'all when its failure domain has none', table: TABLE, domain: 'c', host: 'x.example', addresses: ['10.0.0.1:80', '10.0.0.2:80', '10.0.1.1:80'],
 	},
 	{
-		name: 'none before any table was told', table: EMPTY_TABLE, domain: 'a', host: 'x.example', addresses: [],
+		name: 'none before any table was told', table: EMPTY_DIRECTORY_TABLE, domain: 'a', host: 'x.example', addresses: [],
 	},
 ];
 
 for (const {name, table, domain, host, addresses} of CASES) {
 	test(`a caller is told ${name}`, t => {
-		t.deepEqual(lookUp(table, domain, host), addresses);
+		t.deepEqual(lookUpAddresses(table, domain, host), addresses);
 	});
 }
 
@@ -60,7 +60,7 @@
 	const report: dispatch.UpstreamReport = {
 		upstream: 'u', failureDomain: 'b', taken: 0, slots: 4, doubt: 0, isSuspended: false, isDraining: false, hostsBackingOff: [],
 	};
-	const directory = startDirectory(context, {failureDomain: 'a', entries, report: () => [report]});
+	const directory = startDirectory(context, {failureDomain: 'a', entryHosts: entries, listUpstreamReports: () => [report]});
 	directory.setGeneration(GENERATION);
 	await context.pass(200);
 	await context.pass(200);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
@@ -9,7 +9,7 @@
 import * as utils from 'wagtailroute-utils';
 import type {AskDraft} from '../../asking.ts';
 import type {FleetContext} from '../../context.ts';
-import type {DispatchingPlan} from '../../dispatching.ts';
+import type {HostDispatcherOptions} from '../../host-dispatcher.ts';
 import type {FleetSettings} from '../../settings.ts';
 
 /**
@@ -31,8 +31,8 @@
 /**
 What dispatching needs of a host whose dispatcher is the only one.
 */
-export const ONLY_DISPATCHER: Pick<DispatchingPlan, 'requestShare' | 'isTold'> = {
-	requestShare: {record: () => undefined, get: () => 1, getOne: () => 1}, isTold: true,
+export const ONLY_DISPATCHER: Pick<HostDispatcherOptions, 'requestShare' | 'isReceivingUpdates'> = {
+	requestShare: {record: () => undefined, get: () => 1, getOne: () => 1}, isReceivingUpdates: true,
 };
 
 /**
--- a/packages/wagtailroute-fleet/src/__tests__/unit/dispatching.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/host-dispatcher.test.ts
@@ -3,7 +3,7 @@
 */
 import test from 'ava';
 import type * as core from 'wagtailroute-core';
-import {startDispatching} from '../../dispatching.ts';
+import {startHostDispatcher} from '../../host-dispatcher.ts';
 import {type Belief, METHODS, type ServiceUpdates} from '../../messages.ts';
 import * as fixture from './fixture.ts';
 
@@ -20,7 +20,7 @@
 function setUp() {
 	const context = fixture.createFakeContext();
 	const told: Told[] = [];
-	const dispatching = startDispatching(context, {
+	const dispatching = startHostDispatcher(context, {
 		...fixture.ONLY_DISPATCHER,
 		settings: {budget: {ratio: 0.2, extra: 2, windowMilliseconds: 10_000}, floor: 0},
 		listCandidates: () => UPSTREAMS.map((upstream, index) => ({
@@ -36,7 +36,7 @@
 		notify(host, method, parameters) {
 			told.push({host, method, parameters});
 		},
-		tellControls: () => undefined,
+		notifyControls: () => undefined,
 	});
 	let count = 0;
 	/**
@@ -46,7 +46,7 @@
 		for (const host of ASKERS) {
 			count++;
 			const id = `${host}:${count}`;
-			const answer = dispatching.ask({
+			const answer = dispatching.requestSlot({
 				...fixture.ASK_DRAFT, id, host, failureDomain: 'x',
 			});
 			if (answer.kind === 'grant') {
@@ -72,7 +72,7 @@
 		play(new Set(['u1', 'u2']));
 	}
 
-	const suspended = dispatching.report('archive').filter(({isSuspended}) => isSuspended).map(({upstream}) => upstream);
+	const suspended = dispatching.listUpstreamReports('archive').filter(({isSuspended}) => isSuspended).map(({upstream}) => upstream);
 	t.deepEqual(suspended, ['u1', 'u2']);
 	t.true(listTold(METHODS.believe).length >= suspended.length);
 	t.true(listTold(METHODS.believe).every(({host}) => host === 'front-1'));
@@ -92,15 +92,15 @@
 
 	await context.pass(1000);
 	const other = setUp();
-	other.dispatching.hearBeliefNews(listTold(METHODS.beliefNews)[0]!.parameters as Belief[]);
-	t.deepEqual(other.dispatching.report('archive').filter(({isSuspended}) => isSuspended).map(({upstream}) => upstream), ['u1']);
+	other.dispatching.applyBeliefs(listTold(METHODS.beliefNews)[0]!.parameters as Belief[]);
+	t.deepEqual(other.dispatching.listUpstreamReports('archive').filter(({isSuspended}) => isSuspended).map(({upstream}) => upstream), ['u1']);
 });
 
 test('other dispatchers receive a rate limit when it is new, changed and lifted, and the grants while it is shared', async t => {
 	const {context, dispatching, listTold} = setUp();
 	const ask = async (id: string) => {
 		await context.pass(1000);
-		const answer = dispatching.ask({
+		const answer = dispatching.requestSlot({
 			...fixture.ASK_DRAFT, id, host: 'front-1', failureDomain: 'x', excluded: UPSTREAMS.slice(1),
 		});
 		t.is(answer.kind, 'grant');
@@ -124,5 +124,5 @@
 	await ask('front-1:3');
 	await end('front-1:3');
 	t.like(getLast(), {updates: [{upstream: 'u1', ratePerSecond: null}]});
-	t.is(dispatching.report('archive')[0]?.rateLimit, undefined);
+	t.is(dispatching.listUpstreamReports('archive')[0]?.rateLimit, undefined);
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/registry.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/registry.test.ts
@@ -4,8 +4,8 @@
 import test from 'ava';
 import type * as instances from 'wagtailroute-instances';
 import type {InstanceStore} from '../../instance-store.ts';
-import type {HeartbeatBatch, InstanceNews} from '../../messages.ts';
-import {type Registry, startRegistry} from '../../registry.ts';
+import type {HeartbeatBatch, InstanceChanges} from '../../messages.ts';
+import {type InstanceRegistry, startInstanceRegistry} from '../../registry.ts';
 import * as fixture from './fixture.ts';
 
 const HEARTBEAT: instances.Heartbeat = {
@@ -14,7 +14,7 @@
 
 type Setup = {
 	readonly context: fixture.FakeContext;
-	readonly registry: Registry;
+	readonly registry: InstanceRegistry;
 	readonly told: HeartbeatBatch[];
 	readonly saved: Array<readonly instances.Heartbeat[]>;
 };
@@ -29,8 +29,8 @@
 			saved.push(heartbeats);
 		},
 	};
-	const registry = startRegistry(context, {
-		tellControls(_method, parameters) {
+	const registry = startInstanceRegistry(context, {
+		notifyControls(_method, parameters) {
 			told.push(parameters as HeartbeatBatch);
 		},
 		onChanged: () => undefined,
@@ -41,12 +41,12 @@
 	};
 }
 
-const listNames = (registry: Registry) => registry.listCandidates('archive').map(({upstream}) => upstream);
+const listNames = (registry: InstanceRegistry) => registry.listCandidates('archive').map(({upstream}) => upstream);
 
 test('news are told at once and whole, what changes nothing later and short', async t => {
 	const {context, registry, told} = setUp();
-	registry.take(HEARTBEAT);
-	registry.take({...HEARTBEAT, sequence: 2});
+	registry.receiveHeartbeat(HEARTBEAT);
+	registry.receiveHeartbeat({...HEARTBEAT, sequence: 2});
 	t.deepEqual(told, [{news: [{...HEARTBEAT, ageMilliseconds: 0}], refreshed: []}]);
 	await context.pass(500);
 	t.deepEqual(told.at(-1), {news: [], refreshed: [['u', 2, 0]]});
@@ -54,7 +54,7 @@
 
 test('what another control host heard counts here', t => {
 	const {registry} = setUp();
-	registry.takeRelayed({news: [{...HEARTBEAT, ageMilliseconds: 20}], refreshed: [['unknown', 3, 0]]});
+	registry.receiveRelayed({news: [{...HEARTBEAT, ageMilliseconds: 20}], refreshed: [['unknown', 3, 0]]});
 	t.deepEqual(listNames(registry), ['u']);
 });
 
@@ -69,7 +69,7 @@
 	// Sequence: it is heard and kept on disk; it is retired; the host restarts and reads the list before it hears the group.
 	// Cause: the list was only written anew when an instance came.
 	const {context, registry, saved} = setUp();
-	registry.take(HEARTBEAT);
+	registry.receiveHeartbeat(HEARTBEAT);
 	await context.pass(1000);
 	registry.retire({upstream: 'u', state: 'draining'});
 	await context.pass(1000);
@@ -80,19 +80,19 @@
 test('a follower is told of changes and given everything at first', t => {
 	const {registry} = setUp();
 	const follower = fixture.createFakeLink(() => undefined);
-	registry.take(HEARTBEAT);
-	t.deepEqual(registry.describeAll().heard.map(({upstream}) => upstream), ['u']);
+	registry.receiveHeartbeat(HEARTBEAT);
+	t.deepEqual(registry.getSnapshot().heard.map(({upstream}) => upstream), ['u']);
 	registry.follow(follower);
-	registry.take({...HEARTBEAT, sequence: 2});
+	registry.receiveHeartbeat({...HEARTBEAT, sequence: 2});
 	t.is(follower.notified.length, 0);
-	registry.take({...HEARTBEAT, upstream: 'v', address: {ip: '10.0.0.2', port: 80}});
-	t.deepEqual((follower.notified[0]?.[1] as InstanceNews).heard.map(({upstream}) => upstream), ['v']);
+	registry.receiveHeartbeat({...HEARTBEAT, upstream: 'v', address: {ip: '10.0.0.2', port: 80}});
+	t.deepEqual((follower.notified[0]?.[1] as InstanceChanges).heard.map(({upstream}) => upstream), ['v']);
 });
 
 test('an upstream that was silent and is heard again may be tried again', async t => {
 	const {context, registry} = setUp();
-	registry.take(HEARTBEAT);
+	registry.receiveHeartbeat(HEARTBEAT);
 	await context.pass(5000);
-	registry.take({...HEARTBEAT, sequence: 2});
+	registry.receiveHeartbeat({...HEARTBEAT, sequence: 2});
 	t.false(registry.listCandidates('archive')[0]?.isSilent);
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/ask-wire.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/slot-request-encoding.test.ts
@@ -4,10 +4,10 @@
 import test from 'ava';
 import * as fc from 'fast-check';
 import type * as link from 'wagtailroute-link';
-import * as wire from '../../ask-wire.ts';
-import type {AskAnswer} from '../../messages.ts';
+import * as wire from '../../slot-request-encoding.ts';
+import type {SlotAnswer} from '../../messages.ts';
 
-const ROUTE: wire.AskedRoute = {
+const ROUTE: wire.RouteParameters = {
 	service: 'archive', route: 'r', requestClass: 'read', priority: 1, objectiveMilliseconds: 1000,
 };
 const FROM = {host: 'front:a', failureDomain: 'x'};
@@ -28,27 +28,27 @@
 test('an ask comes back the same', t => {
 	fc.assert(fc.property(fc.nat(), fc.nat({max: 100_000}), fc.array(fc.string()), fc.constantFrom(...SENDS), (number, remainingMilliseconds, excluded, send) => {
 		const ask = {
-			...ROUTE, ...FROM, id: wire.createAskId(FROM.host, number), remainingMilliseconds, excluded, ...send,
+			...ROUTE, ...FROM, id: wire.createSlotRequestId(FROM.host, number), remainingMilliseconds, excluded, ...send,
 		};
-		t.deepEqual(wire.restoreAsk(structuredClone(wire.shortenAsk(ask, 7)), FROM, wire.getAskedRoute(ask)), ask);
+		t.deepEqual(wire.decodeSlotRequest(structuredClone(wire.encodeSlotRequest(ask, 7)), FROM, wire.getRouteParameters(ask)), ask);
 	}));
 });
 
 test('the organisation of an ask comes back from its number', t => {
-	const numbers = wire.createOrganisationNumbers();
+	const numbers = wire.createOrganisationNumbering();
 	const [over] = [{}] as [link.Link];
-	t.deepEqual(numbers.number(over, 'parish'), {number: 0, isNew: true});
-	t.deepEqual(numbers.number(over, 'parish'), {number: 0, isNew: false});
-	t.deepEqual(numbers.number(over, 'other'), {number: 1, isNew: true});
+	t.deepEqual(numbers.assign(over, 'parish'), {number: 0, isNew: true});
+	t.deepEqual(numbers.assign(over, 'parish'), {number: 0, isNew: false});
+	t.deepEqual(numbers.assign(over, 'other'), {number: 1, isNew: true});
 	const ask = {
-		...ROUTE, ...FROM, organisation: 'other', id: wire.createAskId(FROM.host, 5), remainingMilliseconds: 90, excluded: [], ...SENDS[0],
+		...ROUTE, ...FROM, organisation: 'other', id: wire.createSlotRequestId(FROM.host, 5), remainingMilliseconds: 90, excluded: [], ...SENDS[0],
 	};
-	const short = wire.shortenAsk(ask, [7, 1]);
+	const short = wire.encodeSlotRequest(ask, [7, 1]);
 	t.deepEqual(short, [5, [7, 1], 90]);
-	t.deepEqual(wire.restoreAsk(short, {...FROM, organisation: 'other'}, wire.getAskedRoute(ask)), ask);
+	t.deepEqual(wire.decodeSlotRequest(short, {...FROM, organisation: 'other'}, wire.getRouteParameters(ask)), ask);
 });
 
-const ANSWERS: readonly AskAnswer[] = [
+const ANSWERS: readonly SlotAnswer[] = [
 	{
 		kind: 'grant', upstream: 'u', address: {ip: '10.0.0.1', port: 80}, isTrial: true,
 	},
@@ -62,16 +62,16 @@
 
 for (const answer of ANSWERS) {
 	test(`the answer ${JSON.stringify(answer)} comes back the same`, t => {
-		t.deepEqual(wire.restoreAnswer(structuredClone(wire.shortenAnswer(answer))), answer);
+		t.deepEqual(wire.decodeAnswer(structuredClone(wire.encodeAnswer(answer))), answer);
 	});
 }
 
 test('a route is told once over a link, and again when it has changed', t => {
-	const numbers = wire.createRouteNumbers();
+	const numbers = wire.createRouteNumbering();
 	// Only its identity counts.
 	const [over, other] = [{}, {}] as [link.Link, link.Link];
-	t.deepEqual(numbers.number(over, ROUTE), {number: 0, isNew: true});
-	t.deepEqual(numbers.number(over, ROUTE), {number: 0, isNew: false});
-	t.deepEqual(numbers.number(over, {...ROUTE, objectiveMilliseconds: 500}), {number: 1, isNew: true});
-	t.deepEqual(numbers.number(other, ROUTE), {number: 0, isNew: true});
+	t.deepEqual(numbers.assign(over, ROUTE), {number: 0, isNew: true});
+	t.deepEqual(numbers.assign(over, ROUTE), {number: 0, isNew: false});
+	t.deepEqual(numbers.assign(over, {...ROUTE, objectiveMilliseconds: 500}), {number: 1, isNew: true});
+	t.deepEqual(numbers.assign(other, ROUTE), {number: 0, isNew: true});
 });
--- a/packages/wagtailroute-fleet/src/allotting.ts
+++ b/packages/wagtailroute-fleet/src/allotting.ts
@@ -10,7 +10,7 @@
 import type {RequestShare} from './request-share.ts';
 import {ORGANISATION_LABELS_MOST, REFUSALS_TOLD_MILLISECONDS} from './constants.ts';
 import type {FleetContext} from './context.ts';
-import {type DecidedAnswer, METHODS} from './messages.ts';
+import {type SlotDecision, METHODS} from './messages.ts';
 import type {FleetSettings} from './settings.ts';
 
 /**
@@ -21,7 +21,7 @@
 	/**
 	Takes an ask from its organisation's allotment; a refusal when there is nothing left.
 	*/
-	readonly admit: (ask: dispatch.Ask) => DecidedAnswer | undefined;
+	readonly admit: (ask: dispatch.Ask) => SlotDecision | undefined;
 	/**
 	Gives back what was taken for an ask that was granted no place.
 	*/
--- a/packages/wagtailroute-fleet/src/askers.ts
+++ b/packages/wagtailroute-fleet/src/askers.ts
@@ -3,16 +3,16 @@
 */
 import type * as core from 'wagtailroute-core';
 import type * as link from 'wagtailroute-link';
-import type {Asker} from './ask-methods.ts';
+import type {RequestingHost} from './slot-request-methods.ts';
 
 /**
 The table of asking hosts.
 */
 export type Askers = {
-	readonly add: (asker: Asker, over: link.Link) => void;
+	readonly add: (asker: RequestingHost, over: link.Link) => void;
 	readonly remove: (over: link.Link) => void;
 	readonly find: (id: core.HostId) => link.Link | undefined;
-	readonly findByLink: (over: link.Link) => Asker | undefined;
+	readonly findByLink: (over: link.Link) => RequestingHost | undefined;
 	readonly count: () => number;
 };
 
@@ -20,7 +20,7 @@
 Creates an empty table.
 */
 export function createAskers(): Askers {
-	const byLink = new Map<link.Link, Asker>();
+	const byLink = new Map<link.Link, RequestingHost>();
 	const byId = new Map<core.HostId, link.Link>();
 	return {
 		add(asker, over) {
--- a/packages/wagtailroute-fleet/src/asking.ts
+++ b/packages/wagtailroute-fleet/src/asking.ts
@@ -17,26 +17,26 @@
 } from './constants.ts';
 import {type Advertisements, type Closure, createAdvertisements} from './advertisements.ts';
 import {
-	type AskOrigin,
-	createAskId,
-	createOrganisationNumbers,
-	createRouteNumbers,
-	getAskedRoute,
-	getAskNumber,
-	type OrganisationTelling,
-	restoreAnswer,
-	type RouteTelling,
-	type ShortAdvertisements,
-	type ShortAnswer,
-	type ShortAsk,
-	shortenAsk,
-	type ShortEnd,
-} from './ask-wire.ts';
+	type RouteReference,
+	createSlotRequestId,
+	createOrganisationNumbering,
+	createRouteNumbering,
+	getRouteParameters,
+	getSlotRequestNumber,
+	type NumberedOrganisation,
+	decodeAnswer,
+	type NumberedRoute,
+	type EncodedAdvertisements,
+	type EncodedAnswer,
+	type EncodedSlotRequest,
+	encodeSlotRequest,
+	type EncodedEnd,
+} from './slot-request-encoding.ts';
 import type {FleetContext} from './context.ts';
 import type {OpenControl} from './control-links.ts';
 import {createDispatcherFinder, type DispatcherFinder} from './dispatcher-finder.ts';
-import type {Dispatching} from './dispatching.ts';
-import {type AskAnswer, type DecidedAnswer, METHODS} from './messages.ts';
+import type {HostDispatcher} from './host-dispatcher.ts';
+import {type SlotAnswer, type SlotDecision, METHODS} from './messages.ts';
 import {createHeldPlaces, type Held, type HeldPlaces} from './held-places.ts';
 import type {EntrySettings} from './settings.ts';
 import {createRecentUses, type RecentUses} from './recent-uses.ts';
@@ -46,13 +46,13 @@
 The final answer to an ask.
 */
 export type FinalAnswer =
-	| (Extract<AskAnswer, {kind: 'grant'}> & {
+	| (Extract<SlotAnswer, {kind: 'grant'}> & {
 		/**
 		Names the place, for its end.
 		*/
 		readonly id: dispatch.AskId;
 	})
-	| Extract<AskAnswer, {kind: 'refuse'}>;
+	| Extract<SlotAnswer, {kind: 'refuse'}>;
 
 /**
 A request that waits for its upstream.
@@ -87,7 +87,7 @@
 	Says whether this host sends nothing to an upstream now, by what the upstream's answers told it.
 	*/
 	readonly isClosed: (upstream: core.UpstreamId) => boolean;
-	readonly hearAnswer: (ask: number, answer: ShortAnswer) => void;
+	readonly hearAnswer: (ask: number, answer: EncodedAnswer) => void;
 	/**
 	Says whether the dispatcher at the other end of a link still counts this host among those that ask it.
 	*/
@@ -112,7 +112,7 @@
 	/**
 	The dispatcher of this host. What it decides later comes to `hearAnswer`.
 	*/
-	readonly own: Pick<Dispatching, 'ask' | 'cancel' | 'end' | 'recordAdvertisements' | 'applyUpdates' | 'takeOver'>;
+	readonly own: Pick<HostDispatcher, 'requestSlot' | 'cancel' | 'end' | 'recordAdvertisements' | 'applyUpdates' | 'applyPastUses'>;
 	readonly isRetired: (upstream: core.UpstreamId) => boolean;
 	/**
 	Returns the milliseconds for which messages may wait behind large bodies on this host's own link.
@@ -153,8 +153,8 @@
 	readonly #advertisements: Advertisements;
 	readonly #recentUses: RecentUses;
 	readonly #finder: DispatcherFinder;
-	readonly #routeNumbers = createRouteNumbers();
-	readonly #organisationNumbers = createOrganisationNumbers();
+	readonly #routeNumbers = createRouteNumbering();
+	readonly #organisationNumbers = createOrganisationNumbering();
 	readonly #askedAt = new WeakMap<link.Link, number>();
 	#count = 0;
 	#isProbing = false;
@@ -222,7 +222,7 @@
 		if (dispatcher === undefined) {
 			this.#plan.own.recordAdvertisements(id, advertisements);
 		} else {
-			dispatcher.link.notify(METHODS.advertised, [getAskNumber(id), advertisements] satisfies ShortAdvertisements);
+			dispatcher.link.notify(METHODS.advertised, [getSlotRequestNumber(id), advertisements] satisfies EncodedAdvertisements);
 		}
 	}
 
@@ -230,9 +230,9 @@
 		return this.#advertisements.findClosure(upstream) !== undefined;
 	}
 
-	hearAnswer(ask: number, answer: ShortAnswer): void {
-		const pending = this.#pending.get(createAskId(this.#plan.settings.hostId, ask));
-		const restored = restoreAnswer(answer);
+	hearAnswer(ask: number, answer: EncodedAnswer): void {
+		const pending = this.#pending.get(createSlotRequestId(this.#plan.settings.hostId, ask));
+		const restored = decodeAnswer(answer);
 		if (pending !== undefined && (restored.kind === 'grant' || restored.kind === 'refuse')) {
 			this.#settle(pending, restored);
 		}
@@ -250,27 +250,27 @@
 
 	#createId(): dispatch.AskId {
 		this.#count++;
-		return createAskId(this.#plan.settings.hostId, this.#count);
+		return createSlotRequestId(this.#plan.settings.hostId, this.#count);
 	}
 
-	#shorten(over: link.Link, ask: dispatch.Ask): ShortAsk {
-		return shortenAsk(ask, this.#tellOrigin(over, ask));
+	#shorten(over: link.Link, ask: dispatch.Ask): EncodedSlotRequest {
+		return encodeSlotRequest(ask, this.#tellOrigin(over, ask));
 	}
 
-	#tellOrigin(over: link.Link, ask: dispatch.Ask): AskOrigin {
-		const route = getAskedRoute(ask);
-		const {number, isNew} = this.#routeNumbers.number(over, route);
+	#tellOrigin(over: link.Link, ask: dispatch.Ask): RouteReference {
+		const route = getRouteParameters(ask);
+		const {number, isNew} = this.#routeNumbers.assign(over, route);
 		if (isNew) {
-			over.notify(METHODS.route, [number, route] satisfies RouteTelling);
+			over.notify(METHODS.route, [number, route] satisfies NumberedRoute);
 		}
 
 		return ask.organisation === undefined ? number : [number, this.#tellOrganisation(over, ask.organisation)];
 	}
 
 	#tellOrganisation(over: link.Link, organisation: core.Organisation): number {
-		const {number, isNew} = this.#organisationNumbers.number(over, organisation);
+		const {number, isNew} = this.#organisationNumbers.assign(over, organisation);
 		if (isNew) {
-			over.notify(METHODS.organisation, [number, organisation] satisfies OrganisationTelling);
+			over.notify(METHODS.organisation, [number, organisation] satisfies NumberedOrganisation);
 		}
 
 		return number;
@@ -301,7 +301,7 @@
 		}
 
 		if (answer.isOk()) {
-			this.#take(pending, restoreAnswer(answer.value as ShortAnswer));
+			this.#take(pending, decodeAnswer(answer.value as EncodedAnswer));
 		} else {
 			this.#leave(dispatcher, answer.error.kind);
 		}
@@ -324,7 +324,7 @@
 	/**
 	Takes the first answer to an ask.
 	*/
-	#take(pending: Pending, answer: AskAnswer): void {
+	#take(pending: Pending, answer: SlotAnswer): void {
 		if (answer.kind === 'wait') {
 			pending.isWaiting = true;
 		} else if (answer.kind === 'elsewhere') {
@@ -395,14 +395,14 @@
 		this.#plan.own.applyUpdates({service: ask.service, updates: this.#advertisements.list(ask.service)});
 		const uses = this.#recentUses.takeUntold(this.#plan.own);
 		if (uses !== undefined) {
-			this.#plan.own.takeOver(this.#plan.settings.hostId, uses);
+			this.#plan.own.applyPastUses(this.#plan.settings.hostId, uses);
 		}
 
-		const answer = this.#plan.own.ask({...ask, remainingMilliseconds});
+		const answer = this.#plan.own.requestSlot({...ask, remainingMilliseconds});
 		this.#take(pending, answer.kind === 'elsewhere' ? NOBODY : answer);
 	}
 
-	#settle(pending: Pending, answer: DecidedAnswer): void {
+	#settle(pending: Pending, answer: SlotDecision): void {
 		const {ask, dispatcher} = pending;
 		if (!this.#pending.delete(ask.id)) {
 			// Given up meanwhile, or granted twice.
@@ -488,7 +488,7 @@
 		if (dispatcher === undefined) {
 			this.#plan.own.end({id: ask.id, ending, milliseconds});
 		} else {
-			dispatcher.link.notify(METHODS.end, [getAskNumber(ask.id), ending, Math.round(milliseconds)] satisfies ShortEnd);
+			dispatcher.link.notify(METHODS.end, [getSlotRequestNumber(ask.id), ending, Math.round(milliseconds)] satisfies EncodedEnd);
 		}
 	}
 }
@@ -496,12 +496,12 @@
 /**
 The answer when not even this host knows an upstream of the service.
 */
-const NOBODY: DecidedAnswer = {kind: 'refuse', reason: 'no-upstream', retryAfterMilliseconds: UNKNOWN_SERVICE_MILLISECONDS};
+const NOBODY: SlotDecision = {kind: 'refuse', reason: 'no-upstream', retryAfterMilliseconds: UNKNOWN_SERVICE_MILLISECONDS};
 
 /**
 Tells a dispatcher that an ask is given up, wherever it is: waiting, or granted on its way back.
 */
 function notifyGivenUp(over: link.Link, ask: dispatch.Ask): void {
-	over.notify(METHODS.cancel, [getAskNumber(ask.id)]);
-	over.notify(METHODS.end, [getAskNumber(ask.id), 'unused', 0] satisfies ShortEnd);
+	over.notify(METHODS.cancel, [getSlotRequestNumber(ask.id)]);
+	over.notify(METHODS.end, [getSlotRequestNumber(ask.id), 'unused', 0] satisfies EncodedEnd);
 }
--- a/packages/wagtailroute-fleet/src/belief-store.ts
+++ b/packages/wagtailroute-fleet/src/belief-store.ts
@@ -8,8 +8,8 @@
 import type * as replication from 'wagtailroute-replication';
 import type * as telemetry from 'wagtailroute-telemetry';
 import * as zod from 'zod';
-import {BELIEFS_KEPT_MILLISECONDS} from './constants.ts';
-import {createKeptFile} from './kept-file.ts';
+import {MAX_BELIEFS_AGE_MILLISECONDS} from './constants.ts';
+import {createJsonFile} from './json-file.ts';
 import type {Belief} from './messages.ts';
 
 /**
@@ -41,19 +41,19 @@
 	log: telemetry.Log,
 	{getTimeOfDay, disk}: {readonly getTimeOfDay: () => number; readonly disk?: replication.Disk},
 ): BeliefStore {
-	const kept = createKeptFile<zod.output<typeof documentSchema>>({
+	const file = createJsonFile<zod.output<typeof documentSchema>>({
 		folder, name: 'beliefs.json', schema: documentSchema, log, disk,
 	});
 	return {
 		async load() {
-			const document = await kept.load();
+			const document = await file.load();
 			const age = document === undefined ? Infinity : getTimeOfDay() - document.savedAt;
-			return age > BELIEFS_KEPT_MILLISECONDS
+			return age > MAX_BELIEFS_AGE_MILLISECONDS
 				? {beliefs: [], ageMilliseconds: 0}
 				: {beliefs: document!.beliefs, ageMilliseconds: Math.max(0, age)};
 		},
 		async save(beliefs) {
-			await kept.save({savedAt: getTimeOfDay(), beliefs: [...beliefs]});
+			await file.save({savedAt: getTimeOfDay(), beliefs: [...beliefs]});
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -45,12 +45,12 @@
 /**
 Standbys of a service that are told what its dispatcher believes: the first, and the next for when that one is lost too.
 */
-export const STANDBYS_TOLD = 2;
+export const STANDBYS_PER_SERVICE = 2;
 
 /**
 Milliseconds for which changes of the entry hosts are collected before the standbys are told anew.
 */
-export const STANDBYS_MILLISECONDS = 300;
+export const STANDBYS_BATCH_MILLISECONDS = 300;
 
 /**
 Milliseconds after the last need for which links to standbys stay open: longer than control hosts take to be back in order.
@@ -87,7 +87,7 @@
 /**
 Milliseconds for which heartbeats that change nothing are collected before the other control hosts are told.
 */
-export const RELAY_MILLISECONDS = 500;
+export const RELAY_BATCH_MILLISECONDS = 500;
 
 /**
 Milliseconds without a heartbeat after which an upstream counts as silent: three heartbeats were missed.
@@ -150,28 +150,28 @@
 /**
 Milliseconds between two steps of the leader towards the wanted members of the group.
 */
-export const RECONCILE_MILLISECONDS = 300;
+export const RECONCILE_INTERVAL_MILLISECONDS = 300;
 
 /**
 Milliseconds after which a control host that is gone is replaced by another one that runs. Longer than a restart of a process.
 */
-export const REPLACE_MILLISECONDS = 2500;
+export const REPLACE_MEMBER_DELAY_MILLISECONDS = 2500;
 
 /**
 Voters of the group at most: two may be lost at once.
 */
-export const MOST_VOTERS = 5;
+export const MAX_VOTERS = 5;
 
 /**
 Largest command of the group in bytes of JSON: a catalogue of 46,000 routes with its document takes 23 MB, and a message between hosts 33 MB
 at most.
 */
-export const GENERATION_BYTES = 29_360_128;
+export const MAX_COMMAND_BYTES = 29_360_128;
 
 /**
 Milliseconds before a group whose store failed is opened again: a full disk lasts for seconds.
 */
-export const REOPEN_MILLISECONDS = 1000;
+export const REOPEN_DELAY_MILLISECONDS = 1000;
 
 /**
 Seconds for which callers keep the directory's answer. Short, so that they leave a host that stops while it still serves.
@@ -181,18 +181,18 @@
 /**
 Entry hosts of a failure domain that the directory names at least: one may be frozen and another one stopping.
 */
-export const ADDRESSES_LEAST = 3;
+export const MIN_DIRECTORY_ADDRESSES = 3;
 
 /**
 The same at most: what callers take from an answer.
 */
-export const ADDRESSES_MOST = 64;
+export const MAX_DIRECTORY_ADDRESSES = 64;
 
 /**
 Milliseconds between two looks whether what the directory answers has changed. Entry hosts are told at once then: callers keep an answer for
 two seconds, so a tenth more is little.
 */
-export const DIRECTORY_MILLISECONDS = 200;
+export const DIRECTORY_INTERVAL_MILLISECONDS = 200;
 
 /**
 Load of an entry host that is aimed at, as a part of its processor or link: with twice as much in a burst nothing waits yet. Lower, and more
@@ -209,7 +209,7 @@
 /**
 Milliseconds in which the number of entry hosts that the directory names shrinks to half, when less are needed.
 */
-export const NARROWING_MILLISECONDS = 5000;
+export const DIRECTORY_HALF_LIFE_MILLISECONDS = 5000;
 
 /**
 Milliseconds between two measurements of an entry host's load.
@@ -295,12 +295,12 @@
 own, which the standbys, who are told at once, do before them. In a fleet of 277 hosts before 420 upstreams, of which 14 a second are
 suspended and as many readmitted, told at once they are 8,000 messages a second.
 */
-export const BELIEF_NEWS_MILLISECONDS = 1000;
+export const BELIEF_BATCH_MILLISECONDS = 1000;
 
 /**
 Milliseconds for which updates to other dispatchers, of what upstreams advertise, are batched.
 */
-export const UPDATE_MILLISECONDS = 100;
+export const UPDATE_BATCH_MILLISECONDS = 100;
 
 /**
 Milliseconds after the last answer that advertised it for which a host reports a rate limit to dispatchers that it turns to.
@@ -311,7 +311,7 @@
 Milliseconds for which changes of the linked control hosts are collected before all hosts are told: when a fleet starts, each of 15 control
 hosts opens 14 links within a tenth of a second, and a list for each is 58,000 messages to 277 entry hosts.
 */
-export const CONTROLS_TOLD_MILLISECONDS = 50;
+export const CONTROLS_BATCH_MILLISECONDS = 50;
 
 /**
 Milliseconds after a change of the instances before connections to addresses that are gone are closed.
@@ -321,17 +321,17 @@
 /**
 Milliseconds after a change of the instances before they are kept on disk: a start brings dozens of changes.
 */
-export const SAVE_MILLISECONDS = 1000;
+export const INSTANCES_SAVE_DELAY_MILLISECONDS = 1000;
 
 /**
 Milliseconds after a change of what is held against upstreams before it is kept on disk.
 */
-export const BELIEVE_MILLISECONDS = 200;
+export const BELIEFS_SAVE_DELAY_MILLISECONDS = 200;
 
 /**
 Milliseconds after which what was kept is of no use: doubt has faded by then.
 */
-export const BELIEFS_KEPT_MILLISECONDS = 20_000;
+export const MAX_BELIEFS_AGE_MILLISECONDS = 20_000;
 
 /**
 Milliseconds between two reports of the bytes over links, at the level debug.
@@ -408,5 +408,5 @@
 /**
 Milliseconds between two lines on the upstreams of a service that get nothing, and how many of them a line names.
 */
-export const IDLE_TOLD_MILLISECONDS = 2000;
-export const IDLE_NAMED_MOST = 5;
+export const IDLE_LOG_INTERVAL_MILLISECONDS = 2000;
+export const MAX_IDLE_UPSTREAMS_LOGGED = 5;
--- a/packages/wagtailroute-fleet/src/control.ts
+++ b/packages/wagtailroute-fleet/src/control.ts
@@ -11,18 +11,18 @@
 import {type HeardHost, startAbsences} from './absences.ts';
 import {startAllotting} from './allotting.ts';
 import {startControlLinks} from './control-links.ts';
-import {createAskMethods} from './ask-methods.ts';
+import {createSlotRequestMethods} from './slot-request-methods.ts';
 import {createBeliefStore} from './belief-store.ts';
 import {
-	BELIEVE_MILLISECONDS,
-	CONTROLS_TOLD_MILLISECONDS,
-	STANDBYS_MILLISECONDS,
-	STANDBYS_TOLD,
+	BELIEFS_SAVE_DELAY_MILLISECONDS,
+	CONTROLS_BATCH_MILLISECONDS,
+	STANDBYS_BATCH_MILLISECONDS,
+	STANDBYS_PER_SERVICE,
 } from './constants.ts';
 import {orderDispatchers} from './dispatch-order.ts';
 import {startDirectory} from './directory.ts';
 import {countAddresses} from './directory-table.ts';
-import {sendUpdates, startDispatching} from './dispatching.ts';
+import {sendUpdates, startHostDispatcher} from './host-dispatcher.ts';
 import {createHostCount} from './host-count.ts';
 import {createEntryHosts, describeEntryHost, type EntryHost} from './entry-hosts.ts';
 import type {FleetContext} from './context.ts';
@@ -36,7 +36,7 @@
 } from './leader-calls.ts';
 import {createMessageOrder} from './message-order.ts';
 import * as messages from './messages.ts';
-import {startRegistry} from './registry.ts';
+import {startInstanceRegistry} from './registry.ts';
 import {watchPauses} from './pauses.ts';
 import {createRequestShare} from './request-share.ts';
 import type {ControlHost, ControlSettings, StandbyHost} from './settings.ts';
@@ -49,11 +49,11 @@
 	/**
 	Takes a heartbeat of an instance that serves.
 	*/
-	readonly takeHeartbeat: (heartbeat: instances.Heartbeat) => void;
+	readonly receiveHeartbeat: (heartbeat: instances.Heartbeat) => void;
 	/**
 	Returns the newest start of a server that is known, in Unix milliseconds; 0 when it is unknown or told none.
 	*/
-	readonly findStart: (server: string) => number;
+	readonly findLatestStart: (server: string) => number;
 	/**
 	Resolves once the whole fleet is bound not to send new requests to the instance.
 	*/
@@ -82,14 +82,14 @@
 export async function startControl(context: FleetContext, settings: ControlSettings): Promise<Control> {
 	const log = context.logs('control');
 	const self: ControlHost = {id: settings.hostId, address: settings.linkAddress, failureDomain: settings.failureDomain};
-	const entries = createEntryHosts(settings.failureDomain, context.now);
+	const entryHosts = createEntryHosts(settings.failureDomain, context.now);
 	const methods = new Map<string, link.LinkMethod>();
-	const registry = startRegistry(context, {
-		tellControls(method, parameters) {
+	const registry = startInstanceRegistry(context, {
+		notifyControls(method, parameters) {
 			links.notifyAll(method, parameters);
 		},
 		onChanged(service) {
-			dispatching.refresh(service);
+			dispatcher.refreshCandidates(service);
 		},
 		store: createInstanceStore(settings.dataFolder, context.logs('instances')),
 	});
@@ -97,7 +97,7 @@
 	// After a restart of everything no entry host is known, and whoever asks is all there is.
 	const requestShare = createRequestShare(hostCount.get, 1);
 	const absences = startAbsences(context, {
-		listHosts: () => entries.listAll().map(host => describeHeard(host)),
+		listHosts: () => entryHosts.listAll().map(host => toHeardHost(host)),
 		getOneShare: requestShare.getOne,
 		windowMilliseconds: settings.allotments.windowMilliseconds,
 	});
@@ -110,47 +110,47 @@
 			links.notifyAll(method, parameters);
 		},
 	});
-	const dispatching = startDispatching(context, {
+	const dispatcher = startHostDispatcher(context, {
 		settings,
 		allotting,
 		requestShare,
-		isTold: true,
-		onEntryHosts: hostCount.record,
+		isReceivingUpdates: true,
+		onEntryHostCount: hostCount.record,
 		listCandidates: registry.listCandidates,
-		listStandbys: service => orderDispatchers(service, standbys, host => host.id).slice(0, STANDBYS_TOLD).map(host => host.id),
+		listStandbys: service => orderDispatchers(service, standbys, host => host.id).slice(0, STANDBYS_PER_SERVICE).map(host => host.id),
 		notify(host, method, parameters) {
-			entries.find(host)?.link.notify(method, parameters);
+			entryHosts.find(host)?.link.notify(method, parameters);
 		},
-		tellControls(method, parameters) {
+		notifyControls(method, parameters) {
 			links.notifyAll(method, parameters);
-			keepBeliefs();
+			saveBeliefs();
 		},
 	});
 	const beliefStore = createBeliefStore(settings.dataFolder, context.logs('beliefs'), {getTimeOfDay: Date.now});
-	const keepBeliefs = utils.coalesce(context.schedule, BELIEVE_MILLISECONDS, () => {
-		void beliefStore.save(dispatching.listBeliefs());
+	const saveBeliefs = utils.coalesce(context.schedule, BELIEFS_SAVE_DELAY_MILLISECONDS, () => {
+		void beliefStore.save(dispatcher.listBeliefs());
 	});
 	const directory = startDirectory(context, {
 		failureDomain: settings.failureDomain,
-		entries,
-		report: service => dispatching.report(service),
+		entryHosts,
+		listUpstreamReports: service => dispatcher.listUpstreamReports(service),
 	});
 	let standbys: readonly StandbyHost[] = [];
-	const tellStandbys = utils.coalesce(context.schedule, STANDBYS_MILLISECONDS, () => {
-		const chosen = chooseStandbys(entries.listReady());
+	const publishStandbys = utils.coalesce(context.schedule, STANDBYS_BATCH_MILLISECONDS, () => {
+		const chosen = chooseStandbys(entryHosts.listReady());
 		if (chosen.map(({id}) => id).join(' ') === standbys.map(({id}) => id).join(' ')) {
 			return;
 		}
 
 		standbys = chosen;
-		entries.notifyAll(messages.METHODS.standbys, standbys);
+		entryHosts.notifyAll(messages.METHODS.standbys, standbys);
 	});
 	const listControls = () => [self, ...links.getOpen().map(open => open.host)];
 	const getVersion = () => group.getStored()?.generation.version ?? 0;
 
-	const tellControls = utils.coalesce(context.schedule, CONTROLS_TOLD_MILLISECONDS, () => {
+	const publishControls = utils.coalesce(context.schedule, CONTROLS_BATCH_MILLISECONDS, () => {
 		const controls = listControls();
-		entries.notifyAll(messages.METHODS.controls, controls);
+		entryHosts.notifyAll(messages.METHODS.controls, controls);
 		links.notifyAll(messages.METHODS.controls, controls);
 	});
 
@@ -160,9 +160,9 @@
 				const host = {
 					id: hello.id, failureDomain: hello.failureDomain, state: hello.entry, link: from,
 				};
-				entries.add(host);
+				entryHosts.add(host);
 				absences.recordHello(hello.id, hello.runningMilliseconds ?? Infinity);
-				tellStandbys();
+				publishStandbys();
 				log.info('Entry host joined.', describeEntryHost(host));
 			}
 
@@ -175,13 +175,13 @@
 			} satisfies messages.Welcome;
 		},
 		[messages.METHODS.state](state: messages.EntryState, from: link.Link) {
-			const before = entries.setState(from, state);
+			const before = entryHosts.setState(from, state);
 			if (before === undefined || before.state.isReady === state.isReady) {
 				return;
 			}
 
 			log.info('Entry host changed.', describeEntryHost({...before, state}));
-			tellStandbys();
+			publishStandbys();
 		},
 		[messages.METHODS.controls](controls: readonly ControlHost[]) {
 			links.learn(controls);
@@ -192,23 +192,23 @@
 		[messages.METHODS.propose]: async ({command}: {command: generations.GenerationCommand}) => group.propose(command),
 		[messages.METHODS.readGeneration]: async () => group.read(),
 		[messages.METHODS.fetchGeneration]: () => ({generation: group.getStored()?.generation ?? null}) satisfies messages.FetchedGeneration,
-		[messages.METHODS.heard]: registry.takeRelayed,
-		[messages.METHODS.listInstances]: () => registry.describeAll(),
+		[messages.METHODS.heard]: registry.receiveRelayed,
+		[messages.METHODS.listInstances]: () => registry.getSnapshot(),
 		[messages.METHODS.followInstances](_parameters: unknown, from: link.Link) {
 			registry.follow(from);
-			return registry.describeAll();
+			return registry.getSnapshot();
 		},
 		[messages.METHODS.believe](belief: messages.Belief) {
-			dispatching.hearBelief(belief);
-			keepBeliefs();
+			dispatcher.applyBelief(belief);
+			saveBeliefs();
 		},
-		[messages.METHODS.updates]: dispatching.applyUpdates,
+		[messages.METHODS.updates]: dispatcher.applyUpdates,
 		[messages.METHODS.beliefs](beliefs: readonly messages.Belief[]) {
-			dispatching.hearBeliefs(beliefs);
+			dispatcher.mergeBeliefs(beliefs);
 		},
 		[messages.METHODS.use]: allotting.hearUse,
 		[messages.METHODS.probe]: () => ({}),
-		...createAskMethods(dispatching, entries.findByLink),
+		...createSlotRequestMethods(dispatcher, entryHosts.findByLink),
 	});
 	const links = startControlLinks(context, {
 		seeds: settings.seeds,
@@ -217,38 +217,38 @@
 		createHello: () => ({id: settings.hostId, failureDomain: settings.failureDomain, control: self}),
 		methods,
 		onOpen({link: opened}) {
-			tellControls();
-			opened.notify(messages.METHODS.beliefs, dispatching.listBeliefs());
-			sendUpdates(opened, dispatching);
+			publishControls();
+			opened.notify(messages.METHODS.beliefs, dispatcher.listBeliefs());
+			sendUpdates(opened, dispatcher);
 			void registry.catchUp(opened);
 		},
-		onLost: tellControls,
+		onLost: publishControls,
 	});
 	const group = startControlGroup(context, {
 		settings,
 		send(to, message) {
 			links.find(to)?.notify(messages.METHODS.group, message);
 		},
-		getRunning: () => links.getOpen().map(open => open.host),
-		getKnown: () => links.getOpen().map(open => open.host.id),
+		listLinkedHosts: () => links.getOpen().map(open => open.host),
+		listKnownHosts: () => links.getOpen().map(open => open.host.id),
 		onGeneration(generation) {
 			log.info('Generation in force.', {version: generation.version, routes: generation.routes.length});
 			directory.setGeneration(generation);
 			allotting.setOrganisations(generation.organisations);
-			entries.notifyAll(messages.METHODS.generationVersion, {version: generation.version});
+			entryHosts.notifyAll(messages.METHODS.generationVersion, {version: generation.version});
 		},
 		onRetired(retirements) {
 			for (const retirement of retirements) {
 				registry.retire(retirement);
 			}
 
-			entries.notifyAll(messages.METHODS.retired, {retirements});
+			entryHosts.notifyAll(messages.METHODS.retired, {retirements});
 		},
 	});
 	await registry.loaded;
-	const kept = await beliefStore.load();
-	dispatching.hearBeliefs(kept.beliefs, kept.ageMilliseconds);
-	log.info('Beliefs taken up.', {beliefs: kept.beliefs.length, ageMilliseconds: Math.round(kept.ageMilliseconds)});
+	const storedBeliefs = await beliefStore.load();
+	dispatcher.mergeBeliefs(storedBeliefs.beliefs, storedBeliefs.ageMilliseconds);
+	log.info('Beliefs taken up.', {beliefs: storedBeliefs.beliefs.length, ageMilliseconds: Math.round(storedBeliefs.ageMilliseconds)});
 	// Opened last: the parts need each other, and a message may come as soon as there is a server.
 	const server = await link.openLinkServer({
 		address: settings.linkAddress,
@@ -257,44 +257,44 @@
 		now: context.now,
 		onClose(closed) {
 			registry.unfollow(closed);
-			const host = entries.remove(closed);
+			const host = entryHosts.remove(closed);
 			if (host === undefined) {
 				return;
 			}
 
-			absences.recordClosed(describeHeard(host));
+			absences.recordClosed(toHeardHost(host));
 			log.info('Entry host left.', describeEntryHost(host));
-			tellStandbys();
+			publishStandbys();
 		},
 		onDefect(error) {
 			log.error('Message could not be handled.', {error: error.stack});
 		},
 	});
-	const calls: LeaderCalls = {self: settings.hostId, group, findLink: links.find};
-	context.metrics.registerGauge('entry_hosts', entries.count);
+	const leaderCalls: LeaderCalls = {self: settings.hostId, group, findLink: links.find};
+	context.metrics.registerGauge('entry_hosts', entryHosts.count);
 	context.metrics.registerGauge('entry_hosts_absent', () => absences.list().length);
 	context.metrics.registerGauge('instances', registry.countInstances);
 	context.metrics.registerGauge('generation_version', getVersion);
 	log.info('Host started.', {address: core.formatAddress(settings.linkAddress), isFirstStart: settings.isFirstStart});
-	const teardown = utils.mergeTeardowns(watchPauses(context), absences.teardown, registry.teardown, dispatching.teardown, directory.teardown, links.close);
+	const teardown = utils.mergeTeardowns(watchPauses(context), absences.teardown, registry.teardown, dispatcher.teardown, directory.teardown, links.close);
 	return {
-		takeHeartbeat(heartbeat) {
-			registry.take(heartbeat);
+		receiveHeartbeat(heartbeat) {
+			registry.receiveHeartbeat(heartbeat);
 		},
-		findStart: registry.findStart,
+		findLatestStart: registry.findLatestStart,
 		async retire(retirement) {
 			const known = group.getRetirement(retirement.upstream);
 			if (known === 'gone' || known === retirement.state) {
 				return results.Ok(undefined);
 			}
 
-			const proposed = await proposeToLeader(calls, {name: 'retire', retirement});
+			const proposed = await proposeToLeader(leaderCalls, {name: 'retire', retirement});
 			log.info('Retirement proposed.', {...retirement, isTaken: proposed.isOk()});
 			return proposed.map(() => undefined);
 		},
 		async putGeneration(stored) {
 			const startedAt = context.now();
-			const proposed = await proposeToLeader(calls, {name: 'put', stored});
+			const proposed = await proposeToLeader(leaderCalls, {name: 'put', stored});
 			log.info('Generation proposed.', {
 				version: stored.generation.version, isTaken: proposed.isOk(), leader: group.getLeader(), milliseconds: Math.round(context.now() - startedAt),
 			});
@@ -302,7 +302,7 @@
 		},
 		async readGeneration() {
 			const startedAt = context.now();
-			const read = await readFromLeader(calls);
+			const read = await readFromLeader(leaderCalls);
 			log.info('Generation read.', {isAnswered: read.isOk(), leader: group.getLeader(), milliseconds: Math.round(context.now() - startedAt)});
 			return read.map(document => document ?? undefined);
 		},
@@ -317,8 +317,8 @@
 	};
 }
 
-function describeHeard({id, state, link: over}: EntryHost): HeardHost {
-	return {id, isReady: state.isReady, silence: over.getSilence()};
+function toHeardHost({id, state, link: hostLink}: EntryHost): HeardHost {
+	return {id, isReady: state.isReady, silence: hostLink.getSilence()};
 }
 
 function registerMethods(methods: Map<string, link.LinkMethod>, table: Readonly<Record<string, link.LinkMethod>>): void {
--- a/packages/wagtailroute-fleet/src/directory-width.ts
+++ b/packages/wagtailroute-fleet/src/directory-size.ts
@@ -7,16 +7,16 @@
 each answer takes over a second, and two thirds of all requests miss their deadline.
 */
 import {
-	ADDRESSES_LEAST,
-	ADDRESSES_MOST,
-	NARROWING_MILLISECONDS,
+	MIN_DIRECTORY_ADDRESSES,
+	MAX_DIRECTORY_ADDRESSES,
+	DIRECTORY_HALF_LIFE_MILLISECONDS,
 	TARGET_LOAD,
 } from './constants.ts';
 
 /**
 The number of hosts told last, and when. Fractions matter: it narrows slowly.
 */
-export type Width = {
+export type DirectorySize = {
 	readonly hosts: number;
 	readonly at: number;
 };
@@ -27,14 +27,14 @@
 
 @param loads Part of what each host can do that is in use, 0 and up.
 */
-export function adaptWidth(previous: Width | undefined, loads: readonly number[], now: number): Width {
+export function adaptDirectorySize(previous: DirectorySize | undefined, loads: readonly number[], now: number): DirectorySize {
 	if (loads.length === 0) {
 		// A look-up that comes before any entry host has joined says nothing of the load to come.
-		return previous ?? {hosts: ADDRESSES_MOST, at: now};
+		return previous ?? {hosts: MAX_DIRECTORY_ADDRESSES, at: now};
 	}
 
 	const total = loads.reduce((sum, load) => sum + load, 0);
-	const needed = Math.max(ADDRESSES_LEAST, total / TARGET_LOAD);
-	const kept = previous === undefined ? loads.length : previous.hosts * (2 ** ((previous.at - now) / NARROWING_MILLISECONDS));
-	return {hosts: Math.min(ADDRESSES_MOST, Math.max(needed, kept)), at: now};
+	const needed = Math.max(MIN_DIRECTORY_ADDRESSES, total / TARGET_LOAD);
+	const remaining = previous === undefined ? loads.length : previous.hosts * (2 ** ((previous.at - now) / DIRECTORY_HALF_LIFE_MILLISECONDS));
+	return {hosts: Math.min(MAX_DIRECTORY_ADDRESSES, Math.max(needed, remaining)), at: now};
 }
--- a/packages/wagtailroute-fleet/src/directory-table.ts
+++ b/packages/wagtailroute-fleet/src/directory-table.ts
@@ -30,14 +30,14 @@
 /**
 The table of a host that has heard of none.
 */
-export const EMPTY_TABLE: DirectoryTable = {addresses: {}, detours: []};
+export const EMPTY_DIRECTORY_TABLE: DirectoryTable = {addresses: {}, detours: []};
 
 /**
 Returns the addresses for a caller, as text: those of its failure domain, or all when none is known there.
 
 @param host Host name that the caller is going to use.
 */
-export function lookUp({addresses, detours}: DirectoryTable, failureDomain: core.FailureDomain, host: string): readonly string[] {
+export function lookUpAddresses({addresses, detours}: DirectoryTable, failureDomain: core.FailureDomain, host: string): readonly string[] {
 	const detour = detours.find(({from, host: name}) => from === failureDomain && name === host.toLowerCase());
 	const near = addresses[detour?.to ?? failureDomain] ?? [];
 	return near.length > 0 ? near : Object.values(addresses).flat();
--- a/packages/wagtailroute-fleet/src/directory.ts
+++ b/packages/wagtailroute-fleet/src/directory.ts
@@ -5,9 +5,9 @@
 import type * as dispatch from 'wagtailroute-dispatch';
 import type * as generations from 'wagtailroute-generations';
 import type * as utils from 'wagtailroute-utils';
-import {DIRECTORY_MILLISECONDS} from './constants.ts';
+import {DIRECTORY_INTERVAL_MILLISECONDS} from './constants.ts';
 import type {FleetContext} from './context.ts';
-import {type Detour, type DirectoryTable, EMPTY_TABLE} from './directory-table.ts';
+import {type Detour, type DirectoryTable, EMPTY_DIRECTORY_TABLE} from './directory-table.ts';
 import {chooseEntryDomain, listUploadServices} from './entry-domain.ts';
 import type {EntryHosts} from './entry-hosts.ts';
 import {METHODS} from './messages.ts';
@@ -30,50 +30,50 @@
 /**
 What the directory answers from.
 */
-export type DirectoryPlan = {
+export type DirectoryOptions = {
 	readonly failureDomain: core.FailureDomain;
-	readonly entries: EntryHosts;
+	readonly entryHosts: EntryHosts;
 	/**
 	Returns what is known of a service's upstreams.
 	*/
-	readonly report: (service: core.ServiceName) => readonly dispatch.UpstreamReport[];
+	readonly listUpstreamReports: (service: core.ServiceName) => readonly dispatch.UpstreamReport[];
 };
 
 /**
 Starts with an empty directory.
 */
-export function startDirectory(context: FleetContext, {failureDomain: own, entries, report}: DirectoryPlan): Directory {
+export function startDirectory(context: FleetContext, {failureDomain: ownDomain, entryHosts, listUpstreamReports}: DirectoryOptions): Directory {
 	let uploadServices: ReadonlyMap<string, core.ServiceName> = new Map();
-	let table = EMPTY_TABLE;
-	let toldText = '';
+	let table = EMPTY_DIRECTORY_TABLE;
+	let publishedText = '';
 
-	const list = (failureDomain: core.FailureDomain) => entries.listAddresses(failureDomain).map(address => core.formatAddress(address));
+	const listAddressTexts = (failureDomain: core.FailureDomain) => entryHosts.listAddresses(failureDomain).map(address => core.formatAddress(address));
 
 	const listDetours = (domains: readonly core.FailureDomain[]): readonly Detour[] => {
-		const reports = new Map(new Set(uploadServices.values()).values().map(service => [service, report(service)] as const));
+		const reports = new Map(new Set(uploadServices.values()).values().map(service => [service, listUpstreamReports(service)] as const));
 		return uploadServices.entries().flatMap(([host, service]) => domains
 			.map((from): Detour => ({host, from, to: chooseEntryDomain(from, reports.get(service)!)}))
 			.filter(({from, to}) => from !== to)).toArray();
 	};
 
 	const createTable = (): DirectoryTable => {
-		const domains = [...new Set(entries.listReady().map(({failureDomain}) => failureDomain))].toSorted();
+		const domains = [...new Set(entryHosts.listReady().map(({failureDomain}) => failureDomain))].toSorted();
 		return {
-			addresses: Object.fromEntries(domains.map(domain => [domain, list(domain)])),
+			addresses: Object.fromEntries(domains.map(domain => [domain, listAddressTexts(domain)])),
 			detours: listDetours(domains),
 		};
 	};
 
-	const tell = () => {
+	const publish = () => {
 		table = createTable();
 		const text = JSON.stringify(table);
-		if (text === toldText) {
+		if (text === publishedText) {
 			return;
 		}
 
-		toldText = text;
-		for (const {failureDomain, link} of entries.listReady()) {
-			if (failureDomain === own) {
+		publishedText = text;
+		for (const {failureDomain, link} of entryHosts.listReady()) {
+			if (failureDomain === ownDomain) {
 				link.notify(METHODS.directory, table);
 			}
 		}
@@ -82,12 +82,12 @@
 	return {
 		listAddresses(failureDomain, host) {
 			const service = uploadServices.get(host.toLowerCase());
-			return list(service === undefined ? failureDomain : chooseEntryDomain(failureDomain, report(service)));
+			return listAddressTexts(service === undefined ? failureDomain : chooseEntryDomain(failureDomain, listUpstreamReports(service)));
 		},
 		getTable: () => table,
 		setGeneration(generation) {
 			uploadServices = listUploadServices(generation);
 		},
-		teardown: context.repeat(DIRECTORY_MILLISECONDS, tell),
+		teardown: context.repeat(DIRECTORY_INTERVAL_MILLISECONDS, publish),
 	};
 }
--- a/packages/wagtailroute-fleet/src/entry-hosts.ts
+++ b/packages/wagtailroute-fleet/src/entry-hosts.ts
@@ -7,7 +7,7 @@
 import * as core from 'wagtailroute-core';
 import type * as link from 'wagtailroute-link';
 import {SILENT_ENTRY_MILLISECONDS, SILENT_FAR_ENTRY_MILLISECONDS} from './constants.ts';
-import {adaptWidth, type Width} from './directory-width.ts';
+import {adaptDirectorySize, type DirectorySize} from './directory-size.ts';
 import {orderDispatchers} from './dispatch-order.ts';
 import type {EntryState} from './messages.ts';
 
@@ -53,7 +53,7 @@
 @param now Monotonic time in milliseconds.
 */
 export function createEntryHosts(own: core.FailureDomain, now: () => number): EntryHosts {
-	const widths = new Map<core.FailureDomain, Width>();
+	const widths = new Map<core.FailureDomain, DirectorySize>();
 	const byLink = new Map<link.Link, EntryHost>();
 	const byId = new Map<core.HostId, EntryHost>();
 
@@ -101,7 +101,7 @@
 			const serving = byId.values().filter(host => isServing(host)).toArray();
 			const near = serving.filter(host => host.failureDomain === failureDomain);
 			const chosen = near.length > 0 ? near : serving;
-			const width = adaptWidth(widths.get(failureDomain), chosen.map(host => host.state.load), now());
+			const width = adaptDirectorySize(widths.get(failureDomain), chosen.map(host => host.state.load), now());
 			widths.set(failureDomain, width);
 			return orderDispatchers('directory', chosen, host => host.id)
 				.slice(0, Math.ceil(width.hosts))
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -7,8 +7,8 @@
 import * as link from 'wagtailroute-link';
 import * as proxy from 'wagtailroute-proxy';
 import * as utils from 'wagtailroute-utils';
-import type {ShortAnswer} from './ask-wire.ts';
-import {createAskMethods} from './ask-methods.ts';
+import type {EncodedAnswer} from './slot-request-encoding.ts';
+import {createSlotRequestMethods} from './slot-request-methods.ts';
 import {startAllotting} from './allotting.ts';
 import {createAskers} from './askers.ts';
 import {createAsking} from './asking.ts';
@@ -27,10 +27,10 @@
 import {
 	countAddresses,
 	type DirectoryTable,
-	EMPTY_TABLE,
-	lookUp,
+	EMPTY_DIRECTORY_TABLE,
+	lookUpAddresses,
 } from './directory-table.ts';
-import {sendUpdates, startDispatching} from './dispatching.ts';
+import {sendUpdates, startHostDispatcher} from './host-dispatcher.ts';
 import {createHostCount} from './host-count.ts';
 import {createKnowledge} from './knowledge.ts';
 import {startLoadMeter} from './load.ts';
@@ -82,7 +82,7 @@
 			beginning.look();
 		},
 		onInstances(service) {
-			own.refresh(service);
+			own.refreshCandidates(service);
 			retainLater();
 		},
 	});
@@ -120,7 +120,7 @@
 	});
 
 	const findControl = (from: link.Link) => links.getOpen().find(open => open.link === from);
-	let directory = EMPTY_TABLE;
+	let directory = EMPTY_DIRECTORY_TABLE;
 	const learnDirectory = (table: DirectoryTable) => {
 		// An empty one comes from a control host that has just started.
 		directory = Object.keys(table.addresses).length > 0 ? table : directory;
@@ -138,22 +138,22 @@
 		},
 	});
 	const askers = createAskers();
-	const own = startDispatching(context, {
+	const own = startHostDispatcher(context, {
 		settings: {...settings, budget: {...settings.budget, extra: STANDBY_EXTRA_RESENDS}},
 		allotting,
 		requestShare,
-		isTold: false,
-		onEntryHosts: hostCount.record,
+		isReceivingUpdates: false,
+		onEntryHostCount: hostCount.record,
 		listCandidates: knowledge.listCandidates,
 		listStandbys: () => [],
 		notify(host, method, parameters) {
 			if (host !== settings.hostId) {
 				askers.find(host)?.notify(method, parameters);
 			} else if (method === messages.METHODS.answer) {
-				asking.hearAnswer(...parameters as [number, ShortAnswer]);
+				asking.hearAnswer(...parameters as [number, EncodedAnswer]);
 			}
 		},
-		tellControls(method, parameters) {
+		notifyControls(method, parameters) {
 			// What one host alone holds against an upstream may be its own path's fault.
 			if (askers.count() > 0) {
 				links.notifyAll(method, parameters);
@@ -171,25 +171,25 @@
 			}
 		},
 		[messages.METHODS.instancesChanged]: knowledge.hearInstances,
-		[messages.METHODS.retired]({retirements}: Pick<messages.InstanceNews, 'retirements'>) {
+		[messages.METHODS.retired]({retirements}: Pick<messages.InstanceChanges, 'retirements'>) {
 			knowledge.hearRetirements(retirements);
 		},
-		[messages.METHODS.answer]([ask, answer]: [number, ShortAnswer]) {
+		[messages.METHODS.answer]([ask, answer]: [number, EncodedAnswer]) {
 			asking.hearAnswer(ask, answer);
 		},
 		[messages.METHODS.updates]: own.applyUpdates,
 		[messages.METHODS.use]: allotting.hearUse,
-		[messages.METHODS.believe]: own.hearBelief,
-		[messages.METHODS.beliefNews]: own.hearBeliefNews,
+		[messages.METHODS.believe]: own.applyBelief,
+		[messages.METHODS.beliefNews]: own.applyBeliefs,
 		[messages.METHODS.standbys](hosts: readonly StandbyHost[]) {
 			standbys.learn(hosts);
 		},
 		[messages.METHODS.directory]: learnDirectory,
-		...createAskMethods(own, askers.findByLink),
+		...createSlotRequestMethods(own, askers.findByLink),
 		[messages.METHODS.hello]({id, failureDomain}: messages.Hello, from: link.Link) {
 			askers.add({id, failureDomain}, from);
 			return {
-				failureDomain: settings.failureDomain, controls: [], standbys: [], directory: EMPTY_TABLE, version: 0,
+				failureDomain: settings.failureDomain, controls: [], standbys: [], directory: EMPTY_DIRECTORY_TABLE, version: 0,
 			} satisfies messages.Welcome;
 		},
 	}));
@@ -279,7 +279,7 @@
 		isReady,
 		listAddresses(failureDomain, host) {
 			const self = core.formatAddress(settings.trafficAddress);
-			const others = lookUp(directory, failureDomain, host).filter(address => address !== self || isReady());
+			const others = lookUpAddresses(directory, failureDomain, host).filter(address => address !== self || isReady());
 			return others.length > 0 || !isReady() ? others : [self];
 		},
 		addSeeds: links.addSeeds,
--- a/packages/wagtailroute-fleet/src/group.ts
+++ b/packages/wagtailroute-fleet/src/group.ts
@@ -10,11 +10,11 @@
 import * as replication from 'wagtailroute-replication';
 import type * as results from 'ts-results-es';
 import {
-	GENERATION_BYTES,
-	MOST_VOTERS,
-	RECONCILE_MILLISECONDS,
-	REOPEN_MILLISECONDS,
-	REPLACE_MILLISECONDS,
+	MAX_COMMAND_BYTES,
+	MAX_VOTERS,
+	RECONCILE_INTERVAL_MILLISECONDS,
+	REOPEN_DELAY_MILLISECONDS,
+	REPLACE_MEMBER_DELAY_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 import type {GroupMessage, ProposalAnswer, ReadAnswer} from './messages.ts';
@@ -43,30 +43,30 @@
 /**
 What the group needs.
 */
-export type ControlGroupPlan = {
+export type ControlGroupOptions = {
 	readonly settings: ControlSettings;
 	readonly send: (to: core.HostId, message: GroupMessage) => void;
 	/**
 	The other control hosts that have a link.
 	*/
-	readonly getRunning: () => readonly ControlHost[];
+	readonly listLinkedHosts: () => readonly ControlHost[];
 	/**
 	All control hosts that this one knows by name.
 	*/
-	readonly getKnown: () => readonly core.HostId[];
+	readonly listKnownHosts: () => readonly core.HostId[];
 	readonly onGeneration: (generation: generations.Generation) => void;
 	readonly onRetired: (retirements: readonly generations.Retirement[]) => void;
 };
 
-const GROUP = 'generations';
+const GROUP_NAME = 'generations';
 
 /**
 Starts taking part in the group.
 */
-export function startControlGroup(context: FleetContext, plan: ControlGroupPlan): ControlGroup {
-	const {settings} = plan;
+export function startControlGroup(context: FleetContext, options: ControlGroupOptions): ControlGroup {
+	const {settings} = options;
 	const log = context.logs('group');
-	const goneSince = new Map<core.HostId, number>();
+	const unreachableSince = new Map<core.HostId, number>();
 	let replicated = generations.createReplicatedGenerations();
 	let group: replication.Group | undefined;
 	let isClosed = false;
@@ -91,26 +91,26 @@
 		log.info('Role changed.', {role, term, leader});
 	};
 
-	const announce = () => {
+	const notifyGeneration = () => {
 		const stored = replicated.getStored();
 		if (stored !== undefined) {
-			plan.onGeneration(stored.generation);
+			options.onGeneration(stored.generation);
 		}
 	};
 
-	const createMachine = (): replication.StateMachine => {
+	const createStateMachine = (): replication.StateMachine => {
 		replicated = generations.createReplicatedGenerations();
 		return {
 			apply(command) {
 				const before = replicated.getStored();
 				const answer = replicated.apply(command as generations.GenerationCommand);
 				if (replicated.getStored() !== before) {
-					announce();
+					notifyGeneration();
 				}
 
 				const {name} = command as generations.GenerationCommand;
 				if (name === 'retire') {
-					plan.onRetired([(command as Extract<generations.GenerationCommand, {name: 'retire'}>).retirement]);
+					options.onRetired([(command as Extract<generations.GenerationCommand, {name: 'retire'}>).retirement]);
 				}
 
 				return answer;
@@ -119,8 +119,8 @@
 			restoreSnapshot(state) {
 				const snapshot = state as generations.GenerationSnapshot;
 				replicated.restoreSnapshot(snapshot);
-				announce();
-				plan.onRetired(snapshot.retirements);
+				notifyGeneration();
+				options.onRetired(snapshot.retirements);
 			},
 		};
 	};
@@ -129,7 +129,7 @@
 		log.error('Store failed, the replica is opened anew.', {reason});
 		const failed = group;
 		group = undefined;
-		context.schedule(REOPEN_MILLISECONDS, () => {
+		context.schedule(REOPEN_DELAY_MILLISECONDS, () => {
 			void (async () => {
 				await failed?.close();
 				await open();
@@ -143,18 +143,18 @@
 		}
 
 		const opened = await replication.createGroup({
-			group: GROUP,
+			group: GROUP_NAME,
 			host: settings.hostId,
-			store: replication.createDurableStore(path.join(settings.dataFolder, GROUP)),
-			stateMachine: createMachine(),
-			send: plan.send,
+			store: replication.createDurableStore(path.join(settings.dataFolder, GROUP_NAME)),
+			stateMachine: createStateMachine(),
+			send: options.send,
 			clock: context.now,
 			random: context.random,
 			schedule: context.schedule,
 			// A host that comes with an empty disk later on joins; it must not found a second group.
 			...settings.isFirstStart && {first: {hosts: settings.seeds.map(seed => seed.id)}},
-			getSeeds: () => plan.getKnown(),
-			settings: {commandBytesMost: GENERATION_BYTES},
+			getSeeds: () => options.listKnownHosts(),
+			settings: {commandBytesMost: MAX_COMMAND_BYTES},
 			onStopped(failure) {
 				reopen(failure.message);
 			},
@@ -174,14 +174,14 @@
 			return;
 		}
 
-		const running = [{host: settings.hostId, failureDomain: settings.failureDomain}, ...plan.getRunning()
+		const running = [{host: settings.hostId, failureDomain: settings.failureDomain}, ...options.listLinkedHosts()
 			.map(({id, failureDomain = ''}) => ({host: id, failureDomain}))];
-		noteGone(goneSince, status, {running: running.map(({host}) => host), now: context.now()});
+		updateUnreachable(unreachableSince, status, {running: running.map(({host}) => host), now: context.now()});
 		const wanted = replication.chooseMembers({
 			members: status.members,
 			running,
-			isReplaceable: host => context.now() - (goneSince.get(host) ?? Infinity) > REPLACE_MILLISECONDS,
-			votersMost: MOST_VOTERS,
+			isReplaceable: host => context.now() - (unreachableSince.get(host) ?? Infinity) > REPLACE_MEMBER_DELAY_MILLISECONDS,
+			votersMost: MAX_VOTERS,
 		});
 		const changed = await group!.reconcile(wanted);
 		if (changed.isOk() && changed.value !== undefined) {
@@ -190,18 +190,18 @@
 	};
 
 	void open();
-	const stopReconciling = context.repeat(RECONCILE_MILLISECONDS, () => {
+	const stopReconciling = context.repeat(RECONCILE_INTERVAL_MILLISECONDS, () => {
 		logRole();
 		void reconcile();
 	});
-	const toNotLeader = (leader: core.HostId | null) => ({kind: 'not-leader', leader} as const);
+	const createNotLeaderAnswer = (leader: core.HostId | null) => ({kind: 'not-leader', leader} as const);
 	return {
 		receive(message) {
 			group?.receive(message);
 		},
 		async propose(command) {
 			if (group === undefined) {
-				return toNotLeader(null);
+				return createNotLeaderAnswer(null);
 			}
 
 			const proposed: results.Result<replication.Applied, replication.GroupFailure> = await group.propose(command);
@@ -209,17 +209,17 @@
 				return {kind: 'applied', version: (proposed.value.value as generations.GenerationAnswer).version};
 			}
 
-			return proposed.error.kind === 'not-leader' ? toNotLeader(proposed.error.leader ?? null) : {kind: 'unknown'};
+			return proposed.error.kind === 'not-leader' ? createNotLeaderAnswer(proposed.error.leader ?? null) : {kind: 'unknown'};
 		},
 		async read() {
 			if (group === undefined) {
-				return toNotLeader(null);
+				return createNotLeaderAnswer(null);
 			}
 
 			const barrier = await group.readBarrier();
 			return barrier.isOk()
 				? {kind: 'read', document: replicated.getStored()?.document ?? null}
-				: toNotLeader(barrier.error.leader ?? null);
+				: createNotLeaderAnswer(barrier.error.leader ?? null);
 		},
 		getLeader: () => group?.getStatus().leader ?? null,
 		getStored: () => replicated.getStored(),
@@ -233,21 +233,21 @@
 	};
 }
 
-function noteGone(
-	goneSince: Map<core.HostId, number>,
+function updateUnreachable(
+	unreachableSince: Map<core.HostId, number>,
 	status: replication.GroupStatus,
 	{running, now}: {readonly running: readonly core.HostId[]; readonly now: number},
 ): void {
 	const members = status.members.map(member => replication.getMemberHost(member.id));
-	for (const host of goneSince.keys()) {
+	for (const host of unreachableSince.keys()) {
 		if (running.includes(host) || !members.includes(host)) {
-			goneSince.delete(host);
+			unreachableSince.delete(host);
 		}
 	}
 
 	for (const host of members) {
-		if (!running.includes(host) && !goneSince.has(host)) {
-			goneSince.set(host, now);
+		if (!running.includes(host) && !unreachableSince.has(host)) {
+			unreachableSince.set(host, now);
 		}
 	}
 }
--- a/packages/wagtailroute-fleet/src/held-places.ts
+++ b/packages/wagtailroute-fleet/src/held-places.ts
@@ -7,7 +7,7 @@
 import type * as dispatch from 'wagtailroute-dispatch';
 import type * as link from 'wagtailroute-link';
 import type {OpenControl} from './control-links.ts';
-import {type Holding, METHODS} from './messages.ts';
+import {type HandoverReport, METHODS} from './messages.ts';
 import type {Advertisements} from './advertisements.ts';
 import type {RecentUses} from './recent-uses.ts';
 
@@ -103,7 +103,7 @@
 				places: held,
 				...updates.length > 0 && {updates},
 				...uses !== undefined && {uses, entryHosts: countEntryHosts()},
-			} satisfies Holding);
+			} satisfies HandoverReport);
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/dispatching.ts
+++ b/packages/wagtailroute-fleet/src/host-dispatcher.ts
@@ -10,20 +10,20 @@
 import {
 	ASKER_MILLISECONDS,
 	DISPATCH_TICK_MILLISECONDS,
-	IDLE_NAMED_MOST,
-	IDLE_TOLD_MILLISECONDS,
+	MAX_IDLE_UPSTREAMS_LOGGED,
+	IDLE_LOG_INTERVAL_MILLISECONDS,
 } from './constants.ts';
-import {getAskNumber, shortenAnswer} from './ask-wire.ts';
+import {getSlotRequestNumber, encodeAnswer} from './slot-request-encoding.ts';
 import type {Allotting} from './allotting.ts';
 import type {RequestShare} from './request-share.ts';
 import type {FleetContext} from './context.ts';
 import {createPeerUpdates} from './peer-updates.ts';
 import {
-	type AskAnswer,
+	type SlotAnswer,
 	type Belief,
-	type DecidedAnswer,
+	type SlotDecision,
 	type GrantEnd,
-	type Holding,
+	type HandoverReport,
 	METHODS,
 	type ServiceUpdates,
 } from './messages.ts';
@@ -33,8 +33,8 @@
 /**
 A dispatcher that answers other hosts.
 */
-export type Dispatching = {
-	readonly ask: (ask: dispatch.Ask) => AskAnswer;
+export type HostDispatcher = {
+	readonly requestSlot: (ask: dispatch.Ask) => SlotAnswer;
 	readonly cancel: (id: dispatch.AskId) => void;
 	readonly end: (end: GrantEnd) => void;
 	/**
@@ -49,23 +49,23 @@
 	Returns all that upstreams advertise and that is in force, by service.
 	*/
 	readonly listUpdates: () => readonly ServiceUpdates[];
-	readonly hold: (host: core.HostId, holding: Holding) => void;
+	readonly applyHandover: (host: core.HostId, holding: HandoverReport) => void;
 	/**
 	Takes what a host was admitted by other dispatchers, before it asks here for the first time.
 	*/
-	readonly takeOver: (host: core.HostId, uses: readonly allotments.PastUse[]) => void;
+	readonly applyPastUses: (host: core.HostId, uses: readonly allotments.PastUse[]) => void;
 	/**
 	Takes what the dispatcher on another control host believes.
 	*/
-	readonly hearBelief: (belief: Belief) => void;
+	readonly applyBelief: (belief: Belief) => void;
 	/**
 	Takes what the dispatcher of a service has come to believe of several upstreams.
 	*/
-	readonly hearBeliefNews: (news: readonly Belief[]) => void;
+	readonly applyBeliefs: (news: readonly Belief[]) => void;
 	/**
 	Takes all that a host believed some milliseconds ago: what it held against an upstream counts if it is more than this one does.
 	*/
-	readonly hearBeliefs: (beliefs: readonly Belief[], ageMilliseconds?: number) => void;
+	readonly mergeBeliefs: (beliefs: readonly Belief[], ageMilliseconds?: number) => void;
 	/**
 	Returns all that this dispatcher holds against upstreams.
 	*/
@@ -73,18 +73,18 @@
 	/**
 	Returns what is known of a service's upstreams, by this dispatcher or by the one that told it.
 	*/
-	readonly report: (service: core.ServiceName) => readonly dispatch.UpstreamReport[];
+	readonly listUpstreamReports: (service: core.ServiceName) => readonly dispatch.UpstreamReport[];
 	/**
 	Takes the instances of a service anew, if it was ever asked for.
 	*/
-	readonly refresh: (service: core.ServiceName) => void;
+	readonly refreshCandidates: (service: core.ServiceName) => void;
 	readonly teardown: utils.Teardown;
 };
 
 /**
 What the dispatcher asks of its host.
 */
-export type DispatchingPlan = {
+export type HostDispatcherOptions = {
 	readonly settings: Pick<FleetSettings, 'budget' | 'floor' | 'policy'>;
 	/**
 	Share of the entry hosts that ask here.
@@ -93,7 +93,7 @@
 	/**
 	This host hears of what others grant, as control hosts do. One that does not grants its share of a rate limit only.
 	*/
-	readonly isTold: boolean;
+	readonly isReceivingUpdates: boolean;
 	/**
 	Absent: nothing bounds what an organisation sends.
 	*/
@@ -101,7 +101,7 @@
 	/**
 	A host told how many entry hosts serve callers.
 	*/
-	readonly onEntryHosts?: (hosts: number) => void;
+	readonly onEntryHostCount?: (hosts: number) => void;
 	readonly listCandidates: (service: core.ServiceName) => readonly dispatch.Candidate[];
 	/**
 	Returns the entry hosts that are told what this dispatcher believes although they send no requests of the service: they are next.
@@ -114,55 +114,55 @@
 	/**
 	Sends to the other control hosts: the next dispatcher of the service is one of them, and each answers callers' look-ups.
 	*/
-	readonly tellControls: (method: string, parameters: unknown) => void;
+	readonly notifyControls: (method: string, parameters: unknown) => void;
 };
 
-type Effects = {
+type EffectHandlers = {
 	readonly [Kind in dispatch.Effect['kind']]: (effect: Extract<dispatch.Effect, {kind: Kind}>) => void;
 };
 
 /**
 Starts the dispatcher.
 */
-export function startDispatching(context: FleetContext, plan: DispatchingPlan): Dispatching {
+export function startHostDispatcher(context: FleetContext, options: HostDispatcherOptions): HostDispatcher {
 	const {now, random, metrics} = context;
 	const log = context.logs('dispatch');
-	const {requestShare} = plan;
-	const dispatcher = dispatch.createDispatcher({...plan.settings, random, getShare: plan.isTold ? undefined : requestShare.get});
-	const known = new Set<core.ServiceName>();
+	const {requestShare} = options;
+	const dispatcher = dispatch.createDispatcher({...options.settings, random, getShare: options.isReceivingUpdates ? undefined : requestShare.get});
+	const knownServices = new Set<core.ServiceName>();
 	const askers = new Map<core.ServiceName, RecentAskers>();
 
 	const listAskers = (service: core.ServiceName) => askers.get(service)?.list(now()) ?? [];
 
-	const peers = createPeerUpdates(context, {...plan, dispatcher, listAskers});
+	const peerUpdates = createPeerUpdates(context, {...options, dispatcher, listAskers});
 
-	const tell = (effect: Decision) => {
-		plan.notify(effect.ask.host, METHODS.answer, [getAskNumber(effect.ask.id), shortenAnswer(toAnswer(effect))]);
+	const sendDecision = (effect: Decision) => {
+		options.notify(effect.ask.host, METHODS.answer, [getSlotRequestNumber(effect.ask.id), encodeAnswer(toAnswer(effect))]);
 	};
 
-	const effects: Effects = {
+	const effectHandlers: EffectHandlers = {
 		grant(effect) {
-			peers.onGranted(effect.ask.service);
-			tell(effect);
+			peerUpdates.onGranted(effect.ask.service);
+			sendDecision(effect);
 		},
 		refuse(effect) {
 			giveBack(effect.ask);
 			logRefusal(effect);
-			tell(effect);
+			sendDecision(effect);
 		},
 		believe({service, upstream, doubt, isSuspended, cause}) {
 			metrics.count('beliefs', {service, state: isSuspended ? 'suspended' : 'readmitted'});
 			log.info(isSuspended ? 'Upstream suspended.' : 'Upstream readmitted.', {
 				service, upstream, doubt, cause,
 			});
-			peers.publishBelief({service, upstream, doubt});
+			peerUpdates.publishBelief({service, upstream, doubt});
 		},
 		'rate-limit'({service, upstream, ratePerSecond, ratePerSecondBefore}) {
 			metrics.count('rate_limit_changes', {service, state: ratePerSecond === undefined ? 'lifted' : 'changed'});
 			log.info(ratePerSecond === undefined ? 'Rate limit lifted.' : 'Rate limit changed.', {
 				service, upstream, ratePerSecond, ratePerSecondBefore,
 			});
-			peers.publishUpdates();
+			peerUpdates.publishUpdates();
 		},
 		backoff({service, upstream, host, milliseconds}) {
 			metrics.count('closures', {service, cause: 'backoff'});
@@ -173,7 +173,7 @@
 		draining({service, upstream, host}) {
 			metrics.count('closures', {service, cause: 'draining'});
 			log.info('Upstream draining.', {service, upstream, host});
-			peers.publishUpdates();
+			peerUpdates.publishUpdates();
 		},
 	};
 
@@ -182,8 +182,8 @@
 	/**
 	Logs now and then what keeps requests from upstreams while others fail them.
 	*/
-	const logIdle = (service: core.ServiceName) => {
-		if (now() - (loggedIdleAt.get(service) ?? -Infinity) < IDLE_TOLD_MILLISECONDS) {
+	const logIdleUpstreams = (service: core.ServiceName) => {
+		if (now() - (loggedIdleAt.get(service) ?? -Infinity) < IDLE_LOG_INTERVAL_MILLISECONDS) {
 			return;
 		}
 
@@ -197,7 +197,7 @@
 			service,
 			idle: idle.length,
 			causes: Object.fromEntries(Map.groupBy(idle, ({cause}) => cause).entries().map(([cause, upstreams]) => [cause, upstreams.length])),
-			first: idle.slice(0, IDLE_NAMED_MOST).map(({upstream, cause, doubt, failedMillisecondsAgo}) => ({
+			first: idle.slice(0, MAX_IDLE_UPSTREAMS_LOGGED).map(({upstream, cause, doubt, failedMillisecondsAgo}) => ({
 				upstream, cause, doubt: Number(doubt.toFixed(1)), failedMillisecondsAgo: Math.round(failedMillisecondsAgo),
 			})),
 		});
@@ -219,7 +219,7 @@
 			draining: upstreams.filter(upstream => upstream.isDraining).length,
 			backingOff: upstreams.filter(upstream => upstream.hostsBackingOff.includes(ask.host)).length,
 		});
-		logIdle(ask.service);
+		logIdleUpstreams(ask.service);
 	};
 
 	/**
@@ -228,37 +228,37 @@
 	*/
 	const giveBack = (ask: dispatch.Ask) => {
 		if (dispatch.isFirst(ask)) {
-			plan.allotting?.giveBack(ask);
+			options.allotting?.giveBack(ask);
 		}
 	};
 
-	const noteAsker = ({service, host}: dispatch.Ask) => {
+	const recordAsker = ({service, host}: dispatch.Ask) => {
 		requestShare.record(host, now());
 		const hosts = askers.get(service) ?? createRecentAskers(ASKER_MILLISECONDS);
 		askers.set(service, hosts);
 		hosts.note(host, now());
 	};
 
-	const carryOut = (list: readonly dispatch.Effect[]) => {
-		for (const effect of list) {
-			effects[effect.kind](effect as never);
+	const applyEffects = (effects: readonly dispatch.Effect[]) => {
+		for (const effect of effects) {
+			effectHandlers[effect.kind](effect as never);
 		}
 	};
 
-	const refresh = (service: core.ServiceName) => {
-		carryOut(dispatcher.setCandidates(service, plan.listCandidates(service), now()));
+	const refreshCandidates = (service: core.ServiceName) => {
+		applyEffects(dispatcher.setCandidates(service, options.listCandidates(service), now()));
 	};
 
 	/**
 	Takes the instances of a service that is asked for the first time.
 	*/
-	const learn = (service: core.ServiceName) => {
-		if (known.has(service)) {
+	const ensureCandidates = (service: core.ServiceName) => {
+		if (knownServices.has(service)) {
 			return;
 		}
 
-		known.add(service);
-		refresh(service);
+		knownServices.add(service);
+		refreshCandidates(service);
 	};
 
 	let cancelTick: utils.Teardown | undefined;
@@ -266,125 +266,125 @@
 	/**
 	Looks after requests that wait or are under way; a host that dispatches nothing does not wake for it.
 	*/
-	const tickWhileBusy = () => {
+	const scheduleTick = () => {
 		if (cancelTick !== undefined || !dispatcher.isBusy()) {
 			return;
 		}
 
 		cancelTick = context.schedule(DISPATCH_TICK_MILLISECONDS, () => {
 			cancelTick = undefined;
-			carryOut(dispatcher.tick(now()));
-			tickWhileBusy();
+			applyEffects(dispatcher.tick(now()));
+			scheduleTick();
 		});
 	};
 
-	const hearBelief = ({service, upstream, doubt}: Belief) => {
-		learn(service);
+	const applyBelief = ({service, upstream, doubt}: Belief) => {
+		ensureCandidates(service);
 		dispatcher.setDoubt(service, upstream, doubt, now());
 	};
 
 	const applyUpdates = ({service, updates}: ServiceUpdates) => {
-		learn(service);
-		carryOut(dispatcher.applyUpdates(service, updates, now()));
+		ensureCandidates(service);
+		applyEffects(dispatcher.applyUpdates(service, updates, now()));
 	};
 
-	const listBeliefs = () => known.values().flatMap(service => dispatcher.report(service, now())
+	const listBeliefs = () => knownServices.values().flatMap(service => dispatcher.report(service, now())
 		.filter(({doubt}) => doubt > 0)
 		.map(({upstream, doubt}): Belief => ({service, upstream, doubt}))).toArray();
 
 	metrics.registerGauge('asks_waiting', () => dispatcher.getWaiting());
 	return {
-		ask(ask) {
-			learn(ask.service);
-			noteAsker(ask);
+		requestSlot(ask) {
+			ensureCandidates(ask.service);
+			recordAsker(ask);
 			if (!dispatcher.knows(ask.service)) {
 				log.warn('Ask sent elsewhere.', {id: ask.id, service: ask.service});
 				return {kind: 'elsewhere'};
 			}
 
-			const overdrawn = dispatch.isFirst(ask) ? plan.allotting?.admit(ask) : undefined;
-			if (overdrawn !== undefined) {
-				return overdrawn;
+			const refusal = dispatch.isFirst(ask) ? options.allotting?.admit(ask) : undefined;
+			if (refusal !== undefined) {
+				return refusal;
 			}
 
-			const list = dispatcher.ask(ask, now());
-			const own = list.find(effect => isDecision(effect) && effect.ask.id === ask.id);
-			carryOut(list.filter(effect => effect !== own));
-			tickWhileBusy();
-			if (own === undefined || !isDecision(own)) {
+			const effects = dispatcher.ask(ask, now());
+			const ownDecision = effects.find(effect => isDecision(effect) && effect.ask.id === ask.id);
+			applyEffects(effects.filter(effect => effect !== ownDecision));
+			scheduleTick();
+			if (ownDecision === undefined || !isDecision(ownDecision)) {
 				return {kind: 'wait'};
 			}
 
-			if (own.kind === 'refuse') {
+			if (ownDecision.kind === 'refuse') {
 				giveBack(ask);
-				logRefusal(own);
+				logRefusal(ownDecision);
 			} else {
-				peers.onGranted(ask.service);
+				peerUpdates.onGranted(ask.service);
 			}
 
-			return toAnswer(own);
+			return toAnswer(ownDecision);
 		},
 		cancel(id) {
-			const withdrawn = dispatcher.cancel(id);
-			if (withdrawn !== undefined) {
-				giveBack(withdrawn);
+			const cancelled = dispatcher.cancel(id);
+			if (cancelled !== undefined) {
+				giveBack(cancelled);
 			}
 		},
 		end({id, ending, milliseconds}) {
 			metrics.count('ends', {ending});
-			const unused = ending === 'unused' ? dispatcher.findGranted(id) : undefined;
-			if (unused !== undefined) {
-				giveBack(unused);
+			const unusedAsk = ending === 'unused' ? dispatcher.findGranted(id) : undefined;
+			if (unusedAsk !== undefined) {
+				giveBack(unusedAsk);
 			}
 
 			const service = dispatcher.findGranted(id)?.service;
-			carryOut(dispatcher.end(id, {ending, milliseconds}, now()));
+			applyEffects(dispatcher.end(id, {ending, milliseconds}, now()));
 			if (service !== undefined && ending !== 'success') {
-				logIdle(service);
+				logIdleUpstreams(service);
 			}
 		},
 		recordAdvertisements(id, advertisements) {
-			carryOut(dispatcher.recordAdvertisements(id, advertisements, now()));
+			applyEffects(dispatcher.recordAdvertisements(id, advertisements, now()));
 		},
 		applyUpdates,
 		listUpdates: () => dispatcher.listUpdates(now()).entries().map(([service, updates]): ServiceUpdates => ({service, updates})).toArray(),
-		hold(host, {service, places, updates = [], uses, entryHosts}) {
-			learn(service);
+		applyHandover(host, {service, places, updates = [], uses, entryHosts}) {
+			ensureCandidates(service);
 			if (entryHosts !== undefined) {
-				plan.onEntryHosts?.(entryHosts);
+				options.onEntryHostCount?.(entryHosts);
 			}
 
 			if (uses !== undefined) {
-				plan.allotting?.takeOver(host, uses);
+				options.allotting?.takeOver(host, uses);
 			}
 
 			dispatcher.hold(host, service, places, now());
 			applyUpdates({service, updates});
-			tickWhileBusy();
+			scheduleTick();
 		},
-		takeOver(host, uses) {
-			plan.allotting?.takeOver(host, uses);
+		applyPastUses(host, uses) {
+			options.allotting?.takeOver(host, uses);
 		},
-		hearBelief,
-		hearBeliefNews(news) {
+		applyBelief,
+		applyBeliefs(news) {
 			for (const belief of news) {
-				hearBelief(belief);
+				applyBelief(belief);
 			}
 		},
-		hearBeliefs(beliefs, ageMilliseconds = 0) {
+		mergeBeliefs(beliefs, ageMilliseconds = 0) {
 			for (const {service, upstream, doubt} of beliefs) {
-				learn(service);
+				ensureCandidates(service);
 				dispatcher.raiseDoubt(service, upstream, {doubt, ageMilliseconds}, now());
 			}
 		},
 		listBeliefs,
-		report(service) {
-			learn(service);
+		listUpstreamReports(service) {
+			ensureCandidates(service);
 			return dispatcher.report(service, now());
 		},
-		refresh(service) {
-			if (known.has(service)) {
-				refresh(service);
+		refreshCandidates(service) {
+			if (knownServices.has(service)) {
+				refreshCandidates(service);
 			}
 		},
 		teardown() {
@@ -402,7 +402,7 @@
 /**
 Turns a decision into what the asking host is told.
 */
-export function toAnswer(effect: Decision): DecidedAnswer {
+export function toAnswer(effect: Decision): SlotDecision {
 	if (effect.kind === 'refuse') {
 		const {reason, retryAfterMilliseconds} = effect;
 		return {kind: 'refuse', reason, retryAfterMilliseconds};
@@ -417,8 +417,8 @@
 /**
 Sends all that a dispatcher knows of what upstreams advertise to another host.
 */
-export function sendUpdates(over: link.Link, dispatching: Pick<Dispatching, 'listUpdates'>): void {
-	for (const message of dispatching.listUpdates()) {
-		over.notify(METHODS.updates, message);
+export function sendUpdates(to: link.Link, dispatcher: Pick<HostDispatcher, 'listUpdates'>): void {
+	for (const message of dispatcher.listUpdates()) {
+		to.notify(METHODS.updates, message);
 	}
 }
--- a/packages/wagtailroute-fleet/src/instance-store.ts
+++ b/packages/wagtailroute-fleet/src/instance-store.ts
@@ -9,7 +9,7 @@
 import type * as replication from 'wagtailroute-replication';
 import * as zod from 'zod';
 import type * as telemetry from 'wagtailroute-telemetry';
-import {createKeptFile} from './kept-file.ts';
+import {createJsonFile} from './json-file.ts';
 
 const heartbeatsSchema = zod.array(zod.object({
 	upstream: zod.string(),
@@ -39,11 +39,11 @@
 Creates the store in a folder.
 */
 export function createInstanceStore(folder: string, log: telemetry.Log, disk?: replication.Disk): InstanceStore {
-	const kept = createKeptFile<readonly instances.Heartbeat[]>({
+	const file = createJsonFile<readonly instances.Heartbeat[]>({
 		folder, name: 'instances.json', schema: heartbeatsSchema, log, disk,
 	});
 	return {
-		load: async () => await kept.load() ?? [],
-		save: kept.save,
+		load: async () => await file.load() ?? [],
+		save: file.save,
 	};
 }
--- a/packages/wagtailroute-fleet/src/kept-file.ts
+++ b/packages/wagtailroute-fleet/src/json-file.ts
@@ -14,7 +14,7 @@
 /**
 Keeps a document.
 */
-export type KeptFile<Document> = {
+export type JsonFile<Document> = {
 	/**
 	Returns what was kept; undefined when there is nothing or it cannot be read.
 	*/
@@ -28,7 +28,7 @@
 /**
 What a kept file is made from.
 */
-export type KeptFilePlan<Document> = {
+export type JsonFileOptions<Document> = {
 	readonly folder: string;
 	readonly name: string;
 	readonly schema: zod.ZodType<Document>;
@@ -39,16 +39,16 @@
 /**
 Creates the file, with nothing kept.
 */
-export function createKeptFile<Document>(
-	{folder, name, schema, log, disk = replication.createDisk()}: KeptFilePlan<Document>,
-): KeptFile<Document> {
+export function createJsonFile<Document>(
+	{folder, name, schema, log, disk = replication.createDisk()}: JsonFileOptions<Document>,
+): JsonFile<Document> {
 	const file = path.join(folder, name);
 	const newFile = `${file}.new`;
 	let isSaving = false;
 	let next: Document | undefined;
 
 	const write = async (document: Document) => {
-		const saved = await results.Result.wrapAsync(async () => {
+		const written = await results.Result.wrapAsync(async () => {
 			const opened = await disk.open(newFile, true);
 			await opened.append(buffer.Buffer.from(JSON.stringify(document)));
 			await opened.sync();
@@ -57,8 +57,8 @@
 			// A name that was changed is kept over a loss of power once its folder is.
 			await disk.syncFolder(folder);
 		});
-		if (saved.isErr()) {
-			log.warn('File could not be kept.', {file: name, reason: String(saved.error)});
+		if (written.isErr()) {
+			log.warn('File could not be kept.', {file: name, reason: String(written.error)});
 		}
 	};
 
--- a/packages/wagtailroute-fleet/src/knowledge.ts
+++ b/packages/wagtailroute-fleet/src/knowledge.ts
@@ -18,7 +18,7 @@
 import {toCandidate} from './candidates.ts';
 import type {FleetContext} from './context.ts';
 import type {OpenControl} from './control-links.ts';
-import {type FetchedGeneration, type InstanceNews, METHODS} from './messages.ts';
+import {type FetchedGeneration, type InstanceChanges, METHODS} from './messages.ts';
 
 /**
 The knowledge of an entry host.
@@ -38,7 +38,7 @@
 	A control host told the version that it has.
 	*/
 	readonly hearVersion: (control: OpenControl, version: number) => void;
-	readonly hearInstances: (news: InstanceNews) => void;
+	readonly hearInstances: (news: InstanceChanges) => void;
 	readonly hearRetirements: (retirements: readonly generations.Retirement[]) => void;
 	/**
 	Follows the instances through one of the open control hosts.
@@ -151,7 +151,7 @@
 		}
 	};
 
-	const hearInstances = ({heard, forgotten, retirements}: InstanceNews) => {
+	const hearInstances = ({heard, forgotten, retirements}: InstanceChanges) => {
 		hearRetirements(retirements);
 		const changed = new Set<core.ServiceName>();
 		for (const {ageMilliseconds, ...heartbeat} of heard) {
@@ -184,7 +184,7 @@
 		void (async () => {
 			const answer = await feeder?.link.call(METHODS.followInstances, {}, FETCH_MILLISECONDS);
 			if (answer?.isOk() === true) {
-				hearInstances(answer.value as InstanceNews);
+				hearInstances(answer.value as InstanceChanges);
 			} else if (feeder !== undefined && state.feeder === feeder) {
 				state.feeder = undefined;
 				schedule(FETCH_AGAIN_MILLISECONDS, follow);
--- a/packages/wagtailroute-fleet/src/messages.ts
+++ b/packages/wagtailroute-fleet/src/messages.ts
@@ -124,7 +124,7 @@
 /**
 Instances that are new or changed, and those that were forgotten.
 */
-export type InstanceNews = {
+export type InstanceChanges = {
 	readonly heard: readonly RelayedHeartbeat[];
 	readonly forgotten: readonly core.UpstreamId[];
 	readonly retirements: readonly generations.Retirement[];
@@ -134,7 +134,7 @@
 The first answer to an ask. `wait`: the final one follows as a message. `elsewhere`: this host knows no upstream of the service, since it
 has just started; others may.
 */
-export type AskAnswer =
+export type SlotAnswer =
 	| {
 		readonly kind: 'grant';
 		readonly upstream: core.UpstreamId;
@@ -148,7 +148,7 @@
 /**
 An answer that ends an ask.
 */
-export type DecidedAnswer = Extract<AskAnswer, {kind: 'grant' | 'refuse'}>;
+export type SlotDecision = Extract<SlotAnswer, {kind: 'grant' | 'refuse'}>;
 
 /**
 The end of a granted request.
@@ -162,7 +162,7 @@
 /**
 The places that a host holds of a service.
 */
-export type Holding = {
+export type HandoverReport = {
 	readonly service: core.ServiceName;
 	readonly places: readonly dispatch.HeldPlace[];
 	/**
--- a/packages/wagtailroute-fleet/src/peer-updates.ts
+++ b/packages/wagtailroute-fleet/src/peer-updates.ts
@@ -7,7 +7,7 @@
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
 import * as utils from 'wagtailroute-utils';
-import {BELIEF_NEWS_MILLISECONDS, UPDATE_MILLISECONDS} from './constants.ts';
+import {BELIEF_BATCH_MILLISECONDS, UPDATE_BATCH_MILLISECONDS} from './constants.ts';
 import type {FleetContext} from './context.ts';
 import {type Belief, METHODS, type ServiceUpdates} from './messages.ts';
 
@@ -29,7 +29,7 @@
 /**
 What sending updates depends on.
 */
-export type PeerUpdatesPlan = {
+export type PeerUpdatesOptions = {
 	readonly dispatcher: Pick<dispatch.Dispatcher, 'isSharingRateLimits' | 'flushUpdates'>;
 	/**
 	Returns the hosts that send requests of the service.
@@ -46,39 +46,39 @@
 	/**
 	Sends to the other control hosts.
 	*/
-	readonly tellControls: (method: string, parameters: unknown) => void;
+	readonly notifyControls: (method: string, parameters: unknown) => void;
 };
 
 /**
 Starts without pending updates.
 */
-export function createPeerUpdates({now, schedule}: Pick<FleetContext, 'now' | 'schedule'>, plan: PeerUpdatesPlan): PeerUpdates {
-	const {dispatcher} = plan;
+export function createPeerUpdates({now, schedule}: Pick<FleetContext, 'now' | 'schedule'>, options: PeerUpdatesOptions): PeerUpdates {
+	const {dispatcher} = options;
 	/**
 	The last belief about each upstream that askers have not received.
 	*/
 	const pending = new Map<core.ServiceName, Map<core.UpstreamId, Belief>>();
 
 	const notifySuccessors = (service: core.ServiceName, method: string, parameters: unknown) => {
-		for (const host of plan.listStandbys(service)) {
-			plan.notify(host, method, parameters);
+		for (const host of options.listStandbys(service)) {
+			options.notify(host, method, parameters);
 		}
 
-		plan.tellControls(method, parameters);
+		options.notifyControls(method, parameters);
 	};
 
-	const notifyAskers = utils.coalesce(schedule, BELIEF_NEWS_MILLISECONDS, () => {
+	const notifyAskers = utils.coalesce(schedule, BELIEF_BATCH_MILLISECONDS, () => {
 		for (const [service, beliefs] of pending) {
-			const standbys = new Set(plan.listStandbys(service));
-			for (const host of new Set(plan.listAskers(service)).difference(standbys)) {
-				plan.notify(host, METHODS.beliefNews, beliefs.values().toArray());
+			const standbys = new Set(options.listStandbys(service));
+			for (const host of new Set(options.listAskers(service)).difference(standbys)) {
+				options.notify(host, METHODS.beliefNews, beliefs.values().toArray());
 			}
 		}
 
 		pending.clear();
 	});
 
-	const publishUpdates = utils.coalesce(schedule, UPDATE_MILLISECONDS, () => {
+	const publishUpdates = utils.coalesce(schedule, UPDATE_BATCH_MILLISECONDS, () => {
 		for (const [service, updates] of dispatcher.flushUpdates(now())) {
 			notifySuccessors(service, METHODS.updates, {service, updates} satisfies ServiceUpdates);
 		}
--- a/packages/wagtailroute-fleet/src/registry.ts
+++ b/packages/wagtailroute-fleet/src/registry.ts
@@ -13,8 +13,8 @@
 import {
 	FETCH_MILLISECONDS,
 	HOUSEKEEPING_MILLISECONDS,
-	RELAY_MILLISECONDS,
-	SAVE_MILLISECONDS,
+	RELAY_BATCH_MILLISECONDS,
+	INSTANCES_SAVE_DELAY_MILLISECONDS,
 	SILENT_UPSTREAM_MILLISECONDS,
 } from './constants.ts';
 import {toCandidate} from './candidates.ts';
@@ -22,7 +22,7 @@
 import type {InstanceStore} from './instance-store.ts';
 import {
 	type HeartbeatBatch,
-	type InstanceNews,
+	type InstanceChanges,
 	METHODS,
 	type RelayedHeartbeat,
 } from './messages.ts';
@@ -30,15 +30,15 @@
 /**
 The registry of a control host.
 */
-export type Registry = {
+export type InstanceRegistry = {
 	/**
 	Takes a heartbeat from its sender.
 	*/
-	readonly take: (heartbeat: instances.Heartbeat) => instances.Reception;
+	readonly receiveHeartbeat: (heartbeat: instances.Heartbeat) => instances.Reception;
 	/**
 	Takes heartbeats that another control host was sent.
 	*/
-	readonly takeRelayed: (batch: HeartbeatBatch) => void;
+	readonly receiveRelayed: (batch: HeartbeatBatch) => void;
 	/**
 	Takes what another control host knows: heartbeats were missed while there was no link to it.
 	*/
@@ -48,7 +48,7 @@
 	/**
 	Everything, as news to a host that knows nothing.
 	*/
-	readonly describeAll: () => InstanceNews;
+	readonly getSnapshot: () => InstanceChanges;
 	readonly follow: (follower: link.Link) => void;
 	readonly unfollow: (follower: link.Link) => void;
 	readonly countInstances: () => number;
@@ -59,40 +59,40 @@
 	/**
 	Returns the newest start of a server that is known, in Unix milliseconds; 0 when it is unknown or told none.
 	*/
-	readonly findStart: (server: string) => number;
+	readonly findLatestStart: (server: string) => number;
 	readonly teardown: utils.Teardown;
 };
 
 /**
 What the registry tells.
 */
-export type RegistryPlan = {
-	readonly tellControls: (method: string, parameters: unknown) => void;
+export type InstanceRegistryOptions = {
+	readonly notifyControls: (method: string, parameters: unknown) => void;
 	readonly onChanged: (service: core.ServiceName) => void;
 	readonly store: InstanceStore;
 };
 
-const NO_HEARTBEATS: HeartbeatBatch = {news: [], refreshed: []};
+const EMPTY_BATCH: HeartbeatBatch = {news: [], refreshed: []};
 
 /**
 Creates the registry.
 */
-export function startRegistry(context: FleetContext, {tellControls, onChanged, store}: RegistryPlan): Registry {
+export function startInstanceRegistry(context: FleetContext, {notifyControls, onChanged, store}: InstanceRegistryOptions): InstanceRegistry {
 	const {now} = context;
 	const log = context.logs('instances');
 	const table = instances.createInstanceTable();
 	const followers = new Set<link.Link>();
-	const silent = new Set<core.UpstreamId>();
+	const silentUpstreams = new Set<core.UpstreamId>();
 	const retirements = new Map<core.UpstreamId, generations.RetirementState>();
-	let unsent: HeartbeatBatch = NO_HEARTBEATS;
+	let pendingBatch: HeartbeatBatch = EMPTY_BATCH;
 
-	const tellFollowers = (news: InstanceNews) => {
+	const notifyFollowers = (news: InstanceChanges) => {
 		for (const follower of followers) {
 			follower.notify(METHODS.instancesChanged, news);
 		}
 	};
 
-	const list = () => table.listAll().map(instance => ({
+	const listHeartbeats = () => table.listAll().map(instance => ({
 		upstream: instance.upstream,
 		service: instance.service,
 		address: instance.address,
@@ -103,42 +103,42 @@
 		ageMilliseconds: now() - instance.heardAt,
 	}));
 
-	const saveLater = utils.coalesce(context.schedule, SAVE_MILLISECONDS, () => {
+	const scheduleSave = utils.coalesce(context.schedule, INSTANCES_SAVE_DELAY_MILLISECONDS, () => {
 		// One that drains would come back as serving.
-		void store.save(list().filter(({upstream}) => !retirements.has(upstream)));
+		void store.save(listHeartbeats().filter(({upstream}) => !retirements.has(upstream)));
 	});
 
-	const relay = () => {
-		tellControls(METHODS.heard, unsent);
-		unsent = NO_HEARTBEATS;
+	const flushBatch = () => {
+		notifyControls(METHODS.heard, pendingBatch);
+		pendingBatch = EMPTY_BATCH;
 	};
 
-	const relayCollected = utils.coalesce(context.schedule, RELAY_MILLISECONDS, relay);
+	const scheduleFlush = utils.coalesce(context.schedule, RELAY_BATCH_MILLISECONDS, flushBatch);
 
 	/**
 	News go at once, what changes nothing is collected: it is most of all heartbeats.
 	*/
-	const relayLater = (heartbeat: instances.Heartbeat, reception: instances.Reception) => {
+	const relay = (heartbeat: instances.Heartbeat, reception: instances.Reception) => {
 		if (reception === 'news') {
-			unsent = {...unsent, news: [...unsent.news, {...heartbeat, ageMilliseconds: 0}]};
-			relay();
+			pendingBatch = {...pendingBatch, news: [...pendingBatch.news, {...heartbeat, ageMilliseconds: 0}]};
+			flushBatch();
 			return;
 		}
 
-		unsent = {...unsent, refreshed: [...unsent.refreshed, [heartbeat.upstream, heartbeat.sequence, 0]]};
-		relayCollected();
+		pendingBatch = {...pendingBatch, refreshed: [...pendingBatch.refreshed, [heartbeat.upstream, heartbeat.sequence, 0]]};
+		scheduleFlush();
 	};
 
-	const receive = (heartbeat: instances.Heartbeat, heardAt: number) => {
+	const applyHeartbeat = (heartbeat: instances.Heartbeat, heardAt: number) => {
 		const reception = table.take(heartbeat, heardAt);
-		const wasSilent = reception !== 'stale' && silent.delete(heartbeat.upstream);
+		const wasSilent = reception !== 'stale' && silentUpstreams.delete(heartbeat.upstream);
 		if (reception === 'news') {
 			const {upstream, service, address, slots, sequence, failureDomain} = heartbeat;
 			log.info('Instance heard.', {
 				upstream, service, address: `${address.ip}:${address.port}`, slots, sequence, failureDomain,
 			});
-			saveLater();
-			tellFollowers({heard: [{...heartbeat, ageMilliseconds: now() - heardAt}], forgotten: [], retirements: []});
+			scheduleSave();
+			notifyFollowers({heard: [{...heartbeat, ageMilliseconds: now() - heardAt}], forgotten: [], retirements: []});
 		}
 
 		if (reception === 'news' || wasSilent) {
@@ -148,29 +148,29 @@
 		return reception;
 	};
 
-	const receiveRelayed = (heartbeats: readonly RelayedHeartbeat[]) => {
+	const applyRelayed = (heartbeats: readonly RelayedHeartbeat[]) => {
 		for (const {ageMilliseconds, ...heartbeat} of heartbeats) {
-			receive(heartbeat, now() - ageMilliseconds);
+			applyHeartbeat(heartbeat, now() - ageMilliseconds);
 		}
 	};
 
 	/**
 	Silence alone takes no upstream out: it only ends the trials of one that failed as well.
 	*/
-	const lookForSilence = () => {
+	const checkSilence = () => {
 		const forgotten = table.forgetSilent(now());
 		if (forgotten.length > 0) {
 			log.info('Instances forgotten.', {upstreams: forgotten});
-			tellFollowers({heard: [], forgotten, retirements: []});
+			notifyFollowers({heard: [], forgotten, retirements: []});
 		}
 
 		const changed = new Set<core.ServiceName>();
 		for (const instance of table.listAll()) {
-			if (!(now() - instance.heardAt > SILENT_UPSTREAM_MILLISECONDS) || silent.has(instance.upstream)) {
+			if (!(now() - instance.heardAt > SILENT_UPSTREAM_MILLISECONDS) || silentUpstreams.has(instance.upstream)) {
 				continue;
 			}
 
-			silent.add(instance.upstream);
+			silentUpstreams.add(instance.upstream);
 			changed.add(instance.service);
 			log.warn('Instance silent.', {upstream: instance.upstream, service: instance.service, ageMilliseconds: Math.round(now() - instance.heardAt)});
 		}
@@ -180,38 +180,38 @@
 		}
 	};
 
-	const takeKept = async () => {
-		const kept = await store.load();
-		for (const heartbeat of kept) {
-			receive(heartbeat, now());
+	const loadStored = async () => {
+		const stored = await store.load();
+		for (const heartbeat of stored) {
+			applyHeartbeat(heartbeat, now());
 		}
 	};
 
-	const loaded = takeKept();
-	const stopLooking = context.repeat(HOUSEKEEPING_MILLISECONDS, lookForSilence);
+	const loaded = loadStored();
+	const stopChecking = context.repeat(HOUSEKEEPING_MILLISECONDS, checkSilence);
 	return {
-		take(heartbeat) {
-			const reception = receive(heartbeat, now());
+		receiveHeartbeat(heartbeat) {
+			const reception = applyHeartbeat(heartbeat, now());
 			if (reception !== 'stale') {
-				relayLater(heartbeat, reception);
+				relay(heartbeat, reception);
 			}
 
 			return reception;
 		},
-		takeRelayed(batch) {
-			receiveRelayed(batch.news);
+		receiveRelayed(batch) {
+			applyRelayed(batch.news);
 
 			for (const [upstream, sequence, age] of batch.refreshed) {
 				// One that is unknown here comes with the list that is fetched when a link opens.
 				const known = table.get(upstream);
 				if (known !== undefined) {
-					receive({...known, sequence, warmupMilliseconds: Math.max(0, known.warmAt - now())}, now() - age);
+					applyHeartbeat({...known, sequence, warmupMilliseconds: Math.max(0, known.warmAt - now())}, now() - age);
 				}
 			}
 		},
 		async catchUp(from) {
 			const answer = await from.call(METHODS.listInstances, {}, FETCH_MILLISECONDS);
-			receiveRelayed(answer.isOk() ? (answer.value as InstanceNews).heard : []);
+			applyRelayed(answer.isOk() ? (answer.value as InstanceChanges).heard : []);
 		},
 		retire({upstream, state}) {
 			const service = table.get(upstream)?.service;
@@ -222,12 +222,12 @@
 			}
 
 			log.info('Instance retired.', {upstream, service, state});
-			saveLater();
+			scheduleSave();
 			onChanged(service);
 		},
-		listCandidates: service => table.list(service).map(instance => toCandidate(instance, silent.has(instance.upstream))),
-		describeAll: () => ({
-			heard: list(),
+		listCandidates: service => table.list(service).map(instance => toCandidate(instance, silentUpstreams.has(instance.upstream))),
+		getSnapshot: () => ({
+			heard: listHeartbeats(),
 			forgotten: [],
 			retirements: retirements.entries().map(([upstream, state]) => ({upstream, state})).toArray(),
 		}),
@@ -239,10 +239,10 @@
 		},
 		countInstances: () => table.listAll().length,
 		loaded,
-		findStart(server) {
+		findLatestStart(server) {
 			const newest = table.findNewest(server);
 			return newest === undefined ? 0 : instances.getLifetime(newest.upstream).startedAt;
 		},
-		teardown: stopLooking,
+		teardown: stopChecking,
 	};
 }
--- a/packages/wagtailroute-fleet/src/ask-wire.ts
+++ b/packages/wagtailroute-fleet/src/slot-request-encoding.ts
@@ -9,38 +9,47 @@
 import type * as dispatch from 'wagtailroute-dispatch';
 import type * as link from 'wagtailroute-link';
 import * as utils from 'wagtailroute-utils';
-import type {AskAnswer} from './messages.ts';
+import type {SlotAnswer} from './messages.ts';
 
 /**
 What all asks of a route have in common.
 */
-export type AskedRoute = Pick<dispatch.Ask, 'service' | 'route' | 'requestClass' | 'priority' | 'objectiveMilliseconds'>;
+export type RouteParameters = Pick<dispatch.Ask, 'service' | 'route' | 'requestClass' | 'priority' | 'objectiveMilliseconds'>;
 
 /**
 A route told to a dispatcher: its number on this link, and what it stands for.
 */
-export type RouteTelling = readonly [number: number, route: AskedRoute];
+export type NumberedRoute = readonly [number: number, route: RouteParameters];
 
 /**
 An organisation told to a dispatcher: its number on this link, and its name.
 */
-export type OrganisationTelling = readonly [number: number, organisation: core.Organisation];
+export type NumberedOrganisation = readonly [number: number, organisation: core.Organisation];
 
 /**
 The numbers of a route and, where the catalogue has organisations, of the caller's.
 */
-export type AskOrigin = number | readonly [route: number, organisation: number];
+export type RouteReference = number | readonly [route: number, organisation: number];
 
 /**
 An ask: its number on the asking host, where it comes from, and the milliseconds until its deadline; for a resend the
 upstreams that had the request; for a caller that has waited, for how many milliseconds; whether another dispatcher was asked before.
 */
-export type ShortAsk = readonly [ask: number, origin: AskOrigin, remaining: number, excluded?: readonly core.UpstreamId[], isResend?: boolean, isMove?: boolean, waited?: number, isAgain?: boolean];
+export type EncodedSlotRequest = readonly [
+	number: number,
+	reference: RouteReference,
+	remaining: number,
+	excluded?: readonly core.UpstreamId[],
+	isResend?: boolean,
+	isMove?: boolean,
+	waited?: number,
+	isAgain?: boolean,
+];
 
 /**
 An answer: a granted upstream and its address, a refusal with the milliseconds until a resend makes sense, "wait", or "elsewhere".
 */
-export type ShortAnswer =
+export type EncodedAnswer =
 	| readonly ['grant', core.UpstreamId, string, number]
 	| readonly ['refuse', dispatch.RefusalReason, number]
 	| readonly ['wait']
@@ -49,58 +58,58 @@
 /**
 The end of a granted request.
 */
-export type ShortEnd = readonly [ask: number, ending: dispatch.Ending, milliseconds: number];
+export type EncodedEnd = readonly [number: number, ending: dispatch.Ending, milliseconds: number];
 
 /**
 What the answer to a granted request advertises about its upstream.
 */
-export type ShortAdvertisements = readonly [ask: number, advertisements: readonly core.Advertisement[]];
+export type EncodedAdvertisements = readonly [number: number, advertisements: readonly core.Advertisement[]];
 
 /**
 Returns the fleet's name of an ask.
 */
-export function createAskId(host: core.HostId, ask: number): dispatch.AskId {
-	return `${host}:${ask}`;
+export function createSlotRequestId(host: core.HostId, number: number): dispatch.AskId {
+	return `${host}:${number}`;
 }
 
 /**
 Returns the number that an ask has on its host.
 */
-export function getAskNumber(id: dispatch.AskId): number {
+export function getSlotRequestNumber(id: dispatch.AskId): number {
 	return Number(id.slice(id.lastIndexOf(':') + 1));
 }
 
 /**
 Numbers what is told once over each link.
 */
-export type LinkNumbers<Item> = {
+export type LinkNumbering<Item> = {
 	/**
 	Returns the number of an item, and whether the other side must be told it first.
 	*/
-	readonly number: (over: link.Link, item: Item) => {readonly number: number; readonly isNew: boolean};
+	readonly assign: (over: link.Link, item: Item) => {readonly number: number; readonly isNew: boolean};
 };
 
 /**
 Creates an empty table of routes. A route that changed has a number of its own.
 */
-export function createRouteNumbers(): LinkNumbers<AskedRoute> {
-	return createLinkNumbers(({service, route, requestClass, priority, objectiveMilliseconds}) =>
+export function createRouteNumbering(): LinkNumbering<RouteParameters> {
+	return createLinkNumbering(({service, route, requestClass, priority, objectiveMilliseconds}) =>
 		`${service} ${route} ${requestClass} ${priority} ${objectiveMilliseconds}`);
 }
 
 /**
 Creates an empty table of organisations.
 */
-export function createOrganisationNumbers(): LinkNumbers<core.Organisation> {
-	return createLinkNumbers(organisation => organisation);
+export function createOrganisationNumbering(): LinkNumbering<core.Organisation> {
+	return createLinkNumbering(organisation => organisation);
 }
 
-function createLinkNumbers<Item>(getKey: (item: Item) => string): LinkNumbers<Item> {
-	const told = new WeakMap<link.Link, Map<string, number>>();
+function createLinkNumbering<Item>(getKey: (item: Item) => string): LinkNumbering<Item> {
+	const numbersByLink = new WeakMap<link.Link, Map<string, number>>();
 	return {
-		number(over, item) {
-			const numbers = told.get(over) ?? new Map<string, number>();
-			told.set(over, numbers);
+		assign(over, item) {
+			const numbers = numbersByLink.get(over) ?? new Map<string, number>();
+			numbersByLink.set(over, numbers);
 			const key = getKey(item);
 			const known = numbers.get(key);
 			if (known !== undefined) {
@@ -117,7 +126,7 @@
 /**
 Returns the part of an ask that all of its route have in common.
 */
-export function getAskedRoute({service, route, requestClass, priority, objectiveMilliseconds}: dispatch.Ask): AskedRoute {
+export function getRouteParameters({service, route, requestClass, priority, objectiveMilliseconds}: dispatch.Ask): RouteParameters {
 	return {
 		service, route, requestClass, priority, objectiveMilliseconds,
 	};
@@ -126,35 +135,35 @@
 /**
 Shortens an ask.
 */
-export function shortenAsk(ask: dispatch.Ask, origin: AskOrigin): ShortAsk {
-	const remaining = Math.floor(ask.remainingMilliseconds);
-	const waited = Math.floor(ask.waitedMilliseconds);
-	const short = [getAskNumber(ask.id), origin, remaining] as const;
-	if (ask.isAgain === true) {
-		return [...short, ask.excluded, ask.isResend, ask.isMove, waited, true];
+export function encodeSlotRequest(request: dispatch.Ask, reference: RouteReference): EncodedSlotRequest {
+	const remaining = Math.floor(request.remainingMilliseconds);
+	const waited = Math.floor(request.waitedMilliseconds);
+	const encoded = [getSlotRequestNumber(request.id), reference, remaining] as const;
+	if (request.isAgain === true) {
+		return [...encoded, request.excluded, request.isResend, request.isMove, waited, true];
 	}
 
-	return ask.isResend || ask.excluded.length > 0 || waited > 0 ? [...short, ask.excluded, ask.isResend, ask.isMove, waited] : short;
+	return request.isResend || request.excluded.length > 0 || waited > 0 ? [...encoded, request.excluded, request.isResend, request.isMove, waited] : encoded;
 }
 
 /**
 Restores an ask.
 */
-export function restoreAsk(
-	[ask, , remainingMilliseconds, excluded = [], isResend = false, isMove = false, waitedMilliseconds = 0, isAgain]: ShortAsk,
+export function decodeSlotRequest(
+	[number, , remainingMilliseconds, excluded = [], isResend = false, isMove = false, waitedMilliseconds = 0, isAgain]: EncodedSlotRequest,
 	from: Pick<dispatch.Ask, 'host' | 'failureDomain' | 'organisation'>,
-	route: AskedRoute,
+	route: RouteParameters,
 ): dispatch.Ask {
 	return {
-		...route, ...from, id: createAskId(from.host, ask), remainingMilliseconds, excluded, isResend, isMove, waitedMilliseconds, ...isAgain === true && {isAgain},
+		...route, ...from, id: createSlotRequestId(from.host, number), remainingMilliseconds, excluded, isResend, isMove, waitedMilliseconds, ...isAgain === true && {isAgain},
 	};
 }
 
-type Shorteners = {
-	readonly [Kind in AskAnswer['kind']]: (answer: Extract<AskAnswer, {kind: Kind}>) => ShortAnswer;
+type AnswerEncoders = {
+	readonly [Kind in SlotAnswer['kind']]: (answer: Extract<SlotAnswer, {kind: Kind}>) => EncodedAnswer;
 };
 
-const SHORTENERS: Shorteners = {
+const ANSWER_ENCODERS: AnswerEncoders = {
 	grant: ({upstream, address, isTrial}) => ['grant', upstream, `${address.ip}:${address.port}`, Number(isTrial)],
 	refuse: ({reason, retryAfterMilliseconds}) => ['refuse', reason, Math.ceil(retryAfterMilliseconds)],
 	wait: () => ['wait'],
@@ -164,14 +173,14 @@
 /**
 Shortens an answer.
 */
-export function shortenAnswer(answer: AskAnswer): ShortAnswer {
-	return SHORTENERS[answer.kind](answer as never);
+export function encodeAnswer(answer: SlotAnswer): EncodedAnswer {
+	return ANSWER_ENCODERS[answer.kind](answer as never);
 }
 
 /**
 Restores an answer.
 */
-export function restoreAnswer(answer: ShortAnswer): AskAnswer {
+export function decodeAnswer(answer: EncodedAnswer): SlotAnswer {
 	if (answer[0] === 'wait' || answer[0] === 'elsewhere') {
 		return {kind: answer[0]};
 	}
--- /dev/null
+++ b/packages/wagtailroute-fleet/src/slot-request-methods.ts
@@ -0,0 +1,118 @@
+/**
+The asks that come over the links of a dispatcher: each link's routes and organisations, and the host at its other end.
+*/
+import type * as core from 'wagtailroute-core';
+import type * as dispatch from 'wagtailroute-dispatch';
+import type * as link from 'wagtailroute-link';
+import {
+	type RouteParameters,
+	createSlotRequestId,
+	type NumberedOrganisation,
+	decodeSlotRequest,
+	type NumberedRoute,
+	type EncodedAdvertisements,
+	type EncodedAnswer,
+	type EncodedSlotRequest,
+	encodeAnswer,
+	type EncodedEnd,
+} from './slot-request-encoding.ts';
+import type {HostDispatcher} from './host-dispatcher.ts';
+import {type HandoverReport, METHODS} from './messages.ts';
+
+/**
+Who asks over a link.
+*/
+export type RequestingHost = {
+	readonly id: core.HostId;
+	readonly failureDomain: core.FailureDomain;
+};
+
+/**
+Creates the methods by which hosts ask. A host that was not greeted, or a route or an organisation that was not told, is a defect of the asking
+host: the call fails, and the host dispatches alone.
+*/
+export function createSlotRequestMethods(
+	dispatcher: HostDispatcher,
+	findHost: (from: link.Link) => RequestingHost | undefined,
+): Readonly<Record<string, link.LinkMethod>> {
+	const routes = createLinkItems<RouteParameters>();
+	const organisations = createLinkItems<core.Organisation>();
+
+	const getHost = (from: link.Link) => {
+		const asker = findHost(from);
+		if (asker === undefined) {
+			throw new UnknownRequestingHost();
+		}
+
+		return asker;
+	};
+
+	const decode = (request: EncodedSlotRequest, from: link.Link): dispatch.Ask => {
+		const {id, failureDomain} = getHost(from);
+		const [, reference] = request;
+		const [routeNumber, organisationNumber] = typeof reference === 'number' ? [reference, undefined] : reference;
+		const route = routes.get(from, routeNumber);
+		const organisation = organisationNumber === undefined ? undefined : organisations.get(from, organisationNumber);
+		if (route === undefined || (organisation === undefined && organisationNumber !== undefined)) {
+			throw new UnknownRouteReference();
+		}
+
+		return decodeSlotRequest(request, {host: id, failureDomain, ...organisation !== undefined && {organisation}}, route);
+	};
+
+	return {
+		[METHODS.route]([number, route]: NumberedRoute, from: link.Link) {
+			routes.set(from, number, route);
+		},
+		[METHODS.organisation]([number, organisation]: NumberedOrganisation, from: link.Link) {
+			organisations.set(from, number, organisation);
+		},
+		[METHODS.ask]: (request: EncodedSlotRequest, from: link.Link): EncodedAnswer => encodeAnswer(dispatcher.requestSlot(decode(request, from))),
+		[METHODS.cancel]([number]: readonly [number], from: link.Link) {
+			dispatcher.cancel(createSlotRequestId(getHost(from).id, number));
+		},
+		[METHODS.end]([number, ending, milliseconds]: EncodedEnd, from: link.Link) {
+			dispatcher.end({id: createSlotRequestId(getHost(from).id, number), ending, milliseconds});
+		},
+		[METHODS.advertised]([number, advertisements]: EncodedAdvertisements, from: link.Link) {
+			dispatcher.recordAdvertisements(createSlotRequestId(getHost(from).id, number), advertisements);
+		},
+		[METHODS.hold](holding: HandoverReport, from: link.Link) {
+			dispatcher.applyHandover(getHost(from).id, holding);
+		},
+	};
+}
+
+/**
+The other side was not greeted.
+*/
+class UnknownRequestingHost extends Error {
+	override readonly name = 'UnknownRequestingHost';
+}
+
+/**
+The route or the organisation was not told over this link.
+*/
+class UnknownRouteReference extends Error {
+	override readonly name = 'UnknownRouteReference';
+}
+
+/**
+What was told over each link, by number.
+*/
+type LinkItems<Item> = {
+	readonly get: (from: link.Link, number: number) => Item | undefined;
+	readonly set: (from: link.Link, number: number, item: Item) => void;
+};
+
+function createLinkItems<Item>(): LinkItems<Item> {
+	const itemsByLink = new WeakMap<link.Link, Map<number, Item>>();
+	return {
+		get: (from, number) => itemsByLink.get(from)?.get(number),
+		set(from, number, item) {
+			const items = itemsByLink.get(from) ?? new Map<number, Item>();
+			itemsByLink.set(from, items);
+			items.set(number, item);
+		},
+	};
+}
--- a/packages/wagtailroute-lab/src/fleet.ts
+++ b/packages/wagtailroute-lab/src/fleet.ts
@@ -81,7 +81,7 @@
 
 const MESSAGE_HANDLERS: Readonly<Record<string, MessageHandler>> = {
 	[fleet.METHODS.believe]({dispatching}, belief) {
-		dispatching.hearBelief(belief as fleet.Belief);
+		dispatching.applyBelief(belief as fleet.Belief);
 	},
 	[fleet.METHODS.updates]({dispatching}, updates) {
 		dispatching.applyUpdates(updates as fleet.ServiceUpdates);
@@ -156,11 +156,11 @@
 
 	refresh(service: core.ServiceName): void {
 		for (const {dispatching} of this.#controls) {
-			dispatching.refresh(service);
+			dispatching.refreshCandidates(service);
 		}
 
 		for (const {own} of this.#entries) {
-			own.refresh(service);
+			own.refreshCandidates(service);
 		}
 	}
 
@@ -217,7 +217,7 @@
 		this.#plan.clock.schedule(milliseconds + START_MILLISECONDS, () => {
 			this.#start();
 			for (const {dispatching} of this.#controls) {
-				dispatching.hearBeliefs(kept);
+				dispatching.mergeBeliefs(kept);
 			}
 		});
 	}
@@ -267,7 +267,7 @@
 		const control = this.#createControl(index);
 		this.#controls[index] = control;
 		const neighbour = this.#controls.find(({endpoint, id}) => endpoint.state === 'up' && id !== control.id);
-		control.dispatching.hearBeliefs(neighbour?.dispatching.listBeliefs() ?? []);
+		control.dispatching.mergeBeliefs(neighbour?.dispatching.listBeliefs() ?? []);
 		for (const entry of this.#entries) {
 			const place = entry.controls.findIndex(({host}) => host.id === control.id);
 			const [old] = entry.controls.splice(place, place === -1 ? 0 : 1);
@@ -288,7 +288,7 @@
 			}
 
 			this.#connect(entry, control);
-			control.dispatching.hearBeliefs(entry.askers.count() > 0 ? entry.own.listBeliefs() : []);
+			control.dispatching.mergeBeliefs(entry.askers.count() > 0 ? entry.own.listBeliefs() : []);
 		};
 
 		if (scenario.reconnectSeconds === 0) {
@@ -421,7 +421,7 @@
 			settings: {budget: {...scenario.budget, extra}, floor: scenario.floor, policy: variant.policy},
 			allotting,
 			requestShare,
-			isTold,
+			isReceivingUpdates: isTold,
 			listCandidates,
 			listStandbys,
 			notify(host, method, parameters) {
@@ -432,7 +432,7 @@
 					over?.notify(method, parameters);
 				}
 			},
-			tellControls(method, parameters) {
+			notifyControls(method, parameters) {
 				tellControls({method, parameters});
 			},
 		});
@@ -501,10 +501,10 @@
 			[fleet.METHODS.answer]([ask, answer]: [number, fleet.ShortAnswer]) {
 				asking.hearAnswer(ask, answer);
 			},
-			[fleet.METHODS.believe]: own.hearBelief,
+			[fleet.METHODS.believe]: own.applyBelief,
 			[fleet.METHODS.updates]: own.applyUpdates,
 			[fleet.METHODS.use]: allotting.hearUse,
-			[fleet.METHODS.beliefNews]: own.hearBeliefNews,
+			[fleet.METHODS.beliefNews]: own.applyBeliefs,
 			...fleet.createAskMethods(own, askers.findByLink),
 		});
 		const {promise, resolve} = Promise.withResolvers<'left'>();
