--- a/packages/wagtailroute-fleet/src/__tests__/unit/belief-store.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/belief-store.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of what is held against upstreams over a restart.
+Tests of beliefs that outlast a restart.
 */
 import * as files from 'node:fs/promises';
 import * as os from 'node:os';
@@ -15,18 +15,18 @@
 
 const AGES = [
 	{
-		name: 'at once', later: 1500, beliefs: BELIEFS, age: 1500,
+		name: 'all when they are recent', later: 1500, beliefs: BELIEFS, age: 1500,
 	},
 	{
-		name: 'after the time of day has jumped back', later: -60_000, beliefs: BELIEFS, age: 0,
+		name: 'all when the time of day has jumped back', later: -60_000, beliefs: BELIEFS, age: 0,
 	},
 	{
-		name: 'not when they are of no use any more', later: MAX_BELIEFS_AGE_MILLISECONDS + 1, beliefs: [], age: 0,
+		name: 'none when they are too old', later: MAX_BELIEFS_AGE_MILLISECONDS + 1, beliefs: [], age: 0,
 	},
 ];
 
 for (const {name, later, beliefs, age} of AGES) {
-	test(`beliefs are taken up after a restart: ${name}`, async t => {
+	test(`beliefs are loaded after a restart: ${name}`, async t => {
 		const folder = await files.mkdtemp(path.join(os.tmpdir(), 'beliefs-'));
 		const log = fixture.createFakeContext().logs('beliefs');
 		await createBeliefStore(folder, log, {getTimeOfDay: () => SAVED_AT}).load();
@@ -39,7 +39,7 @@
 const DAMAGED = ['', '{"savedAt": 1, "bel', 'null', '{"savedAt": "now", "beliefs": []}', '{"savedAt": 1, "beliefs": [{"service": 1}]}'];
 
 for (const text of DAMAGED) {
-	test(`a file that holds ${JSON.stringify(text)} is passed over`, async t => {
+	test(`a file that holds ${JSON.stringify(text)} is ignored`, async t => {
 		const folder = await files.mkdtemp(path.join(os.tmpdir(), 'beliefs-'));
 		await files.writeFile(path.join(folder, 'beliefs.json'), text);
 		const loaded = await createBeliefStore(folder, fixture.createFakeContext().logs('beliefs'), {getTimeOfDay: () => SAVED_AT}).load();
@@ -48,12 +48,11 @@
 	});
 }
 
-test('a dispatcher that is told what another one held sends nothing there that may not be repeated', t => {
-	// Symptom: right after a restart of everything, requests that must not run twice are lost on upstreams that were suspended before.
-	// Sequence: all processes are killed; a bad spell goes on; the new dispatcher knows of no failure.
-	// Cause: suspensions lived in the memory of the dispatcher alone.
+test('a dispatcher with merged beliefs sends no request that must not run twice to a suspended upstream', t => {
+	// Guards against suspensions that only the dispatcher's memory holds: after a restart of the whole fleet, requests that must not
+	// run twice were lost on upstreams that were suspended before and still failed.
 	const context = fixture.createFakeContext();
-	const dispatching = startHostDispatcher(context, {
+	const dispatcher = startHostDispatcher(context, {
 		...fixture.ONLY_DISPATCHER,
 		settings: {budget: {ratio: 0.2, extra: 2, windowMilliseconds: 10_000}, floor: 0},
 		listCandidates: () => ['u', 'v'].map(upstream => ({
@@ -63,9 +62,9 @@
 		notify: () => undefined,
 		notifyControls: () => undefined,
 	});
-	dispatching.mergeBeliefs([...BELIEFS, {service: 'archive', upstream: 'v', doubt: 3.2}], 1500);
-	t.deepEqual(dispatching.listUpstreamReports('archive').map(({upstream, isSuspended}) => [upstream, isSuspended]), [['u', true], ['v', false]]);
-	t.like(dispatching.requestSlot({
+	dispatcher.mergeBeliefs([...BELIEFS, {service: 'archive', upstream: 'v', doubt: 3.2}], 1500);
+	t.deepEqual(dispatcher.listUpstreamReports('archive').map(({upstream, isSuspended}) => [upstream, isSuspended]), [['u', true], ['v', false]]);
+	t.like(dispatcher.requestSlot({
 		...fixture.ASK_DRAFT, id: 'front:1', host: 'front', failureDomain: 'x',
 	}), {kind: 'grant', upstream: 'v'});
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/directory.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/directory.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of the directory: what a control host tells entry hosts, and what these answer.
+Tests of the directory: what a control host publishes to entry hosts, and what these answer.
 */
 import test from 'ava';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -16,21 +16,21 @@
 
 const CASES = [
 	{
-		name: 'those of its failure domain', table: TABLE, domain: 'a', host: 'x.example', addresses: ['10.0.0.1:80', '10.0.0.2:80'],
+		name: 'the addresses of its failure domain', table: TABLE, domain: 'a', host: 'x.example', addresses: ['10.0.0.1:80', '10.0.0.2:80'],
 	},
 	{
-		name: 'those of another one for its uploads', table: TABLE, domain: 'a', host: 'Scans.example', addresses: ['10.0.1.1:80'],
+		name: 'the addresses of another failure domain where a detour leads there', table: TABLE, domain: 'a', host: 'Scans.example', addresses: ['10.0.1.1:80'],
 	},
 	{
-		name: 'all when its failure domain has none', table: TABLE, domain: 'c', host: 'x.example', addresses: ['10.0.0.1:80', '10.0.0.2:80', '10.0.1.1:80'],
+		name: 'all addresses when its failure domain has none', table: TABLE, domain: 'c', host: 'x.example', addresses: ['10.0.0.1:80', '10.0.0.2:80', '10.0.1.1:80'],
 	},
 	{
-		name: 'none before any table was told', table: EMPTY_DIRECTORY_TABLE, domain: 'a', host: 'x.example', addresses: [],
+		name: 'no address before a table was received', table: EMPTY_DIRECTORY_TABLE, domain: 'a', host: 'x.example', addresses: [],
 	},
 ];
 
 for (const {name, table, domain, host, addresses} of CASES) {
-	test(`a caller is told ${name}`, t => {
+	test(`a caller is answered ${name}`, t => {
 		t.deepEqual(lookUpAddresses(table, domain, host), addresses);
 	});
 }
@@ -44,7 +44,7 @@
 	},
 };
 
-test('entry hosts of the own failure domain are told what the directory answers, once for each change', async t => {
+test('the table is published to entry hosts of the same failure domain, once for each change', async t => {
 	const context = fixture.createFakeContext();
 	const entries = createEntryHosts('a', context.now);
 	const links = new Map(['a', 'b'].map(domain => [domain, fixture.createFakeLink(() => undefined)]));
--- a/packages/wagtailroute-fleet/src/__tests__/unit/host-dispatcher.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/host-dispatcher.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of what a dispatcher tells the hosts around it.
+Tests of what the dispatcher of a host sends to other hosts.
 */
 import test from 'ava';
 import type * as core from 'wagtailroute-core';
@@ -7,10 +7,10 @@
 import {type Belief, METHODS, type ServiceUpdates} from '../../messages.ts';
 import * as fixture from './fixture.ts';
 
-type Told = {readonly host: core.HostId; readonly method: string; readonly parameters: unknown};
+type Sent = {readonly host: core.HostId; readonly method: string; readonly parameters: unknown};
 
 const UPSTREAMS = ['u1', 'u2', 'u3', 'u4', 'u5', 'u6'];
-const ASKERS = Array.from({length: 40}, (_, index) => `front-${index}`);
+const HOSTS = Array.from({length: 40}, (_, index) => `front-${index}`);
 
 /**
 Resets of one upstream in a row that suspend it.
@@ -19,8 +19,8 @@
 
 function setUp() {
 	const context = fixture.createFakeContext();
-	const told: Told[] = [];
-	const dispatching = startHostDispatcher(context, {
+	const sent: Sent[] = [];
+	const dispatcher = startHostDispatcher(context, {
 		...fixture.ONLY_DISPATCHER,
 		settings: {budget: {ratio: 0.2, extra: 2, windowMilliseconds: 10_000}, floor: 0},
 		listCandidates: () => UPSTREAMS.map((upstream, index) => ({
@@ -34,73 +34,72 @@
 		})),
 		listStandbys: () => ['front-1'],
 		notify(host, method, parameters) {
-			told.push({host, method, parameters});
+			sent.push({host, method, parameters});
 		},
 		notifyControls: () => undefined,
 	});
 	let count = 0;
 	/**
-	Each host asks; what is sent to the upstreams named is reset.
+	Requests a slot from each host; requests at the failing upstreams are reset.
 	*/
-	const play = (sick: ReadonlySet<string>) => {
-		for (const host of ASKERS) {
+	const requestSlots = (failing: ReadonlySet<string>) => {
+		for (const host of HOSTS) {
 			count++;
 			const id = `${host}:${count}`;
-			const answer = dispatching.requestSlot({
+			const answer = dispatcher.requestSlot({
 				...fixture.ASK_DRAFT, id, host, failureDomain: 'x',
 			});
 			if (answer.kind === 'grant') {
-				dispatching.end({id, ending: sick.has(answer.upstream) ? 'reset' : 'success', milliseconds: 20});
+				dispatcher.end({id, ending: failing.has(answer.upstream) ? 'reset' : 'success', milliseconds: 20});
 			}
 		}
 	};
 
-	const listTold = (method: string) => told.filter(message => message.method === method);
+	const listSent = (method: string) => sent.filter(message => message.method === method);
 	return {
-		context, dispatching, play, listTold,
+		context, dispatcher, requestSlots, listSent,
 	};
 }
 
 /**
-Symptom: in a fleet of hundreds of hosts, dispatchers and entry hosts spend most of their processor time on telling each other of
-suspensions. Sequence: a third of the upstreams have bad spells; each suspension and readmission goes to every host that asked lately.
-Cause: one message a host and change, though only standbys need a suspension at once.
+Guards against one message for each host and suspension: with hundreds of hosts and a third of the upstreams failing now and then, dispatchers and
+entry hosts spent most of their processor time on such messages, though only standbys need a suspension at once.
 */
-test('askers are told of suspensions together, standbys at once', async t => {
-	const {context, dispatching, play, listTold} = setUp();
+test('requesting hosts receive suspensions in batches, standbys at once', async t => {
+	const {context, dispatcher, requestSlots, listSent} = setUp();
 	for (let round = 0; round < RESETS; round++) {
-		play(new Set(['u1', 'u2']));
+		requestSlots(new Set(['u1', 'u2']));
 	}
 
-	const suspended = dispatching.listUpstreamReports('archive').filter(({isSuspended}) => isSuspended).map(({upstream}) => upstream);
+	const suspended = dispatcher.listUpstreamReports('archive').filter(({isSuspended}) => isSuspended).map(({upstream}) => upstream);
 	t.deepEqual(suspended, ['u1', 'u2']);
-	t.true(listTold(METHODS.believe).length >= suspended.length);
-	t.true(listTold(METHODS.believe).every(({host}) => host === 'front-1'));
-	t.deepEqual(listTold(METHODS.beliefNews), []);
+	t.true(listSent(METHODS.believe).length >= suspended.length);
+	t.true(listSent(METHODS.believe).every(({host}) => host === 'front-1'));
+	t.deepEqual(listSent(METHODS.beliefNews), []);
 	await context.pass(1000);
-	const news = listTold(METHODS.beliefNews);
-	t.is(news.length, ASKERS.length - 1);
+	const news = listSent(METHODS.beliefNews);
+	t.is(news.length, HOSTS.length - 1);
 	t.false(news.some(({host}) => host === 'front-1'));
 	t.deepEqual((news[0]!.parameters as Belief[]).map(({upstream}) => upstream).toSorted(), suspended);
 });
 
-test('a host that takes the news holds the same against the upstreams', async t => {
-	const {context, play, listTold} = setUp();
+test('a host that applies the received beliefs has the same doubts about the upstreams', async t => {
+	const {context, requestSlots, listSent} = setUp();
 	for (let round = 0; round < RESETS; round++) {
-		play(new Set(['u1']));
+		requestSlots(new Set(['u1']));
 	}
 
 	await context.pass(1000);
 	const other = setUp();
-	other.dispatching.applyBeliefs(listTold(METHODS.beliefNews)[0]!.parameters as Belief[]);
-	t.deepEqual(other.dispatching.listUpstreamReports('archive').filter(({isSuspended}) => isSuspended).map(({upstream}) => upstream), ['u1']);
+	other.dispatcher.applyBeliefs(listSent(METHODS.beliefNews)[0]!.parameters as Belief[]);
+	t.deepEqual(other.dispatcher.listUpstreamReports('archive').filter(({isSuspended}) => isSuspended).map(({upstream}) => upstream), ['u1']);
 });
 
 test('other dispatchers receive a rate limit when it is new, changed and lifted, and the grants while it is shared', async t => {
-	const {context, dispatching, listTold} = setUp();
-	const ask = async (id: string) => {
+	const {context, dispatcher, listSent} = setUp();
+	const requestSlot = async (id: string) => {
 		await context.pass(1000);
-		const answer = dispatching.requestSlot({
+		const answer = dispatcher.requestSlot({
 			...fixture.ASK_DRAFT, id, host: 'front-1', failureDomain: 'x', excluded: UPSTREAMS.slice(1),
 		});
 		t.is(answer.kind, 'grant');
@@ -108,21 +107,21 @@
 
 	const end = async (id: string) => {
 		await context.pass(10);
-		dispatching.end({id, ending: 'success', milliseconds: 10});
+		dispatcher.end({id, ending: 'success', milliseconds: 10});
 		await context.pass(200);
 	};
 
-	const getLast = () => listTold(METHODS.updates).map(({host, parameters}) => ({host, ...parameters as ServiceUpdates})).at(-1);
-	await ask('front-1:1');
-	dispatching.recordAdvertisements('front-1:1', [{kind: 'rate-limit', ratePerSecond: 2}]);
+	const getLast = () => listSent(METHODS.updates).map(({host, parameters}) => ({host, ...parameters as ServiceUpdates})).at(-1);
+	await requestSlot('front-1:1');
+	dispatcher.recordAdvertisements('front-1:1', [{kind: 'rate-limit', ratePerSecond: 2}]);
 	await end('front-1:1');
 	t.like(getLast(), {host: 'front-1', service: 'archive', updates: [{upstream: 'u1', ratePerSecond: 2, granted: 0}]});
-	await ask('front-1:2');
-	dispatching.recordAdvertisements('front-1:2', [{kind: 'rate-limit', ratePerSecond: 3}]);
+	await requestSlot('front-1:2');
+	dispatcher.recordAdvertisements('front-1:2', [{kind: 'rate-limit', ratePerSecond: 3}]);
 	await end('front-1:2');
 	t.like(getLast(), {updates: [{upstream: 'u1', ratePerSecond: 3, granted: 1}]});
-	await ask('front-1:3');
+	await requestSlot('front-1:3');
 	await end('front-1:3');
 	t.like(getLast(), {updates: [{upstream: 'u1', ratePerSecond: null}]});
-	t.is(dispatching.listUpstreamReports('archive')[0]?.rateLimit, undefined);
+	t.is(dispatcher.listUpstreamReports('archive')[0]?.rateLimit, undefined);
 });
--- a/packages/wagtailroute-fleet/src/__tests__/unit/registry.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/registry.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of the registry of a control host: what it tells, what it keeps, and what does not come back.
+Tests of the registry of a control host: what it relays, what it saves, and what a restart must not bring back.
 */
 import test from 'ava';
 import type * as instances from 'wagtailroute-instances';
@@ -15,13 +15,13 @@
 type Setup = {
 	readonly context: fixture.FakeContext;
 	readonly registry: InstanceRegistry;
-	readonly told: HeartbeatBatch[];
+	readonly relayed: HeartbeatBatch[];
 	readonly saved: Array<readonly instances.Heartbeat[]>;
 };
 
 function setUp(kept: readonly instances.Heartbeat[] = []): Setup {
 	const context = fixture.createFakeContext();
-	const told: HeartbeatBatch[] = [];
+	const relayed: HeartbeatBatch[] = [];
 	const saved: Array<readonly instances.Heartbeat[]> = [];
 	const store: InstanceStore = {
 		load: async () => kept,
@@ -31,43 +31,42 @@
 	};
 	const registry = startInstanceRegistry(context, {
 		notifyControls(_method, parameters) {
-			told.push(parameters as HeartbeatBatch);
+			relayed.push(parameters as HeartbeatBatch);
 		},
 		onChanged: () => undefined,
 		store,
 	});
 	return {
-		context, registry, told, saved,
+		context, registry, relayed, saved,
 	};
 }
 
 const listNames = (registry: InstanceRegistry) => registry.listCandidates('archive').map(({upstream}) => upstream);
 
-test('news are told at once and whole, what changes nothing later and short', async t => {
-	const {context, registry, told} = setUp();
+test('a heartbeat that changes something is relayed at once with its content, others later with their time only', async t => {
+	const {context, registry, relayed} = setUp();
 	registry.receiveHeartbeat(HEARTBEAT);
 	registry.receiveHeartbeat({...HEARTBEAT, sequence: 2});
-	t.deepEqual(told, [{news: [{...HEARTBEAT, ageMilliseconds: 0}], refreshed: []}]);
+	t.deepEqual(relayed, [{news: [{...HEARTBEAT, ageMilliseconds: 0}], refreshed: []}]);
 	await context.pass(500);
-	t.deepEqual(told.at(-1), {news: [], refreshed: [['u', 2, 0]]});
+	t.deepEqual(relayed.at(-1), {news: [], refreshed: [['u', 2, 0]]});
 });
 
-test('what another control host heard counts here', t => {
+test('heartbeats that another control host relays are applied', t => {
 	const {registry} = setUp();
 	registry.receiveRelayed({news: [{...HEARTBEAT, ageMilliseconds: 20}], refreshed: [['unknown', 3, 0]]});
 	t.deepEqual(listNames(registry), ['u']);
 });
 
-test('instances are there again after a restart', async t => {
+test('stored instances are candidates after a restart', async t => {
 	const {context, registry} = setUp([HEARTBEAT]);
 	await context.pass(1);
 	t.deepEqual(listNames(registry), ['u']);
 });
 
-test('one that was acknowledged as draining is not kept as serving', async t => {
-	// Symptom: after a restart of a control host, an upstream that drains gets requests for a moment.
-	// Sequence: it is heard and kept on disk; it is retired; the host restarts and reads the list before it hears the group.
-	// Cause: the list was only written anew when an instance came.
+test('an instance whose draining was acknowledged is not saved as serving', async t => {
+	// Guards against a file that is rewritten only when an instance is new: a control host that restarted after an upstream's retirement
+	// loaded it from the file as serving, and sent it requests until it received the retirement from the group.
 	const {context, registry, saved} = setUp();
 	registry.receiveHeartbeat(HEARTBEAT);
 	await context.pass(1000);
@@ -77,7 +76,7 @@
 	t.true(registry.listCandidates('archive')[0]?.isDraining);
 });
 
-test('a follower is told of changes and given everything at first', t => {
+test('a follower receives all instances at first and changes afterwards', t => {
 	const {registry} = setUp();
 	const follower = fixture.createFakeLink(() => undefined);
 	registry.receiveHeartbeat(HEARTBEAT);
@@ -89,7 +88,7 @@
 	t.deepEqual((follower.notified[0]?.[1] as InstanceChanges).heard.map(({upstream}) => upstream), ['v']);
 });
 
-test('an upstream that was silent and is heard again may be tried again', async t => {
+test('an upstream whose heartbeats resume may be tried again', async t => {
 	const {context, registry} = setUp();
 	registry.receiveHeartbeat(HEARTBEAT);
 	await context.pass(5000);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/slot-request-encoding.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/slot-request-encoding.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of the short form of asks and answers: what is shortened comes back the same.
+Tests of the encoding of slot requests and answers: decoding returns what was encoded.
 */
 import test from 'ava';
 import * as fc from 'fast-check';
@@ -25,7 +25,7 @@
 	},
 ] as const;
 
-test('an ask comes back the same', t => {
+test('a slot request is decoded as it was encoded', t => {
 	fc.assert(fc.property(fc.nat(), fc.nat({max: 100_000}), fc.array(fc.string()), fc.constantFrom(...SENDS), (number, remainingMilliseconds, excluded, send) => {
 		const ask = {
 			...ROUTE, ...FROM, id: wire.createSlotRequestId(FROM.host, number), remainingMilliseconds, excluded, ...send,
@@ -34,7 +34,7 @@
 	}));
 });
 
-test('the organisation of an ask comes back from its number', t => {
+test('the organisation of a slot request is encoded as its number', t => {
 	const numbers = wire.createOrganisationNumbering();
 	const [over] = [{}] as [link.Link];
 	t.deepEqual(numbers.assign(over, 'parish'), {number: 0, isNew: true});
@@ -61,12 +61,12 @@
 ];
 
 for (const answer of ANSWERS) {
-	test(`the answer ${JSON.stringify(answer)} comes back the same`, t => {
+	test(`the answer ${JSON.stringify(answer)} is decoded as it was encoded`, t => {
 		t.deepEqual(wire.decodeAnswer(structuredClone(wire.encodeAnswer(answer))), answer);
 	});
 }
 
-test('a route is told once over a link, and again when it has changed', t => {
+test('a route is announced once over a link, and again when it has changed', t => {
 	const numbers = wire.createRouteNumbering();
 	// Only its identity counts.
 	const [over, other] = [{}, {}] as [link.Link, link.Link];
--- a/packages/wagtailroute-fleet/src/asking.ts
+++ b/packages/wagtailroute-fleet/src/asking.ts
@@ -112,7 +112,7 @@
 	/**
 	The dispatcher of this host. What it decides later comes to `hearAnswer`.
 	*/
-	readonly own: Pick<HostDispatcher, 'requestSlot' | 'cancel' | 'end' | 'recordAdvertisements' | 'applyUpdates' | 'applyPastUses'>;
+	readonly own: Pick<HostDispatcher, 'requestSlot' | 'cancel' | 'end' | 'recordAdvertisements' | 'applyUpdates' | 'applyPastUsage'>;
 	readonly isRetired: (upstream: core.UpstreamId) => boolean;
 	/**
 	Returns the milliseconds for which messages may wait behind large bodies on this host's own link.
@@ -395,7 +395,7 @@
 		this.#plan.own.applyUpdates({service: ask.service, updates: this.#advertisements.list(ask.service)});
 		const uses = this.#recentUses.takeUntold(this.#plan.own);
 		if (uses !== undefined) {
-			this.#plan.own.applyPastUses(this.#plan.settings.hostId, uses);
+			this.#plan.own.applyPastUsage(this.#plan.settings.hostId, uses);
 		}
 
 		const answer = this.#plan.own.requestSlot({...ask, remainingMilliseconds});
--- a/packages/wagtailroute-fleet/src/belief-store.ts
+++ b/packages/wagtailroute-fleet/src/belief-store.ts
@@ -1,9 +1,8 @@
 /**
-What a control host holds against upstreams, kept on its disk.
+The beliefs of a control host, that is its doubts about upstreams, stored on its disk.
 
-What goes wrong without it: all processes are killed at once while a third of the upstreams hangs; the new ones know of none, send the whole
-crowd that comes back there, and every slot is taken by a request that will never end. A bad spell that lasts through the restart would be
-paid for twice.
+Without the file, suspensions are lost when all processes are killed at once. If a third of the upstreams hangs then, the new processes send the
+returning requests there too, and every slot is taken by a request that never ends: one failure that lasts through the restart does its damage twice.
 */
 import type * as replication from 'wagtailroute-replication';
 import type * as telemetry from 'wagtailroute-telemetry';
@@ -13,19 +12,22 @@
 import type {Belief} from './messages.ts';
 
 /**
-Keeps beliefs.
+The file of beliefs.
 */
 export type BeliefStore = {
 	/**
-	Returns what was kept, with how old it is. None when that is more than what a bad spell lasts.
+	Returns the beliefs that were saved last, with their age; none when they are too old, or there is no file that can be read.
 	*/
 	readonly load: () => Promise<{readonly beliefs: readonly Belief[]; readonly ageMilliseconds: number}>;
+	/**
+	Replaces the file. A failure is only logged.
+	*/
 	readonly save: (beliefs: readonly Belief[]) => Promise<void>;
 };
 
 const documentSchema = zod.object({
 	/**
-	Unix milliseconds. The time of day may have jumped since: it only says whether the rest is of any use.
+	Unix milliseconds. The time of day may have jumped since then, so it serves only to estimate the age of the beliefs.
 	*/
 	savedAt: zod.number(),
 	beliefs: zod.array(zod.object({service: zod.string(), upstream: zod.string(), doubt: zod.number().min(0)})),
@@ -34,7 +36,7 @@
 /**
 Creates the store in a folder.
 
-@param getTimeOfDay Unix milliseconds.
+@param getTimeOfDay Returns Unix milliseconds.
 */
 export function createBeliefStore(
 	folder: string,
--- a/packages/wagtailroute-fleet/src/candidates.ts
+++ b/packages/wagtailroute-fleet/src/candidates.ts
@@ -1,13 +1,13 @@
 /**
-Instances as a dispatcher takes them.
+Instances in the form that a dispatcher reads.
 */
 import type * as dispatch from 'wagtailroute-dispatch';
 import type * as instances from 'wagtailroute-instances';
 
 /**
-Describes an instance for a dispatcher.
+Converts an instance.
 
-@param isSilent It was not heard for several heartbeats.
+@param isSilent Whether several of its heartbeats were missed.
 */
 export function toCandidate(instance: instances.Instance, isSilent: boolean): dispatch.Candidate {
 	const {
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -43,12 +43,12 @@
 export const STANDBYS_MOST = 6;
 
 /**
-Standbys of a service that are told what its dispatcher believes: the first, and the next for when that one is lost too.
+Standbys of a service that receive its dispatcher's updates: the first, and a second for when the first is lost too.
 */
 export const STANDBYS_PER_SERVICE = 2;
 
 /**
-Milliseconds for which changes of the entry hosts are collected before the standbys are told anew.
+Milliseconds for which changes of the entry hosts are batched before the standbys are chosen again and published.
 */
 export const STANDBYS_BATCH_MILLISECONDS = 300;
 
@@ -80,12 +80,12 @@
 export const SILENT_DISPATCHER_MILLISECONDS = 5500;
 
 /**
-Milliseconds between two looks of a dispatcher for asks that can no longer be served and places that were abandoned.
+Milliseconds between two checks of a dispatcher for requests that can no longer be granted a slot in time and granted slots that were abandoned.
 */
 export const DISPATCH_TICK_MILLISECONDS = 50;
 
 /**
-Milliseconds for which heartbeats that change nothing are collected before the other control hosts are told.
+Milliseconds for which heartbeats that change nothing are batched before they are relayed to the other control hosts.
 */
 export const RELAY_BATCH_MILLISECONDS = 500;
 
@@ -148,55 +148,55 @@
 export const PROPOSE_AGAIN_MILLISECONDS = 60;
 
 /**
-Milliseconds between two steps of the leader towards the wanted members of the group.
+Milliseconds between two steps by which the leader of the control group adapts its members to the control hosts that run.
 */
 export const RECONCILE_INTERVAL_MILLISECONDS = 300;
 
 /**
-Milliseconds after which a control host that is gone is replaced by another one that runs. Longer than a restart of a process.
+Milliseconds without a link to a member's host after which another control host replaces it in the group. Longer than a restart of a process.
 */
 export const REPLACE_MEMBER_DELAY_MILLISECONDS = 2500;
 
 /**
-Voters of the group at most: two may be lost at once.
+Largest number of voters in the control group: with 5, two may be lost at once.
 */
 export const MAX_VOTERS = 5;
 
 /**
-Largest command of the group in bytes of JSON: a catalogue of 46,000 routes with its document takes 23 MB, and a message between hosts 33 MB
-at most.
+Largest command of the control group in bytes of JSON: a catalogue of 46,000 routes with its document takes 23 MB, and a message between hosts may
+take 33 MB.
 */
 export const MAX_COMMAND_BYTES = 29_360_128;
 
 /**
-Milliseconds before a group whose store failed is opened again: a full disk lasts for seconds.
+Milliseconds before a replica whose store failed is opened again: a full disk lasts for seconds.
 */
 export const REOPEN_DELAY_MILLISECONDS = 1000;
 
 /**
-Seconds for which callers keep the directory's answer. Short, so that they leave a host that stops while it still serves.
+Seconds for which callers may cache the directory's answer. Short, so that they turn away from a stopping host while it still serves.
 */
 export const ADDRESS_TTL_SECONDS = 2;
 
 /**
-Entry hosts of a failure domain that the directory names at least: one may be frozen and another one stopping.
+Smallest number of entry hosts that the directory names in a failure domain: one may be frozen and another one stopping.
 */
 export const MIN_DIRECTORY_ADDRESSES = 3;
 
 /**
-The same at most: what callers take from an answer.
+Largest number of entry hosts that the directory names in a failure domain: callers read no more from an answer.
 */
 export const MAX_DIRECTORY_ADDRESSES = 64;
 
 /**
-Milliseconds between two looks whether what the directory answers has changed. Entry hosts are told at once then: callers keep an answer for
-two seconds, so a tenth more is little.
+Milliseconds between two computations of the directory's table, which is published at once when it has changed. Callers cache an answer for
+two seconds, so a tenth of that matters little.
 */
 export const DIRECTORY_INTERVAL_MILLISECONDS = 200;
 
 /**
-Load of an entry host that is aimed at, as a part of its processor or link: with twice as much in a burst nothing waits yet. Lower, and more
-hosts share the same requests: each runs colder code and opens more connections, which cost a third more processor time.
+Target load of an entry host, as a part of its processor or link: a burst of twice as much causes no queueing yet. With a lower target, more
+hosts share the same requests: each runs colder code and opens more connections, which costs a third more processor time.
 */
 export const TARGET_LOAD = 0.4;
 
@@ -207,7 +207,7 @@
 export const LINK_LOAD_FACTOR = 4;
 
 /**
-Milliseconds in which the number of entry hosts that the directory names shrinks to half, when less are needed.
+Milliseconds in which the number of entry hosts that the directory names shrinks to half, when fewer are needed.
 */
 export const DIRECTORY_HALF_LIFE_MILLISECONDS = 5000;
 
@@ -291,14 +291,14 @@
 export const ASKER_MILLISECONDS = 10_000;
 
 /**
-Milliseconds for which suspensions and readmissions are collected before hosts that ask are told. They need them only to dispatch on their
-own, which the standbys, who are told at once, do before them. In a fleet of 277 hosts before 420 upstreams, of which 14 a second are
-suspended and as many readmitted, told at once they are 8,000 messages a second.
+Milliseconds for which suspensions and readmissions are batched before they are sent to the hosts that request slots. These need them only to
+dispatch on their own, which the standbys do before them; standbys receive them at once. In a fleet of 277 hosts with 420 upstreams, of which 14 a
+second are suspended and as many readmitted, sending each to every host at once takes 8,000 messages a second.
 */
 export const BELIEF_BATCH_MILLISECONDS = 1000;
 
 /**
-Milliseconds for which updates to other dispatchers, of what upstreams advertise, are batched.
+Milliseconds for which updates of what upstreams advertise are batched before they are sent to other dispatchers.
 */
 export const UPDATE_BATCH_MILLISECONDS = 100;
 
@@ -308,8 +308,8 @@
 export const RATE_LIMIT_TTL_MILLISECONDS = 10_000;
 
 /**
-Milliseconds for which changes of the linked control hosts are collected before all hosts are told: when a fleet starts, each of 15 control
-hosts opens 14 links within a tenth of a second, and a list for each is 58,000 messages to 277 entry hosts.
+Milliseconds for which changes of the linked control hosts are batched before their list is sent to all hosts: when a fleet starts, each of 15
+control hosts opens 14 links within a tenth of a second, and a list for each link takes 58,000 messages to 277 entry hosts.
 */
 export const CONTROLS_BATCH_MILLISECONDS = 50;
 
@@ -319,17 +319,17 @@
 export const RETAIN_MILLISECONDS = 5000;
 
 /**
-Milliseconds after a change of the instances before they are kept on disk: a start brings dozens of changes.
+Milliseconds after a change of the instances before they are saved to disk: a start brings dozens of changes.
 */
 export const INSTANCES_SAVE_DELAY_MILLISECONDS = 1000;
 
 /**
-Milliseconds after a change of what is held against upstreams before it is kept on disk.
+Milliseconds after a change of a belief before the beliefs are saved to disk.
 */
 export const BELIEFS_SAVE_DELAY_MILLISECONDS = 200;
 
 /**
-Milliseconds after which what was kept is of no use: doubt has faded by then.
+Largest age in milliseconds of stored beliefs that are loaded: doubt has decayed by then.
 */
 export const MAX_BELIEFS_AGE_MILLISECONDS = 20_000;
 
@@ -406,7 +406,11 @@
 export const ABSENCE_MOST_MILLISECONDS = 60_000;
 
 /**
-Milliseconds between two lines on the upstreams of a service that get nothing, and how many of them a line names.
+Milliseconds between two log lines about the idle upstreams of a service.
 */
 export const IDLE_LOG_INTERVAL_MILLISECONDS = 2000;
+
+/**
+Largest number of idle upstreams that such a line names.
+*/
 export const MAX_IDLE_UPSTREAMS_LOGGED = 5;
--- a/packages/wagtailroute-fleet/src/context.ts
+++ b/packages/wagtailroute-fleet/src/context.ts
@@ -1,5 +1,5 @@
 /**
-What every part of a host is given: time, random numbers, logs and metrics.
+What every part of a host uses: time, timers, random numbers, logs and metrics. Tests and the lab replace them.
 */
 import * as crypto from 'node:crypto';
 import process from 'node:process';
@@ -7,7 +7,7 @@
 import * as utils from 'wagtailroute-utils';
 
 /**
-What every part is given.
+Time, timers, random numbers, logs and metrics of a host.
 */
 export type FleetContext = {
 	/**
@@ -18,11 +18,11 @@
 	readonly logs: telemetry.Logs;
 	readonly metrics: telemetry.Metrics;
 	/**
-	Runs once after a delay.
+	Calls a function once after a delay; the teardown cancels it.
 	*/
 	readonly schedule: (milliseconds: number, run: () => void) => utils.Teardown;
 	/**
-	Runs again and again.
+	Calls a function at an interval until the teardown.
 	*/
 	readonly repeat: (milliseconds: number, run: () => void) => utils.Teardown;
 };
@@ -30,7 +30,7 @@
 const SEED_RANGE = 2 ** 31;
 
 /**
-Creates the context of a process.
+Creates the context of a process, which logs to standard output.
 */
 export function createContext(hostId: string, level: telemetry.LogLevel): FleetContext {
 	const now = () => performance.now();
--- a/packages/wagtailroute-fleet/src/control.ts
+++ b/packages/wagtailroute-fleet/src/control.ts
@@ -1,6 +1,6 @@
 /**
-A control host: it takes heartbeats and operators' generations, keeps both with the other control hosts, dispatches services,
-and answers the directory.
+A control host. It receives heartbeats of upstreams and generations from operators, shares both with the other control hosts,
+dispatches services, and answers directory look-ups.
 */
 import * as core from 'wagtailroute-core';
 import type * as generations from 'wagtailroute-generations';
@@ -47,29 +47,29 @@
 */
 export type Control = {
 	/**
-	Takes a heartbeat of an instance that serves.
+	Handles a heartbeat that an instance sent to this host, and relays it to the other control hosts.
 	*/
 	readonly receiveHeartbeat: (heartbeat: instances.Heartbeat) => void;
 	/**
-	Returns the newest start of a server that is known, in Unix milliseconds; 0 when it is unknown or told none.
+	Returns the latest known start of a server in Unix milliseconds; 0 when the server is unknown or its heartbeats give no start.
 	*/
 	readonly findLatestStart: (server: string) => number;
 	/**
-	Resolves once the whole fleet is bound not to send new requests to the instance.
+	Resolves once a quorum has stored that no host may send new requests to the instance.
 	*/
 	readonly retire: (retirement: generations.Retirement) => Promise<results.Result<void, LeaderFailure>>;
 	/**
-	Resolves once the generation, or a newer one, is kept by a quorum. The result is the version in force.
+	Resolves once a quorum has stored the generation or a newer one. The result is the version in force.
 	*/
 	readonly putGeneration: (stored: generations.StoredGeneration) => Promise<results.Result<number, LeaderFailure>>;
 	/**
-	Reads the newest generation as it was sent; undefined before the first.
+	Returns the document of the newest generation as the operator sent it; undefined before the first.
 	*/
 	readonly readGeneration: () => Promise<results.Result<string | undefined, LeaderFailure>>;
 	/**
-	Returns the addresses of entry hosts for a caller.
+	Returns the addresses of entry hosts for a caller, as text.
 
-	@param host Host name that the caller is going to use.
+	@param host Host name of the requests that the caller is going to send.
 	*/
 	readonly listAddresses: (failureDomain: core.FailureDomain, host: string) => readonly string[];
 	readonly addSeeds: (seeds: readonly ControlHost[]) => void;
@@ -94,7 +94,7 @@
 		store: createInstanceStore(settings.dataFolder, context.logs('instances')),
 	});
 	const hostCount = createHostCount(context.now, () => countAddresses(directory.getTable()));
-	// After a restart of everything no entry host is known, and whoever asks is all there is.
+	// After a restart of the whole fleet no entry host is known yet: the hosts that request slots count as all of them.
 	const requestShare = createRequestShare(hostCount.get, 1);
 	const absences = startAbsences(context, {
 		listHosts: () => entryHosts.listAll().map(host => toHeardHost(host)),
@@ -180,7 +180,7 @@
 				return;
 			}
 
-			log.info('Entry host changed.', describeEntryHost({...before, state}));
+			log.info('Entry host readiness changed.', describeEntryHost({...before, state}));
 			publishStandbys();
 		},
 		[messages.METHODS.controls](controls: readonly ControlHost[]) {
@@ -230,9 +230,9 @@
 			links.find(to)?.notify(messages.METHODS.group, message);
 		},
 		listLinkedHosts: () => links.getOpen().map(open => open.host),
-		listKnownHosts: () => links.getOpen().map(open => open.host.id),
+		listSeeds: () => links.getOpen().map(open => open.host.id),
 		onGeneration(generation) {
-			log.info('Generation in force.', {version: generation.version, routes: generation.routes.length});
+			log.info('Generation is in force.', {version: generation.version, routes: generation.routes.length});
 			directory.setGeneration(generation);
 			allotting.setOrganisations(generation.organisations);
 			entryHosts.notifyAll(messages.METHODS.generationVersion, {version: generation.version});
@@ -248,8 +248,8 @@
 	await registry.loaded;
 	const storedBeliefs = await beliefStore.load();
 	dispatcher.mergeBeliefs(storedBeliefs.beliefs, storedBeliefs.ageMilliseconds);
-	log.info('Beliefs taken up.', {beliefs: storedBeliefs.beliefs.length, ageMilliseconds: Math.round(storedBeliefs.ageMilliseconds)});
-	// Opened last: the parts need each other, and a message may come as soon as there is a server.
+	log.info('Stored beliefs loaded.', {beliefs: storedBeliefs.beliefs.length, ageMilliseconds: Math.round(storedBeliefs.ageMilliseconds)});
+	// Opened last: a message may arrive as soon as the server listens, and its handler needs all the parts above.
 	const server = await link.openLinkServer({
 		address: settings.linkAddress,
 		methods,
@@ -275,7 +275,7 @@
 	context.metrics.registerGauge('entry_hosts_absent', () => absences.list().length);
 	context.metrics.registerGauge('instances', registry.countInstances);
 	context.metrics.registerGauge('generation_version', getVersion);
-	log.info('Host started.', {address: core.formatAddress(settings.linkAddress), isFirstStart: settings.isFirstStart});
+	log.info('Control host started.', {address: core.formatAddress(settings.linkAddress), isFirstStart: settings.isFirstStart});
 	const teardown = utils.mergeTeardowns(watchPauses(context), absences.teardown, registry.teardown, dispatcher.teardown, directory.teardown, links.close);
 	return {
 		receiveHeartbeat(heartbeat) {
@@ -303,7 +303,7 @@
 		async readGeneration() {
 			const startedAt = context.now();
 			const read = await readFromLeader(leaderCalls);
-			log.info('Generation read.', {isAnswered: read.isOk(), leader: group.getLeader(), milliseconds: Math.round(context.now() - startedAt)});
+			log.info('Read of the generation ended.', {isAnswered: read.isOk(), leader: group.getLeader(), milliseconds: Math.round(context.now() - startedAt)});
 			return read.map(document => document ?? undefined);
 		},
 		listAddresses: directory.listAddresses,
@@ -312,7 +312,7 @@
 			teardown();
 			await group.close();
 			await server.close();
-			log.info('Host stopped.');
+			log.info('Control host stopped.');
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/directory-size.ts
+++ b/packages/wagtailroute-fleet/src/directory-size.ts
@@ -1,10 +1,10 @@
 /**
-How many entry hosts of a failure domain callers are told of.
+How many entry hosts of a failure domain the directory names.
 
-Few, so that the connections of these few to upstreams are used again and again. But enough that none of them is loaded beyond
-a part of its processor and link: an upload of 360 KB takes 0.6 s of a link of 5 Mbit/s, and everything else on that host waits
-behind it. What goes wrong with a fixed number: three small hosts a failure domain carry all requests of a large installation,
-each answer takes over a second, and two thirds of all requests miss their deadline.
+A small number lets these hosts reuse their connections to upstreams. It must be large enough that each host's processor and link stay below
+a target load: an upload of 360 KB takes 0.6 s of a link of 5 Mbit/s, and every other request on that host waits behind it. A fixed number fails:
+three small hosts in each failure domain would handle all requests of a large installation, each answer would take over a second, and two thirds
+of all requests would miss their deadline.
 */
 import {
 	MIN_DIRECTORY_ADDRESSES,
@@ -14,7 +14,7 @@
 } from './constants.ts';
 
 /**
-The number of hosts told last, and when. Fractions matter: it narrows slowly.
+The number of hosts at a monotonic time in milliseconds. It is fractional, since it shrinks slowly.
 */
 export type DirectorySize = {
 	readonly hosts: number;
@@ -22,14 +22,14 @@
 };
 
 /**
-Returns the present width. It grows at once and narrows slowly. Nothing being known yet, all hosts are told of: what comes first may be the
+Returns the present number of hosts. It grows at once and shrinks slowly. At first it is all hosts, since the first callers may bring the
 whole load.
 
-@param loads Part of what each host can do that is in use, 0 and up.
+@param loads Load of each host, 0 and up.
 */
 export function adaptDirectorySize(previous: DirectorySize | undefined, loads: readonly number[], now: number): DirectorySize {
 	if (loads.length === 0) {
-		// A look-up that comes before any entry host has joined says nothing of the load to come.
+		// No entry host has joined yet, which says nothing of the load to come.
 		return previous ?? {hosts: MAX_DIRECTORY_ADDRESSES, at: now};
 	}
 
--- a/packages/wagtailroute-fleet/src/directory-table.ts
+++ b/packages/wagtailroute-fleet/src/directory-table.ts
@@ -1,26 +1,31 @@
 /**
-What entry hosts answer to callers who ask where to enter: the table that the control hosts of their failure domain told last.
+The directory as entry hosts answer look-ups from it: the table that the control hosts of their failure domain published last.
 
-Were control hosts the only ones to answer, callers would lose a second at each one that is away, and for as long as all are, those
-without an earlier answer could not enter at all although every entry host serves. A table that is out of date costs less: callers turn
-away from an address that fails them.
+If only control hosts answered, callers would lose a second at each unreachable one, and while none can be reached, callers without an earlier
+answer would find no entry host although every one serves. An outdated table costs less: callers stop using an address that fails.
 */
 import type * as core from 'wagtailroute-core';
 
 /**
-Callers of a host name had better enter in another failure domain than their own.
+Callers of a host name are sent to entry hosts of another failure domain than their own.
 */
 export type Detour = {
 	/**
 	Host name in lower case.
 	*/
 	readonly host: string;
+	/**
+	Failure domain of the callers.
+	*/
 	readonly from: core.FailureDomain;
+	/**
+	Failure domain of the entry hosts.
+	*/
 	readonly to: core.FailureDomain;
 };
 
 /**
-Addresses of entry hosts by failure domain, as text.
+Addresses of entry hosts by their failure domain, as text, and the exceptions to it.
 */
 export type DirectoryTable = {
 	readonly addresses: Readonly<Record<core.FailureDomain, readonly string[]>>;
@@ -28,14 +33,14 @@
 };
 
 /**
-The table of a host that has heard of none.
+The table of a host that has received none.
 */
 export const EMPTY_DIRECTORY_TABLE: DirectoryTable = {addresses: {}, detours: []};
 
 /**
-Returns the addresses for a caller, as text: those of its failure domain, or all when none is known there.
+Returns the addresses for a caller, as text: those of its failure domain or of the detour from it, or all when none is known there.
 
-@param host Host name that the caller is going to use.
+@param host Host name of the requests that the caller is going to send.
 */
 export function lookUpAddresses({addresses, detours}: DirectoryTable, failureDomain: core.FailureDomain, host: string): readonly string[] {
 	const detour = detours.find(({from, host: name}) => from === failureDomain && name === host.toLowerCase());
@@ -44,7 +49,7 @@
 }
 
 /**
-Counts the entry hosts that callers are told of.
+Counts the entry hosts that the table names.
 */
 export function countAddresses({addresses}: DirectoryTable): number {
 	return Object.values(addresses).reduce((sum, {length}) => sum + length, 0);
--- a/packages/wagtailroute-fleet/src/directory.ts
+++ b/packages/wagtailroute-fleet/src/directory.ts
@@ -1,5 +1,6 @@
 /**
-The directory of a control host: where callers enter, answered here and told to the entry hosts of this failure domain, which answer too.
+The directory of a control host: which entry hosts a caller uses. This host answers look-ups, and publishes its answers to the entry hosts of
+its own failure domain, which answer look-ups too.
 */
 import * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -13,34 +14,38 @@
 import {METHODS} from './messages.ts';
 
 /**
-Answers callers who ask where to enter.
+The directory, as callers and entry hosts use it.
 */
 export type Directory = {
 	/**
 	Returns the addresses of entry hosts for a caller, as text.
 
-	@param host Host name that the caller is going to use.
+	@param failureDomain Failure domain of the caller.
+	@param host Host name of the requests that the caller is going to send.
 	*/
 	readonly listAddresses: (failureDomain: core.FailureDomain, host: string) => readonly string[];
+	/**
+	Returns the table that was published last.
+	*/
 	readonly getTable: () => DirectoryTable;
 	readonly setGeneration: (generation: generations.Generation) => void;
 	readonly teardown: utils.Teardown;
 };
 
 /**
-What the directory answers from.
+What the directory is computed from.
 */
 export type DirectoryOptions = {
 	readonly failureDomain: core.FailureDomain;
 	readonly entryHosts: EntryHosts;
 	/**
-	Returns what is known of a service's upstreams.
+	Returns the state of a service's upstreams.
 	*/
 	readonly listUpstreamReports: (service: core.ServiceName) => readonly dispatch.UpstreamReport[];
 };
 
 /**
-Starts with an empty directory.
+Starts with an empty table, which is computed again at an interval and published when it has changed.
 */
 export function startDirectory(context: FleetContext, {failureDomain: ownDomain, entryHosts, listUpstreamReports}: DirectoryOptions): Directory {
 	let uploadServices: ReadonlyMap<string, core.ServiceName> = new Map();
--- a/packages/wagtailroute-fleet/src/group.ts
+++ b/packages/wagtailroute-fleet/src/group.ts
@@ -1,8 +1,8 @@
 /**
-The replicated group of the control hosts, which keeps the generation and the retirements.
+The replicated group of the control hosts, which stores the generation and the retirements.
 
-A replica whose store failed stops for good, since nobody knows what its disk holds. It is opened anew from its disk after a
-moment: a full disk has room again after a while, and the other parts of the host go on meanwhile.
+A replica whose store failed stops for good, since the content of its disk is uncertain. After a delay a new replica is opened from that disk: a
+full disk has room again after a while, and the other parts of the host work meanwhile.
 */
 import * as path from 'node:path';
 import type * as core from 'wagtailroute-core';
@@ -21,19 +21,22 @@
 import type {ControlHost, ControlSettings} from './settings.ts';
 
 /**
-The group on this host.
+This host's replica of the group.
 */
 export type ControlGroup = {
 	readonly receive: (message: GroupMessage) => void;
 	/**
-	Proposes on this host, if it leads.
+	Proposes a command if this host is the leader.
 	*/
 	readonly propose: (command: generations.GenerationCommand) => Promise<ProposalAnswer>;
 	/**
-	Reads the newest generation on this host, if it leads.
+	Reads the newest generation if this host is the leader.
 	*/
 	readonly read: () => Promise<ReadAnswer>;
 	readonly getLeader: () => core.HostId | null;
+	/**
+	Returns the newest generation that this replica has applied.
+	*/
 	readonly getStored: () => generations.StoredGeneration | undefined;
 	readonly getRetirement: (upstream: core.UpstreamId) => generations.RetirementState | undefined;
 	readonly getStatus: () => replication.GroupStatus | undefined;
@@ -41,19 +44,19 @@
 };
 
 /**
-What the group needs.
+What the replica needs of its host.
 */
 export type ControlGroupOptions = {
 	readonly settings: ControlSettings;
 	readonly send: (to: core.HostId, message: GroupMessage) => void;
 	/**
-	The other control hosts that have a link.
+	Returns the other control hosts that have a link to this one.
 	*/
 	readonly listLinkedHosts: () => readonly ControlHost[];
 	/**
-	All control hosts that this one knows by name.
+	Returns the control hosts that the replica announces itself to while it is not a member.
 	*/
-	readonly listKnownHosts: () => readonly core.HostId[];
+	readonly listSeeds: () => readonly core.HostId[];
 	readonly onGeneration: (generation: generations.Generation) => void;
 	readonly onRetired: (retirements: readonly generations.Retirement[]) => void;
 };
@@ -61,7 +64,7 @@
 const GROUP_NAME = 'generations';
 
 /**
-Starts taking part in the group.
+Opens this host's replica, and lets the leader adapt the group's members to the control hosts that run.
 */
 export function startControlGroup(context: FleetContext, options: ControlGroupOptions): ControlGroup {
 	const {settings} = options;
@@ -73,7 +76,7 @@
 	let loggedRole = '';
 
 	/**
-	The role is looked at rather than told: one that lasts shorter than a look has led nobody.
+	Logs a change of the replica's role. The role is polled: a leader that lasts shorter than the interval has led nobody.
 	*/
 	const logRole = () => {
 		const status = group?.getStatus();
@@ -88,7 +91,7 @@
 		}
 
 		loggedRole = text;
-		log.info('Role changed.', {role, term, leader});
+		log.info('Role in the control group changed.', {role, term, leader});
 	};
 
 	const notifyGeneration = () => {
@@ -126,7 +129,7 @@
 	};
 
 	const reopen = (reason: string) => {
-		log.error('Store failed, the replica is opened anew.', {reason});
+		log.error('Store failed, the replica will be reopened.', {reason});
 		const failed = group;
 		group = undefined;
 		context.schedule(REOPEN_DELAY_MILLISECONDS, () => {
@@ -151,9 +154,9 @@
 			clock: context.now,
 			random: context.random,
 			schedule: context.schedule,
-			// A host that comes with an empty disk later on joins; it must not found a second group.
+			// A host that starts with an empty disk later on joins the group; it must not create a second one.
 			...settings.isFirstStart && {first: {hosts: settings.seeds.map(seed => seed.id)}},
-			getSeeds: () => options.listKnownHosts(),
+			getSeeds: () => options.listSeeds(),
 			settings: {commandBytesMost: MAX_COMMAND_BYTES},
 			onStopped(failure) {
 				reopen(failure.message);
@@ -185,7 +188,7 @@
 		});
 		const changed = await group!.reconcile(wanted);
 		if (changed.isOk() && changed.value !== undefined) {
-			log.info('Members changed.', {change: changed.value, running: running.length});
+			log.info('Members of the control group changed.', {change: changed.value, running: running.length});
 		}
 	};
 
@@ -233,6 +236,9 @@
 	};
 }
 
+/**
+Records since when each member's host has had no link, and removes hosts that have one again or are no members any more.
+*/
 function updateUnreachable(
 	unreachableSince: Map<core.HostId, number>,
 	status: replication.GroupStatus,
--- a/packages/wagtailroute-fleet/src/host-dispatcher.ts
+++ b/packages/wagtailroute-fleet/src/host-dispatcher.ts
@@ -1,6 +1,6 @@
 /**
-The dispatcher of a host, as entry hosts ask it over their links. Every host has one: control hosts dispatch as long as they answer, entry
-hosts when none does.
+The dispatcher of a host, with the messages, logs and metrics around it. Entry hosts request slots from it over their links. Every host has
+one: control hosts dispatch as long as any of them answers, entry hosts when none does.
 */
 import type * as allotments from 'wagtailroute-allotments';
 import type * as core from 'wagtailroute-core';
@@ -31,88 +31,100 @@
 import type {FleetSettings} from './settings.ts';
 
 /**
-A dispatcher that answers other hosts.
+The dispatcher of a host.
 */
 export type HostDispatcher = {
-	readonly requestSlot: (ask: dispatch.Ask) => SlotAnswer;
+	/**
+	Answers a slot request at once. After the answer `wait`, the decision is sent as a message.
+	*/
+	readonly requestSlot: (request: dispatch.Ask) => SlotAnswer;
+	/**
+	Withdraws a slot request that waits.
+	*/
 	readonly cancel: (id: dispatch.AskId) => void;
+	/**
+	Records how a granted request ended.
+	*/
 	readonly end: (end: GrantEnd) => void;
 	/**
-	The answer to a granted request advertises something about its upstream.
+	Records what the answer to a granted request advertises about its upstream.
 	*/
 	readonly recordAdvertisements: (id: dispatch.AskId, advertisements: readonly core.Advertisement[]) => void;
 	/**
-	Applies what another host has learned from answers.
+	Applies what answers advertised to another host.
 	*/
 	readonly applyUpdates: (message: ServiceUpdates) => void;
 	/**
-	Returns all that upstreams advertise and that is in force, by service.
+	Returns everything that upstreams advertise and that is in force, by service.
 	*/
 	readonly listUpdates: () => readonly ServiceUpdates[];
-	readonly applyHandover: (host: core.HostId, holding: HandoverReport) => void;
 	/**
-	Takes what a host was admitted by other dispatchers, before it asks here for the first time.
+	Records what a host reports when it turns to this dispatcher: the slots that it holds and what it knows of the service.
+	*/
+	readonly applyHandover: (host: core.HostId, report: HandoverReport) => void;
+	/**
+	Counts against the allotments what other dispatchers admitted of a host's requests, before its first request here.
 	*/
-	readonly applyPastUses: (host: core.HostId, uses: readonly allotments.PastUse[]) => void;
+	readonly applyPastUsage: (host: core.HostId, uses: readonly allotments.PastUse[]) => void;
 	/**
-	Takes what the dispatcher on another control host believes.
+	Sets the doubt about an upstream that another dispatcher reports.
 	*/
 	readonly applyBelief: (belief: Belief) => void;
 	/**
-	Takes what the dispatcher of a service has come to believe of several upstreams.
+	Sets the doubts about several upstreams that the dispatcher of a service reports.
 	*/
-	readonly applyBeliefs: (news: readonly Belief[]) => void;
+	readonly applyBeliefs: (beliefs: readonly Belief[]) => void;
 	/**
-	Takes all that a host believed some milliseconds ago: what it held against an upstream counts if it is more than this one does.
+	Merges the doubts that a host had some milliseconds ago: for each upstream the higher of the two doubts counts, each as far as it has decayed by now.
 	*/
 	readonly mergeBeliefs: (beliefs: readonly Belief[], ageMilliseconds?: number) => void;
 	/**
-	Returns all that this dispatcher holds against upstreams.
+	Returns every doubt above 0.
 	*/
 	readonly listBeliefs: () => readonly Belief[];
 	/**
-	Returns what is known of a service's upstreams, by this dispatcher or by the one that told it.
+	Returns the state of a service's upstreams, from this dispatcher's own requests and from the reports of others.
 	*/
 	readonly listUpstreamReports: (service: core.ServiceName) => readonly dispatch.UpstreamReport[];
 	/**
-	Takes the instances of a service anew, if it was ever asked for.
+	Reads the instances of a service again, if this dispatcher has read them before.
 	*/
 	readonly refreshCandidates: (service: core.ServiceName) => void;
 	readonly teardown: utils.Teardown;
 };
 
 /**
-What the dispatcher asks of its host.
+What the dispatcher needs of its host.
 */
 export type HostDispatcherOptions = {
 	readonly settings: Pick<FleetSettings, 'budget' | 'floor' | 'policy'>;
 	/**
-	Share of the entry hosts that ask here.
+	Share of the fleet's requests that this dispatcher handles.
 	*/
 	readonly requestShare: RequestShare;
 	/**
-	This host hears of what others grant, as control hosts do. One that does not grants its share of a rate limit only.
+	Whether this host receives what other dispatchers grant, as control hosts do. A host that does not grants only its share of a rate limit.
 	*/
 	readonly isReceivingUpdates: boolean;
 	/**
-	Absent: nothing bounds what an organisation sends.
+	Absent: what an organisation sends is not limited.
 	*/
 	readonly allotting?: Pick<Allotting, 'admit' | 'giveBack' | 'takeOver'>;
 	/**
-	A host told how many entry hosts serve callers.
+	Called with the number of entry hosts that serve callers, when a host reports it.
 	*/
 	readonly onEntryHostCount?: (hosts: number) => void;
 	readonly listCandidates: (service: core.ServiceName) => readonly dispatch.Candidate[];
 	/**
-	Returns the entry hosts that are told what this dispatcher believes although they send no requests of the service: they are next.
+	Returns the entry hosts that dispatch the service next when no control host does. They receive updates even if they send no requests of the service.
 	*/
 	readonly listStandbys: (service: core.ServiceName) => readonly core.HostId[];
 	/**
-	Sends to an entry host, if it has a link.
+	Sends a message to an entry host, if it has a link.
 	*/
 	readonly notify: (host: core.HostId, method: string, parameters: unknown) => void;
 	/**
-	Sends to the other control hosts: the next dispatcher of the service is one of them, and each answers callers' look-ups.
+	Sends a message to the other control hosts: one of them is the next dispatcher of the service, and each answers directory look-ups.
 	*/
 	readonly notifyControls: (method: string, parameters: unknown) => void;
 };
@@ -130,11 +142,11 @@
 	const {requestShare} = options;
 	const dispatcher = dispatch.createDispatcher({...options.settings, random, getShare: options.isReceivingUpdates ? undefined : requestShare.get});
 	const knownServices = new Set<core.ServiceName>();
-	const askers = new Map<core.ServiceName, RecentAskers>();
+	const requestingHosts = new Map<core.ServiceName, RecentAskers>();
 
-	const listAskers = (service: core.ServiceName) => askers.get(service)?.list(now()) ?? [];
+	const listRequestingHosts = (service: core.ServiceName) => requestingHosts.get(service)?.list(now()) ?? [];
 
-	const peerUpdates = createPeerUpdates(context, {...options, dispatcher, listAskers});
+	const peerUpdates = createPeerUpdates(context, {...options, dispatcher, listRequestingHosts});
 
 	const sendDecision = (effect: Decision) => {
 		options.notify(effect.ask.host, METHODS.answer, [getSlotRequestNumber(effect.ask.id), encodeAnswer(toAnswer(effect))]);
@@ -146,7 +158,7 @@
 			sendDecision(effect);
 		},
 		refuse(effect) {
-			giveBack(effect.ask);
+			refundAllotment(effect.ask);
 			logRefusal(effect);
 			sendDecision(effect);
 		},
@@ -159,20 +171,20 @@
 		},
 		'rate-limit'({service, upstream, ratePerSecond, ratePerSecondBefore}) {
 			metrics.count('rate_limit_changes', {service, state: ratePerSecond === undefined ? 'lifted' : 'changed'});
-			log.info(ratePerSecond === undefined ? 'Rate limit lifted.' : 'Rate limit changed.', {
+			log.info(ratePerSecond === undefined ? 'Upstream rate limit lifted.' : 'Upstream rate limit changed.', {
 				service, upstream, ratePerSecond, ratePerSecondBefore,
 			});
 			peerUpdates.publishUpdates();
 		},
 		backoff({service, upstream, host, milliseconds}) {
 			metrics.count('closures', {service, cause: 'backoff'});
-			log.info('Host backs off.', {
+			log.info('Host started to back off from an upstream.', {
 				service, upstream, host, milliseconds,
 			});
 		},
 		draining({service, upstream, host}) {
 			metrics.count('closures', {service, cause: 'draining'});
-			log.info('Upstream draining.', {service, upstream, host});
+			log.info('Upstream is draining.', {service, upstream, host});
 			peerUpdates.publishUpdates();
 		},
 	};
@@ -180,7 +192,7 @@
 	const loggedIdleAt = new Map<core.ServiceName, number>();
 
 	/**
-	Logs now and then what keeps requests from upstreams while others fail them.
+	Logs, at most once in an interval, why upstreams get no requests although requests of their service fail.
 	*/
 	const logIdleUpstreams = (service: core.ServiceName) => {
 		if (now() - (loggedIdleAt.get(service) ?? -Infinity) < IDLE_LOG_INTERVAL_MILLISECONDS) {
@@ -193,7 +205,7 @@
 			return;
 		}
 
-		log.warn('Upstreams idle.', {
+		log.warn('Upstreams are idle although requests of their service fail.', {
 			service,
 			idle: idle.length,
 			causes: Object.fromEntries(Map.groupBy(idle, ({cause}) => cause).entries().map(([cause, upstreams]) => [cause, upstreams.length])),
@@ -206,7 +218,7 @@
 	const logRefusal = ({ask, reason, retryAfterMilliseconds}: Extract<dispatch.Effect, {kind: 'refuse'}>) => {
 		const upstreams = dispatcher.report(ask.service, now());
 		metrics.count('refusals', {service: ask.service, reason});
-		log.warn('Ask refused.', {
+		log.warn('Slot request refused.', {
 			id: ask.id,
 			service: ask.service,
 			reason,
@@ -223,19 +235,19 @@
 	};
 
 	/**
-	What an ask took from its organisation's allotment comes back when it is granted nothing, or a place that is not used: a host that turns from one
-	dispatcher to the next asks at both. A resend took nothing.
+	Refunds what a slot request used of its organisation's allotment, when it is granted no slot or does not use it: a host that turns from one
+	dispatcher to the next sends its request to both. A resend uses nothing.
 	*/
-	const giveBack = (ask: dispatch.Ask) => {
-		if (dispatch.isFirst(ask)) {
-			options.allotting?.giveBack(ask);
+	const refundAllotment = (request: dispatch.Ask) => {
+		if (dispatch.isFirst(request)) {
+			options.allotting?.giveBack(request);
 		}
 	};
 
-	const recordAsker = ({service, host}: dispatch.Ask) => {
+	const recordRequestingHost = ({service, host}: dispatch.Ask) => {
 		requestShare.record(host, now());
-		const hosts = askers.get(service) ?? createRecentAskers(ASKER_MILLISECONDS);
-		askers.set(service, hosts);
+		const hosts = requestingHosts.get(service) ?? createRecentAskers(ASKER_MILLISECONDS);
+		requestingHosts.set(service, hosts);
 		hosts.note(host, now());
 	};
 
@@ -250,7 +262,7 @@
 	};
 
 	/**
-	Takes the instances of a service that is asked for the first time.
+	Reads the instances of a service at its first use.
 	*/
 	const ensureCandidates = (service: core.ServiceName) => {
 		if (knownServices.has(service)) {
@@ -264,7 +276,7 @@
 	let cancelTick: utils.Teardown | undefined;
 
 	/**
-	Looks after requests that wait or are under way; a host that dispatches nothing does not wake for it.
+	Runs the dispatcher's timer while requests wait or hold slots; a host that dispatches nothing sets no timer.
 	*/
 	const scheduleTick = () => {
 		if (cancelTick !== undefined || !dispatcher.isBusy()) {
@@ -294,21 +306,21 @@
 
 	metrics.registerGauge('asks_waiting', () => dispatcher.getWaiting());
 	return {
-		requestSlot(ask) {
-			ensureCandidates(ask.service);
-			recordAsker(ask);
-			if (!dispatcher.knows(ask.service)) {
-				log.warn('Ask sent elsewhere.', {id: ask.id, service: ask.service});
+		requestSlot(request) {
+			ensureCandidates(request.service);
+			recordRequestingHost(request);
+			if (!dispatcher.knows(request.service)) {
+				log.warn('Slot request sent elsewhere: no upstream of its service is known.', {id: request.id, service: request.service});
 				return {kind: 'elsewhere'};
 			}
 
-			const refusal = dispatch.isFirst(ask) ? options.allotting?.admit(ask) : undefined;
+			const refusal = dispatch.isFirst(request) ? options.allotting?.admit(request) : undefined;
 			if (refusal !== undefined) {
 				return refusal;
 			}
 
-			const effects = dispatcher.ask(ask, now());
-			const ownDecision = effects.find(effect => isDecision(effect) && effect.ask.id === ask.id);
+			const effects = dispatcher.ask(request, now());
+			const ownDecision = effects.find(effect => isDecision(effect) && effect.ask.id === request.id);
 			applyEffects(effects.filter(effect => effect !== ownDecision));
 			scheduleTick();
 			if (ownDecision === undefined || !isDecision(ownDecision)) {
@@ -316,10 +328,10 @@
 			}
 
 			if (ownDecision.kind === 'refuse') {
-				giveBack(ask);
+				refundAllotment(request);
 				logRefusal(ownDecision);
 			} else {
-				peerUpdates.onGranted(ask.service);
+				peerUpdates.onGranted(request.service);
 			}
 
 			return toAnswer(ownDecision);
@@ -327,14 +339,14 @@
 		cancel(id) {
 			const cancelled = dispatcher.cancel(id);
 			if (cancelled !== undefined) {
-				giveBack(cancelled);
+				refundAllotment(cancelled);
 			}
 		},
 		end({id, ending, milliseconds}) {
 			metrics.count('ends', {ending});
-			const unusedAsk = ending === 'unused' ? dispatcher.findGranted(id) : undefined;
-			if (unusedAsk !== undefined) {
-				giveBack(unusedAsk);
+			const unusedRequest = ending === 'unused' ? dispatcher.findGranted(id) : undefined;
+			if (unusedRequest !== undefined) {
+				refundAllotment(unusedRequest);
 			}
 
 			const service = dispatcher.findGranted(id)?.service;
@@ -362,12 +374,12 @@
 			applyUpdates({service, updates});
 			scheduleTick();
 		},
-		applyPastUses(host, uses) {
+		applyPastUsage(host, uses) {
 			options.allotting?.takeOver(host, uses);
 		},
 		applyBelief,
-		applyBeliefs(news) {
-			for (const belief of news) {
+		applyBeliefs(beliefs) {
+			for (const belief of beliefs) {
 				applyBelief(belief);
 			}
 		},
@@ -400,7 +412,7 @@
 }
 
 /**
-Turns a decision into what the asking host is told.
+Converts a decision into the answer for the requesting host.
 */
 export function toAnswer(effect: Decision): SlotDecision {
 	if (effect.kind === 'refuse') {
@@ -415,7 +427,7 @@
 }
 
 /**
-Sends all that a dispatcher knows of what upstreams advertise to another host.
+Sends everything that upstreams advertise and that is in force to another host.
 */
 export function sendUpdates(to: link.Link, dispatcher: Pick<HostDispatcher, 'listUpdates'>): void {
 	for (const message of dispatcher.listUpdates()) {
--- a/packages/wagtailroute-fleet/src/index.ts
+++ b/packages/wagtailroute-fleet/src/index.ts
@@ -1,5 +1,5 @@
 /**
-Entry and control hosts of a fleet whose slots are dispatched.
+Entry hosts and control hosts of a fleet whose dispatchers grant the slots of upstreams, one request at a time.
 */
 export {createContext, type FleetContext} from './context.ts';
 export {type Control, startControl} from './control.ts';
--- a/packages/wagtailroute-fleet/src/instance-store.ts
+++ b/packages/wagtailroute-fleet/src/instance-store.ts
@@ -1,9 +1,8 @@
 /**
-The instances that a control host knows, kept on its disk.
+The instances that a control host knows, stored on its disk.
 
-What goes wrong without it: all hosts lose power at once, and when they are back nobody knows a single upstream until the next
-heartbeats come, so that every request of these seconds is refused. What is read may be out of date: requests name the
-instance that they are for, and an upstream that is another one refuses them.
+Without the file, no host knows any upstream after a power loss of all hosts until the next heartbeats arrive, and every request of these seconds is
+refused. What is loaded may be outdated, which is safe: a request names the instance that it is for, and an upstream of another instance refuses it.
 */
 import type * as instances from 'wagtailroute-instances';
 import type * as replication from 'wagtailroute-replication';
@@ -22,15 +21,15 @@
 }));
 
 /**
-Keeps instances.
+The file of instances.
 */
 export type InstanceStore = {
 	/**
-	Returns what was kept; nothing when there is nothing or it cannot be read.
+	Returns the instances that were saved last; none when there is no file or it cannot be read.
 	*/
 	readonly load: () => Promise<readonly instances.Heartbeat[]>;
 	/**
-	Keeps a list in place of the one before.
+	Replaces the file. A failure is only logged.
 	*/
 	readonly save: (heartbeats: readonly instances.Heartbeat[]) => Promise<void>;
 };
--- a/packages/wagtailroute-fleet/src/json-file.ts
+++ b/packages/wagtailroute-fleet/src/json-file.ts
@@ -1,8 +1,8 @@
 /**
-A document that a control host keeps on its disk for speed only: it may be lost, or out of date.
+A JSON document on the disk of a control host that only shortens a start: it may be lost or outdated.
 
-It is replaced as a whole, so that a stop in the midst of a write leaves the one before. While a write is under way no other begins, only the
-last document follows: a slow disk delays what is kept, never a request. What cannot be read is passed over with a line in the log.
+The file is replaced as a whole, so that a process that ends during a write leaves the previous document. During a write, only the newest of the
+documents to save is remembered and written next: a slow disk delays what is stored, never a request. A file that cannot be read is ignored and logged.
 */
 import * as buffer from 'node:buffer';
 import * as path from 'node:path';
@@ -12,21 +12,21 @@
 import type * as telemetry from 'wagtailroute-telemetry';
 
 /**
-Keeps a document.
+The file of one document.
 */
 export type JsonFile<Document> = {
 	/**
-	Returns what was kept; undefined when there is nothing or it cannot be read.
+	Returns the document; undefined when there is no file or it cannot be read.
 	*/
 	readonly load: () => Promise<Document | undefined>;
 	/**
-	Keeps a document in place of the one before. A failure is told to the log and changes nothing.
+	Replaces the document. Resolves at once while another write runs. A failure is logged and changes nothing.
 	*/
 	readonly save: (document: Document) => Promise<void>;
 };
 
 /**
-What a kept file is made from.
+Where the file is, and what its document looks like.
 */
 export type JsonFileOptions<Document> = {
 	readonly folder: string;
@@ -37,7 +37,7 @@
 };
 
 /**
-Creates the file, with nothing kept.
+Creates the access to a file, which need not exist yet.
 */
 export function createJsonFile<Document>(
 	{folder, name, schema, log, disk = replication.createDisk()}: JsonFileOptions<Document>,
@@ -54,11 +54,11 @@
 			await opened.sync();
 			await opened.close();
 			await disk.rename(newFile, file);
-			// A name that was changed is kept over a loss of power once its folder is.
+			// A rename survives a power loss only once its folder is synced.
 			await disk.syncFolder(folder);
 		});
 		if (written.isErr()) {
-			log.warn('File could not be kept.', {file: name, reason: String(written.error)});
+			log.warn('File could not be saved.', {file: name, reason: String(written.error)});
 		}
 	};
 
@@ -70,7 +70,7 @@
 				return bytes === undefined ? undefined : schema.parse(JSON.parse(bytes.toString()));
 			});
 			if (read.isErr()) {
-				log.warn('Kept file could not be read.', {file: name, reason: String(read.error)});
+				log.warn('File could not be read.', {file: name, reason: String(read.error)});
 			}
 
 			return read.unwrapOr(undefined);
--- a/packages/wagtailroute-fleet/src/messages.ts
+++ b/packages/wagtailroute-fleet/src/messages.ts
@@ -11,7 +11,7 @@
 import type {ControlHost, StandbyHost} from './settings.ts';
 
 /**
-Names of the methods.
+Names of the methods on the wire.
 */
 export const METHODS = {
 	hello: 'fleet.hello',
@@ -46,29 +46,29 @@
 } as const;
 
 /**
-What an entry host says of itself.
+The state that an entry host reports to the control hosts.
 */
 export type EntryState = {
 	readonly trafficAddress: core.Address;
 	readonly linkAddress: core.Address;
 	/**
-	It has a generation, and is not stopping.
+	Whether it has a generation, and is not stopping.
 	*/
 	readonly isReady: boolean;
 	/**
-	Part of its processor or link that is in use, whichever is more, 0 and up.
+	Part of its processor or, weighted, of its link that is in use, whichever is more; 0 and up.
 	*/
 	readonly load: number;
 };
 
 /**
-The first message of a link.
+The first message of the host that opens a link.
 */
 export type Hello = {
 	readonly id: core.HostId;
 	readonly failureDomain: core.FailureDomain;
 	/**
-	Absent for a control host.
+	State of an entry host; absent for a control host.
 	*/
 	readonly entry?: EntryState;
 	/**
@@ -76,45 +76,45 @@
 	*/
 	readonly runningMilliseconds?: number;
 	/**
-	Present for a control host.
+	Address and failure domain of a control host; absent for an entry host.
 	*/
 	readonly control?: ControlHost;
 };
 
 /**
-The answer to it.
+The answer to a hello.
 */
 export type Welcome = {
 	readonly failureDomain: core.FailureDomain;
 	/**
-	The control hosts that the answering one has links to, itself included.
+	The control hosts that the answering host has links to, itself included.
 	*/
 	readonly controls: readonly ControlHost[];
 	readonly standbys: readonly StandbyHost[];
 	readonly directory: DirectoryTable;
 	/**
-	Version of its generation, 0 when it has none.
+	Version of the answering host's generation, 0 when it has none.
 	*/
 	readonly version: number;
 };
 
 /**
-A heartbeat on its way to the other control hosts.
+A heartbeat that a control host received and passes on.
 */
 export type RelayedHeartbeat = instances.Heartbeat & {
 	/**
-	Milliseconds since it was heard.
+	Milliseconds since the heartbeat was received.
 	*/
 	readonly ageMilliseconds: number;
 };
 
 /**
-What a heartbeat that changes nothing says: its instance, its sequence number and the milliseconds since it was heard.
+A heartbeat that changes nothing but its time: its instance, its sequence number and the milliseconds since it was received.
 */
 export type RefreshedHeartbeat = readonly [upstream: core.UpstreamId, sequence: number, age: number];
 
 /**
-Heartbeats on their way to the other control hosts.
+Heartbeats that a control host passes on to the others: `news` with everything that they say, `refreshed` with their time only.
 */
 export type HeartbeatBatch = {
 	readonly news: readonly RelayedHeartbeat[];
@@ -122,7 +122,7 @@
 };
 
 /**
-Instances that are new or changed, and those that were forgotten.
+Instances that are new or changed in `heard`, those that were removed after a long silence in `forgotten`, and retirements.
 */
 export type InstanceChanges = {
 	readonly heard: readonly RelayedHeartbeat[];
@@ -131,8 +131,8 @@
 };
 
 /**
-The first answer to an ask. `wait`: the final one follows as a message. `elsewhere`: this host knows no upstream of the service, since it
-has just started; others may.
+The first answer to a slot request. `wait`: the decision follows as a message. `elsewhere`: the dispatcher knows no upstream of the service,
+since it has just started; other hosts may know some.
 */
 export type SlotAnswer =
 	| {
@@ -146,12 +146,12 @@
 	| {readonly kind: 'elsewhere'};
 
 /**
-An answer that ends an ask.
+An answer that ends a slot request.
 */
 export type SlotDecision = Extract<SlotAnswer, {kind: 'grant' | 'refuse'}>;
 
 /**
-The end of a granted request.
+How a granted request ended, with the milliseconds from the send to the answer's header section.
 */
 export type GrantEnd = {
 	readonly id: dispatch.AskId;
@@ -160,27 +160,28 @@
 };
 
 /**
-The places that a host holds of a service.
+What a host reports to a dispatcher of a service that it turns to: the granted slots that it holds, called places on the wire, and what the
+dispatcher may not know of the service.
 */
 export type HandoverReport = {
 	readonly service: core.ServiceName;
 	readonly places: readonly dispatch.HeldPlace[];
 	/**
-	What answers to the host advertised; absent: nothing.
+	What answers to the host's requests advertised; absent when there is nothing.
 	*/
 	readonly updates?: readonly dispatch.UpstreamUpdate[];
 	/**
-	All that the host's callers were admitted by other dispatchers in the last window; absent: it was told before, or is not known.
+	What other dispatchers admitted of the host's callers in the last window; absent when it was reported before or is not known.
 	*/
 	readonly uses?: readonly allotments.PastUse[];
 	/**
-	Entry hosts that serve callers, as far as the host knows.
+	Number of entry hosts that serve callers, as far as the reporting host knows.
 	*/
 	readonly entryHosts?: number;
 };
 
 /**
-What upstreams of a service advertised.
+What the upstreams of a service advertise.
 */
 export type ServiceUpdates = {
 	readonly service: core.ServiceName;
@@ -188,7 +189,7 @@
 };
 
 /**
-What a dispatcher believes of an upstream.
+A dispatcher's doubt about an upstream: 0 for none, higher the more its failures speak against it.
 */
 export type Belief = {
 	readonly service: core.ServiceName;
@@ -197,7 +198,7 @@
 };
 
 /**
-A command on its way to the leader, and its answer. `unknown`: it may have been taken.
+The answer of a control host to a proposed command. `unknown`: the command may have been applied.
 */
 export type ProposalAnswer =
 	| {readonly kind: 'applied'; readonly version: number}
@@ -212,12 +213,12 @@
 	| {readonly kind: 'not-leader'; readonly leader: core.HostId | null};
 
 /**
-A message of the replicated group.
+A message between the replicas of the control group.
 */
 export type GroupMessage = replication.GroupMessage;
 
 /**
-A generation as entry hosts get it; null before the first.
+A generation as entry hosts fetch it; null before the first.
 */
 export type FetchedGeneration = {readonly generation: generations.Generation | null};
 
--- a/packages/wagtailroute-fleet/src/registry.ts
+++ b/packages/wagtailroute-fleet/src/registry.ts
@@ -1,8 +1,8 @@
 /**
-Instances of upstreams on a control host: from heartbeats that come here, and from those that came to other control hosts.
+The registry of upstream instances on a control host, from heartbeats that this host receives and those that other control hosts relay.
 
-Each heartbeat is told to all other control hosts, once. What was lost on the way is made good by the next heartbeat. Entry
-hosts that follow this host are told of changes only.
+Each heartbeat is relayed to all other control hosts once. A relayed heartbeat that is lost is not sent again: the next one replaces it.
+Entry hosts that follow this host receive changes only.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -28,46 +28,58 @@
 } from './messages.ts';
 
 /**
-The registry of a control host.
+The instances that a control host knows.
 */
 export type InstanceRegistry = {
 	/**
-	Takes a heartbeat from its sender.
+	Handles a heartbeat that its sender sent to this host, and relays it unless it is stale.
 	*/
 	readonly receiveHeartbeat: (heartbeat: instances.Heartbeat) => instances.Reception;
 	/**
-	Takes heartbeats that another control host was sent.
+	Applies heartbeats that another control host received.
 	*/
 	readonly receiveRelayed: (batch: HeartbeatBatch) => void;
 	/**
-	Takes what another control host knows: heartbeats were missed while there was no link to it.
+	Fetches and applies the instances that another control host knows: its heartbeats were not relayed here while there was no link.
 	*/
 	readonly catchUp: (from: link.Link) => Promise<void>;
+	/**
+	Applies a retirement; it is final.
+	*/
 	readonly retire: (retirement: generations.Retirement) => void;
 	readonly listCandidates: (service: core.ServiceName) => readonly dispatch.Candidate[];
 	/**
-	Everything, as news to a host that knows nothing.
+	Returns all instances and retirements, as the changes for a host that knows none.
 	*/
 	readonly getSnapshot: () => InstanceChanges;
+	/**
+	Sends every change over this link from now on.
+	*/
 	readonly follow: (follower: link.Link) => void;
 	readonly unfollow: (follower: link.Link) => void;
 	readonly countInstances: () => number;
 	/**
-	Resolves once what was kept on disk is known.
+	Resolves once the instances stored on disk are loaded.
 	*/
 	readonly loaded: Promise<void>;
 	/**
-	Returns the newest start of a server that is known, in Unix milliseconds; 0 when it is unknown or told none.
+	Returns the latest known start of a server in Unix milliseconds; 0 when the server is unknown or its heartbeats give no start.
 	*/
 	readonly findLatestStart: (server: string) => number;
 	readonly teardown: utils.Teardown;
 };
 
 /**
-What the registry tells.
+What the registry depends on.
 */
 export type InstanceRegistryOptions = {
+	/**
+	Sends a message to the other control hosts.
+	*/
 	readonly notifyControls: (method: string, parameters: unknown) => void;
+	/**
+	Called when the candidates of a service may have changed.
+	*/
 	readonly onChanged: (service: core.ServiceName) => void;
 	readonly store: InstanceStore;
 };
@@ -75,7 +87,7 @@
 const EMPTY_BATCH: HeartbeatBatch = {news: [], refreshed: []};
 
 /**
-Creates the registry.
+Creates the registry and starts to load the stored instances.
 */
 export function startInstanceRegistry(context: FleetContext, {notifyControls, onChanged, store}: InstanceRegistryOptions): InstanceRegistry {
 	const {now} = context;
@@ -86,9 +98,9 @@
 	const retirements = new Map<core.UpstreamId, generations.RetirementState>();
 	let pendingBatch: HeartbeatBatch = EMPTY_BATCH;
 
-	const notifyFollowers = (news: InstanceChanges) => {
+	const notifyFollowers = (changes: InstanceChanges) => {
 		for (const follower of followers) {
-			follower.notify(METHODS.instancesChanged, news);
+			follower.notify(METHODS.instancesChanged, changes);
 		}
 	};
 
@@ -104,7 +116,7 @@
 	}));
 
 	const scheduleSave = utils.coalesce(context.schedule, INSTANCES_SAVE_DELAY_MILLISECONDS, () => {
-		// One that drains would come back as serving.
+		// A draining instance would be loaded as serving after a restart, since its state is not stored.
 		void store.save(listHeartbeats().filter(({upstream}) => !retirements.has(upstream)));
 	});
 
@@ -116,7 +128,7 @@
 	const scheduleFlush = utils.coalesce(context.schedule, RELAY_BATCH_MILLISECONDS, flushBatch);
 
 	/**
-	News go at once, what changes nothing is collected: it is most of all heartbeats.
+	Relays a heartbeat: at once if it changes something, otherwise in a batch, since most heartbeats change nothing.
 	*/
 	const relay = (heartbeat: instances.Heartbeat, reception: instances.Reception) => {
 		if (reception === 'news') {
@@ -129,16 +141,16 @@
 		scheduleFlush();
 	};
 
-	const applyHeartbeat = (heartbeat: instances.Heartbeat, heardAt: number) => {
-		const reception = table.take(heartbeat, heardAt);
+	const applyHeartbeat = (heartbeat: instances.Heartbeat, receivedAt: number) => {
+		const reception = table.take(heartbeat, receivedAt);
 		const wasSilent = reception !== 'stale' && silentUpstreams.delete(heartbeat.upstream);
 		if (reception === 'news') {
 			const {upstream, service, address, slots, sequence, failureDomain} = heartbeat;
-			log.info('Instance heard.', {
+			log.info('Instance is new or changed.', {
 				upstream, service, address: `${address.ip}:${address.port}`, slots, sequence, failureDomain,
 			});
 			scheduleSave();
-			notifyFollowers({heard: [{...heartbeat, ageMilliseconds: now() - heardAt}], forgotten: [], retirements: []});
+			notifyFollowers({heard: [{...heartbeat, ageMilliseconds: now() - receivedAt}], forgotten: [], retirements: []});
 		}
 
 		if (reception === 'news' || wasSilent) {
@@ -155,12 +167,12 @@
 	};
 
 	/**
-	Silence alone takes no upstream out: it only ends the trials of one that failed as well.
+	Removes instances after a long silence. A shorter one removes no upstream from dispatch: it only ends the trials of an upstream that has failed as well.
 	*/
 	const checkSilence = () => {
 		const forgotten = table.forgetSilent(now());
 		if (forgotten.length > 0) {
-			log.info('Instances forgotten.', {upstreams: forgotten});
+			log.info('Instances removed after a long silence.', {upstreams: forgotten});
 			notifyFollowers({heard: [], forgotten, retirements: []});
 		}
 
@@ -172,7 +184,7 @@
 
 			silentUpstreams.add(instance.upstream);
 			changed.add(instance.service);
-			log.warn('Instance silent.', {upstream: instance.upstream, service: instance.service, ageMilliseconds: Math.round(now() - instance.heardAt)});
+			log.warn('Instance became silent.', {upstream: instance.upstream, service: instance.service, ageMilliseconds: Math.round(now() - instance.heardAt)});
 		}
 
 		for (const service of changed) {
@@ -202,7 +214,7 @@
 			applyRelayed(batch.news);
 
 			for (const [upstream, sequence, age] of batch.refreshed) {
-				// One that is unknown here comes with the list that is fetched when a link opens.
+				// An instance that is unknown here is part of the list that is fetched when a link opens.
 				const known = table.get(upstream);
 				if (known !== undefined) {
 					applyHeartbeat({...known, sequence, warmupMilliseconds: Math.max(0, known.warmAt - now())}, now() - age);
@@ -216,8 +228,8 @@
 		retire({upstream, state}) {
 			const service = table.get(upstream)?.service;
 			utils.setBounded(retirements, upstream, state, generations.RETIREMENTS_KEPT);
-			const isNews = table.retire(upstream, state);
-			if (service === undefined || !isNews) {
+			const isChanged = table.retire(upstream, state);
+			if (service === undefined || !isChanged) {
 				return;
 			}
 
--- a/packages/wagtailroute-fleet/src/settings.ts
+++ b/packages/wagtailroute-fleet/src/settings.ts
@@ -1,5 +1,5 @@
 /**
-Settings of the hosts of a fleet whose slots are dispatched.
+Settings of entry hosts and control hosts.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -10,11 +10,11 @@
 export type ControlHost = {
 	readonly id: core.HostId;
 	/**
-	Where it takes links.
+	Address at which it accepts links.
 	*/
 	readonly address: core.Address;
 	/**
-	Absent for a seed that was not heard yet.
+	Absent for a seed that has not answered yet.
 	*/
 	readonly failureDomain?: core.FailureDomain;
 };
@@ -25,63 +25,63 @@
 export type StandbyHost = Required<ControlHost>;
 
 /**
-What every host is started with.
+Settings of every host.
 */
 export type FleetSettings = {
 	readonly hostId: core.HostId;
 	readonly failureDomain: core.FailureDomain;
 	/**
-	Control hosts to begin with. The same list on all hosts at the first start of a fleet.
+	Control hosts that a host contacts first. All hosts must have the same list at the first start of a fleet.
 	*/
 	readonly seeds: readonly ControlHost[];
 	readonly budget: dispatch.BudgetSettings;
 	/**
-	Part of a service's upstreams, 0 to 1, that stay in use whatever speaks against them.
+	Part of a service's upstreams, 0 to 1, that stay in use however often they fail.
 	*/
 	readonly floor: number;
 	/**
-	How organisations' use of their allotments is judged.
+	How organisations' use of their allotments is limited.
 	*/
 	readonly allotments: {
 		/**
-		Requests that may pass in a window beyond an allotment.
+		Requests that are admitted in a window beyond an allotment.
 		*/
 		readonly slack: number;
 		readonly windowMilliseconds: number;
 	};
 	/**
-	How dispatchers decide; the default policy when absent.
+	Policy of the dispatcher; the default policy when absent.
 	*/
 	readonly policy?: dispatch.Policy;
 };
 
 /**
-What an entry host is started with.
+Settings of an entry host.
 */
 export type EntrySettings = FleetSettings & {
 	readonly trafficAddress: core.Address;
 	/**
-	Where it takes links of other hosts, when it dispatches for them.
+	Address at which it accepts links of other hosts, for which it may dispatch.
 	*/
 	readonly linkAddress: core.Address;
 	/**
-	What the host's link carries in each direction.
+	Capacity of the host's link in each direction.
 	*/
 	readonly linkBytesPerSecond: number;
 	/**
-	Milliseconds from the signal to stop to the end.
+	Milliseconds from the signal to stop until the process must have ended.
 	*/
 	readonly stopMilliseconds: number;
 };
 
 /**
-What a control host is started with.
+Settings of a control host.
 */
 export type ControlSettings = FleetSettings & {
 	readonly linkAddress: core.Address;
 	readonly dataFolder: string;
 	/**
-	The whole fleet starts for the first time, with empty disks.
+	Whether the whole fleet starts for the first time, with empty disks.
 	*/
 	readonly isFirstStart: boolean;
 };
--- a/packages/wagtailroute-fleet/src/slot-request-encoding.ts
+++ b/packages/wagtailroute-fleet/src/slot-request-encoding.ts
@@ -1,9 +1,9 @@
 /**
-The short form in which asks and their answers travel.
+The compact encoding of slot requests and their answers between hosts, which call a slot request an ask.
 
-Each request costs one ask, one answer and one end between failure domains, where bytes may be dear: spelled out they are 700
-bytes, in this form 150. What all requests of a route have in common is told once for each link; a host and its failure domain are
-known from the link's first message.
+Each request costs one ask, one answer and one end between failure domains, where traffic may be expensive: with named properties they
+take 700 bytes, in this encoding 150. What all requests of a route have in common is sent once over each link; a host and its failure
+domain are known from the link's first message.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -12,28 +12,28 @@
 import type {SlotAnswer} from './messages.ts';
 
 /**
-What all asks of a route have in common.
+What all slot requests of a route have in common.
 */
 export type RouteParameters = Pick<dispatch.Ask, 'service' | 'route' | 'requestClass' | 'priority' | 'objectiveMilliseconds'>;
 
 /**
-A route told to a dispatcher: its number on this link, and what it stands for.
+A route as it is announced to a dispatcher: the number that stands for it on this link, and its parameters.
 */
 export type NumberedRoute = readonly [number: number, route: RouteParameters];
 
 /**
-An organisation told to a dispatcher: its number on this link, and its name.
+An organisation as it is announced to a dispatcher: the number that stands for it on this link, and its name.
 */
 export type NumberedOrganisation = readonly [number: number, organisation: core.Organisation];
 
 /**
-The numbers of a route and, where the catalogue has organisations, of the caller's.
+The number of a route on this link, with that of the caller's organisation where the catalogue has organisations.
 */
 export type RouteReference = number | readonly [route: number, organisation: number];
 
 /**
-An ask: its number on the asking host, where it comes from, and the milliseconds until its deadline; for a resend the
-upstreams that had the request; for a caller that has waited, for how many milliseconds; whether another dispatcher was asked before.
+A slot request: its number on the requesting host, its route and organisation, and the milliseconds until its deadline; for a resend the
+upstreams that have received the request; the milliseconds that its caller has waited; whether the slot was requested of another dispatcher before.
 */
 export type EncodedSlotRequest = readonly [
 	number: number,
@@ -47,7 +47,7 @@
 ];
 
 /**
-An answer: a granted upstream and its address, a refusal with the milliseconds until a resend makes sense, "wait", or "elsewhere".
+An answer: a granted upstream with its address and 1 for a trial, a refusal with the milliseconds until a resend makes sense, "wait", or "elsewhere".
 */
 export type EncodedAnswer =
 	| readonly ['grant', core.UpstreamId, string, number]
@@ -56,7 +56,7 @@
 	| readonly ['elsewhere'];
 
 /**
-The end of a granted request.
+The end of a granted request, with the milliseconds from the send to the answer's header section.
 */
 export type EncodedEnd = readonly [number: number, ending: dispatch.Ending, milliseconds: number];
 
@@ -66,31 +66,31 @@
 export type EncodedAdvertisements = readonly [number: number, advertisements: readonly core.Advertisement[]];
 
 /**
-Returns the fleet's name of an ask.
+Returns the identifier of a slot request, unique in the fleet.
 */
 export function createSlotRequestId(host: core.HostId, number: number): dispatch.AskId {
 	return `${host}:${number}`;
 }
 
 /**
-Returns the number that an ask has on its host.
+Returns the number that a slot request has on its host.
 */
 export function getSlotRequestNumber(id: dispatch.AskId): number {
 	return Number(id.slice(id.lastIndexOf(':') + 1));
 }
 
 /**
-Numbers what is told once over each link.
+Assigns numbers to items that are announced once over each link.
 */
 export type LinkNumbering<Item> = {
 	/**
-	Returns the number of an item, and whether the other side must be told it first.
+	Returns the number of an item, and whether it is new and must be announced first.
 	*/
 	readonly assign: (over: link.Link, item: Item) => {readonly number: number; readonly isNew: boolean};
 };
 
 /**
-Creates an empty table of routes. A route that changed has a number of its own.
+Creates the numbering of routes. A route whose parameters have changed gets a new number.
 */
 export function createRouteNumbering(): LinkNumbering<RouteParameters> {
 	return createLinkNumbering(({service, route, requestClass, priority, objectiveMilliseconds}) =>
@@ -98,7 +98,7 @@
 }
 
 /**
-Creates an empty table of organisations.
+Creates the numbering of organisations.
 */
 export function createOrganisationNumbering(): LinkNumbering<core.Organisation> {
 	return createLinkNumbering(organisation => organisation);
@@ -124,7 +124,7 @@
 }
 
 /**
-Returns the part of an ask that all of its route have in common.
+Returns the part of a slot request that all requests of its route have in common.
 */
 export function getRouteParameters({service, route, requestClass, priority, objectiveMilliseconds}: dispatch.Ask): RouteParameters {
 	return {
@@ -133,7 +133,7 @@
 }
 
 /**
-Shortens an ask.
+Encodes a slot request. Times are rounded down to whole milliseconds; trailing items that have their default are left out.
 */
 export function encodeSlotRequest(request: dispatch.Ask, reference: RouteReference): EncodedSlotRequest {
 	const remaining = Math.floor(request.remainingMilliseconds);
@@ -147,7 +147,9 @@
 }
 
 /**
-Restores an ask.
+Decodes a slot request.
+
+@param from Requesting host, and the organisation that the request's reference stands for.
 */
 export function decodeSlotRequest(
 	[number, , remainingMilliseconds, excluded = [], isResend = false, isMove = false, waitedMilliseconds = 0, isAgain]: EncodedSlotRequest,
@@ -171,14 +173,14 @@
 };
 
 /**
-Shortens an answer.
+Encodes an answer. The milliseconds of a refusal are rounded up.
 */
 export function encodeAnswer(answer: SlotAnswer): EncodedAnswer {
 	return ANSWER_ENCODERS[answer.kind](answer as never);
 }
 
 /**
-Restores an answer.
+Decodes an answer.
 */
 export function decodeAnswer(answer: EncodedAnswer): SlotAnswer {
 	if (answer[0] === 'wait' || answer[0] === 'elsewhere') {
@@ -191,7 +193,7 @@
 
 	const [, upstream, address, trial] = answer;
 	const separator = address.lastIndexOf(':');
-	utils.invariant(separator > 0, 'a dispatcher grants an address with a port');
+	utils.invariant(separator > 0, 'the granted address has no port');
 	return {
 		kind: 'grant',
 		upstream,
--- a/packages/wagtailroute-fleet/src/slot-request-methods.ts
+++ b/packages/wagtailroute-fleet/src/slot-request-methods.ts
@@ -1,5 +1,6 @@
 /**
-The asks that come over the links of a dispatcher: each link's routes and organisations, and the host at its other end.
+The methods of a dispatcher that other hosts call over their links to request slots. Routes and organisations are announced once for each link and
+then referred to by number.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -20,7 +21,7 @@
 import {type HandoverReport, METHODS} from './messages.ts';
 
 /**
-Who asks over a link.
+The host at the other end of a link.
 */
 export type RequestingHost = {
 	readonly id: core.HostId;
@@ -28,8 +29,10 @@
 };
 
 /**
-Creates the methods by which hosts ask. A host that was not greeted, or a route or an organisation that was not told, is a defect of the asking
-host: the call fails, and the host dispatches alone.
+Creates the methods. A call from a host that has sent no hello, or with a route or an organisation that was not announced, is a defect of the
+requesting host: the call fails, and that host dispatches alone.
+
+@param findHost Returns the host that sent its hello over a link.
 */
 export function createSlotRequestMethods(
 	dispatcher: HostDispatcher,
@@ -39,12 +42,12 @@
 	const organisations = createLinkItems<core.Organisation>();
 
 	const getHost = (from: link.Link) => {
-		const asker = findHost(from);
-		if (asker === undefined) {
+		const host = findHost(from);
+		if (host === undefined) {
 			throw new UnknownRequestingHost();
 		}
 
-		return asker;
+		return host;
 	};
 
 	const decode = (request: EncodedSlotRequest, from: link.Link): dispatch.Ask => {
@@ -77,28 +80,28 @@
 		[METHODS.advertised]([number, advertisements]: EncodedAdvertisements, from: link.Link) {
 			dispatcher.recordAdvertisements(createSlotRequestId(getHost(from).id, number), advertisements);
 		},
-		[METHODS.hold](holding: HandoverReport, from: link.Link) {
-			dispatcher.applyHandover(getHost(from).id, holding);
+		[METHODS.hold](report: HandoverReport, from: link.Link) {
+			dispatcher.applyHandover(getHost(from).id, report);
 		},
 	};
 }
 
 /**
-The other side was not greeted.
+No hello came over this link.
 */
 class UnknownRequestingHost extends Error {
 	override readonly name = 'UnknownRequestingHost';
 }
 
 /**
-The route or the organisation was not told over this link.
+The route or the organisation was not announced over this link.
 */
 class UnknownRouteReference extends Error {
 	override readonly name = 'UnknownRouteReference';
 }
 
 /**
-What was told over each link, by number.
+The items that were announced over each link, by number.
 */
 type LinkItems<Item> = {
 	readonly get: (from: link.Link, number: number) => Item | undefined;
