--- a/packages/wagtailroute-fleet/src/__tests__/unit/allotting.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/allotting.test.ts
@@ -56,7 +56,7 @@
 		}],
 		listStandbys: () => [],
 		notify: () => undefined,
-		notifyControls: () => undefined,
+		notifyControlHosts: () => undefined,
 	});
 	await context.pass(FILLED_MILLISECONDS);
 	let count = 0;
--- a/packages/wagtailroute-fleet/src/__tests__/unit/asking.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/asking.test.ts
@@ -53,7 +53,7 @@
 		notify(_host, _method, parameters) {
 			asking.hearAnswer(...parameters as [number, EncodedAnswer]);
 		},
-		notifyControls: () => undefined,
+		notifyControlHosts: () => undefined,
 	});
 	const asking = createAsking(context, {
 		settings: {hostId: 'front', failureDomain: 'x', allotments: fixture.ALLOTMENTS},
--- a/packages/wagtailroute-fleet/src/__tests__/unit/belief-store.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/belief-store.test.ts
@@ -60,7 +60,7 @@
 		})),
 		listStandbys: () => [],
 		notify: () => undefined,
-		notifyControls: () => undefined,
+		notifyControlHosts: () => undefined,
 	});
 	dispatcher.mergeBeliefs([...BELIEFS, {service: 'archive', upstream: 'v', doubt: 3.2}], 1500);
 	t.deepEqual(dispatcher.listUpstreamReports('archive').map(({upstream, isSuspended}) => [upstream, isSuspended]), [['u', true], ['v', false]]);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/host-dispatcher.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/host-dispatcher.test.ts
@@ -36,7 +36,7 @@
 		notify(host, method, parameters) {
 			sent.push({host, method, parameters});
 		},
-		notifyControls: () => undefined,
+		notifyControlHosts: () => undefined,
 	});
 	let count = 0;
 	/**
--- a/packages/wagtailroute-fleet/src/__tests__/unit/registry.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/registry.test.ts
@@ -30,7 +30,7 @@
 		},
 	};
 	const registry = startInstanceRegistry(context, {
-		notifyControls(_method, parameters) {
+		notifyControlHosts(_method, parameters) {
 			relayed.push(parameters as HeartbeatBatch);
 		},
 		onChanged: () => undefined,
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -311,7 +311,7 @@
 Milliseconds for which changes of the linked control hosts are batched before their list is sent to all hosts: when a fleet starts, each of 15
 control hosts opens 14 links within a tenth of a second, and a list for each link takes 58,000 messages to 277 entry hosts.
 */
-export const CONTROLS_BATCH_MILLISECONDS = 50;
+export const CONTROL_HOSTS_BATCH_MILLISECONDS = 50;
 
 /**
 Milliseconds after a change of the instances before connections to addresses that are gone are closed.
--- a/packages/wagtailroute-fleet/src/control.ts
+++ b/packages/wagtailroute-fleet/src/control.ts
@@ -15,7 +15,7 @@
 import {createBeliefStore} from './belief-store.ts';
 import {
 	BELIEFS_SAVE_DELAY_MILLISECONDS,
-	CONTROLS_BATCH_MILLISECONDS,
+	CONTROL_HOSTS_BATCH_MILLISECONDS,
 	STANDBYS_BATCH_MILLISECONDS,
 	STANDBYS_PER_SERVICE,
 } from './constants.ts';
@@ -85,7 +85,7 @@
 	const entryHosts = createEntryHosts(settings.failureDomain, context.now);
 	const methods = new Map<string, link.LinkMethod>();
 	const registry = startInstanceRegistry(context, {
-		notifyControls(method, parameters) {
+		notifyControlHosts(method, parameters) {
 			links.notifyAll(method, parameters);
 		},
 		onChanged(service) {
@@ -121,7 +121,7 @@
 		notify(host, method, parameters) {
 			entryHosts.find(host)?.link.notify(method, parameters);
 		},
-		notifyControls(method, parameters) {
+		notifyControlHosts(method, parameters) {
 			links.notifyAll(method, parameters);
 			saveBeliefs();
 		},
@@ -145,11 +145,11 @@
 		standbys = chosen;
 		entryHosts.notifyAll(messages.METHODS.standbys, standbys);
 	});
-	const listControls = () => [self, ...links.getOpen().map(open => open.host)];
+	const listControlHosts = () => [self, ...links.getOpen().map(open => open.host)];
 	const getVersion = () => group.getStored()?.generation.version ?? 0;
 
-	const publishControls = utils.coalesce(context.schedule, CONTROLS_BATCH_MILLISECONDS, () => {
-		const controls = listControls();
+	const publishControlHosts = utils.coalesce(context.schedule, CONTROL_HOSTS_BATCH_MILLISECONDS, () => {
+		const controls = listControlHosts();
 		entryHosts.notifyAll(messages.METHODS.controls, controls);
 		links.notifyAll(messages.METHODS.controls, controls);
 	});
@@ -171,7 +171,7 @@
 			}
 
 			return {
-				failureDomain: settings.failureDomain, controls: listControls(), standbys, directory: directory.getTable(), version: getVersion(),
+				failureDomain: settings.failureDomain, controls: listControlHosts(), standbys, directory: directory.getTable(), version: getVersion(),
 			} satisfies messages.Welcome;
 		},
 		[messages.METHODS.state](state: messages.EntryState, from: link.Link) {
@@ -217,12 +217,12 @@
 		createHello: () => ({id: settings.hostId, failureDomain: settings.failureDomain, control: self}),
 		methods,
 		onOpen({link: opened}) {
-			publishControls();
+			publishControlHosts();
 			opened.notify(messages.METHODS.beliefs, dispatcher.listBeliefs());
 			sendUpdates(opened, dispatcher);
 			void registry.catchUp(opened);
 		},
-		onLost: publishControls,
+		onLost: publishControlHosts,
 	});
 	const group = startControlGroup(context, {
 		settings,
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -153,7 +153,7 @@
 				asking.hearAnswer(...parameters as [number, EncodedAnswer]);
 			}
 		},
-		notifyControls(method, parameters) {
+		notifyControlHosts(method, parameters) {
 			// What one host alone holds against an upstream may be its own path's fault.
 			if (askers.count() > 0) {
 				links.notifyAll(method, parameters);
--- a/packages/wagtailroute-fleet/src/host-dispatcher.ts
+++ b/packages/wagtailroute-fleet/src/host-dispatcher.ts
@@ -126,7 +126,7 @@
 	/**
 	Sends a message to the other control hosts: one of them is the next dispatcher of the service, and each answers directory look-ups.
 	*/
-	readonly notifyControls: (method: string, parameters: unknown) => void;
+	readonly notifyControlHosts: (method: string, parameters: unknown) => void;
 };
 
 type EffectHandlers = {
--- a/packages/wagtailroute-fleet/src/peer-updates.ts
+++ b/packages/wagtailroute-fleet/src/peer-updates.ts
@@ -50,7 +50,7 @@
 	/**
 	Sends a message to the other control hosts.
 	*/
-	readonly notifyControls: (method: string, parameters: unknown) => void;
+	readonly notifyControlHosts: (method: string, parameters: unknown) => void;
 };
 
 /**
@@ -68,7 +68,7 @@
 			options.notify(host, method, parameters);
 		}
 
-		options.notifyControls(method, parameters);
+		options.notifyControlHosts(method, parameters);
 	};
 
 	const notifyRequestingHosts = utils.coalesce(schedule, BELIEF_BATCH_MILLISECONDS, () => {
--- a/packages/wagtailroute-fleet/src/registry.ts
+++ b/packages/wagtailroute-fleet/src/registry.ts
@@ -76,7 +76,7 @@
 	/**
 	Sends a message to the other control hosts.
 	*/
-	readonly notifyControls: (method: string, parameters: unknown) => void;
+	readonly notifyControlHosts: (method: string, parameters: unknown) => void;
 	/**
 	Called when the candidates of a service may have changed.
 	*/
@@ -89,7 +89,7 @@
 /**
 Creates the registry and starts to load the stored instances.
 */
-export function startInstanceRegistry(context: FleetContext, {notifyControls, onChanged, store}: InstanceRegistryOptions): InstanceRegistry {
+export function startInstanceRegistry(context: FleetContext, {notifyControlHosts, onChanged, store}: InstanceRegistryOptions): InstanceRegistry {
 	const {now} = context;
 	const log = context.logs('instances');
 	const table = instances.createInstanceTable();
@@ -121,7 +121,7 @@
 	});
 
 	const flushBatch = () => {
-		notifyControls(METHODS.heard, pendingBatch);
+		notifyControlHosts(METHODS.heard, pendingBatch);
 		pendingBatch = EMPTY_BATCH;
 	};
 
--- a/packages/wagtailroute-lab/src/fleet.ts
+++ b/packages/wagtailroute-lab/src/fleet.ts
@@ -432,7 +432,7 @@
 					over?.notify(method, parameters);
 				}
 			},
-			notifyControls(method, parameters) {
+			notifyControlHosts(method, parameters) {
 				tellControls({method, parameters});
 			},
 		});
