--- a/packages/wagtailroute-fleet/src/__tests__/unit/dispatch-client.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/dispatch-client.test.ts
@@ -4,9 +4,9 @@
 import test from 'ava';
 import type * as dispatch from 'wagtailroute-dispatch';
 import {createDispatchClient} from '../../dispatch-client.ts';
-import type {ShortAnswer, ShortAsk} from '../../ask-wire.ts';
+import type {EncodedAnswer, EncodedSlotRequest} from '../../slot-request-encoding.ts';
 import type {LinkedHost} from '../../control-links.ts';
-import {startDispatching} from '../../dispatching.ts';
+import {startHostDispatcher} from '../../host-dispatcher.ts';
 import {orderDispatchers} from '../../dispatch-order.ts';
 import * as fixture from './fixture.ts';
 
@@ -45,15 +45,15 @@
 	const retired = new Set<string>();
 	const delay = {milliseconds: 0};
 	const controls = [control, ...others];
-	const own = startDispatching(context, {
+	const own = startHostDispatcher(context, {
 		...fixture.ONLY_DISPATCHER,
 		settings: {budget: {ratio: 0.2, extra: 2, windowMilliseconds: 10_000}, floor: 0.7},
 		listCandidates: () => [CANDIDATE],
 		listStandbys: () => [],
 		notify(_host, _method, parameters) {
-			client.handleAnswer(...parameters as [number, ShortAnswer]);
+			client.handleAnswer(...parameters as [number, EncodedAnswer]);
 		},
-		tellControls: () => undefined,
+		notifyControlHosts: () => undefined,
 	});
 	const client = createDispatchClient(context, {
 		settings: {hostId: 'front', failureDomain: 'x', allotments: fixture.ALLOTMENTS},
@@ -191,7 +191,7 @@
 for (const {name, advertisement, endsAfter} of CLOSURES) {
 	test(`a slot at an upstream that ${name} is given back and another one is requested`, async t => {
 		// Guards against dispatchers that grant slots at an upstream because they do not know what it advertised to the host.
-		const {client, link, context} = setUp((_method, ask: ShortAsk) => ask[3]?.includes('u') === true ? ['grant', 'v', '10.0.0.5:80', 0] : GRANT);
+		const {client, link, context} = setUp((_method, ask: EncodedSlotRequest) => ask[3]?.includes('u') === true ? ['grant', 'v', '10.0.0.5:80', 0] : GRANT);
 		const first = await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer;
 		t.like(first, {kind: 'grant', upstream: 'u'});
 		client.recordAdvertisements('front:1', [advertisement]);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
@@ -9,7 +9,7 @@
 import * as utils from 'wagtailroute-utils';
 import type {SlotRequestDraft} from '../../dispatch-client.ts';
 import type {FleetContext} from '../../context.ts';
-import type {DispatchingPlan} from '../../dispatching.ts';
+import type {HostDispatcherOptions} from '../../host-dispatcher.ts';
 import type {FleetSettings} from '../../settings.ts';
 
 /**
@@ -31,8 +31,8 @@
 /**
 Options of a dispatcher that is the only one of its fleet.
 */
-export const ONLY_DISPATCHER: Pick<DispatchingPlan, 'requestShare' | 'isTold'> = {
-	requestShare: {record: () => undefined, get: () => 1, getHostShare: () => 1}, isTold: true,
+export const ONLY_DISPATCHER: Pick<HostDispatcherOptions, 'requestShare' | 'isReceivingUpdates'> = {
+	requestShare: {record: () => undefined, get: () => 1, getHostShare: () => 1}, isReceivingUpdates: true,
 };
 
 /**
--- a/packages/wagtailroute-fleet/src/__tests__/unit/registry.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/registry.test.ts
@@ -1,11 +1,11 @@
 /**
-Tests of the registry of a control host: what it tells, what it keeps, and what does not come back.
+Tests of the registry of a control host: what it relays, what it saves, and what a restart must not bring back.
 */
 import test from 'ava';
 import type * as instances from 'wagtailroute-instances';
 import type {InstanceStore} from '../../instance-store.ts';
-import type {HeartbeatBatch, InstanceNews} from '../../messages.ts';
-import {type Registry, startRegistry} from '../../registry.ts';
+import type {HeartbeatBatch, InstanceChanges} from '../../messages.ts';
+import {type InstanceRegistry, startInstanceRegistry} from '../../registry.ts';
 import * as fixture from './fixture.ts';
 
 const HEARTBEAT: instances.Heartbeat = {
@@ -14,14 +14,14 @@
 
 type Setup = {
 	readonly context: fixture.FakeContext;
-	readonly registry: Registry;
-	readonly told: HeartbeatBatch[];
+	readonly registry: InstanceRegistry;
+	readonly relayed: HeartbeatBatch[];
 	readonly saved: Array<readonly instances.Heartbeat[]>;
 };
 
 function setUp(kept: readonly instances.Heartbeat[] = []): Setup {
 	const context = fixture.createFakeContext();
-	const told: HeartbeatBatch[] = [];
+	const relayed: HeartbeatBatch[] = [];
 	const saved: Array<readonly instances.Heartbeat[]> = [];
 	const store: InstanceStore = {
 		load: async () => kept,
@@ -29,47 +29,46 @@
 			saved.push(heartbeats);
 		},
 	};
-	const registry = startRegistry(context, {
-		tellControls(_method, parameters) {
-			told.push(parameters as HeartbeatBatch);
+	const registry = startInstanceRegistry(context, {
+		notifyControlHosts(_method, parameters) {
+			relayed.push(parameters as HeartbeatBatch);
 		},
 		onChanged: () => undefined,
 		store,
 	});
 	return {
-		context, registry, told, saved,
+		context, registry, relayed, saved,
 	};
 }
 
-const listNames = (registry: Registry) => registry.listCandidates('archive').map(({upstream}) => upstream);
+const listNames = (registry: InstanceRegistry) => registry.listCandidates('archive').map(({upstream}) => upstream);
 
-test('news are told at once and whole, what changes nothing later and short', async t => {
-	const {context, registry, told} = setUp();
-	registry.take(HEARTBEAT);
-	registry.take({...HEARTBEAT, sequence: 2});
-	t.deepEqual(told, [{news: [{...HEARTBEAT, ageMilliseconds: 0}], refreshed: []}]);
+test('a heartbeat that changes something is relayed at once with its content, others later with their time only', async t => {
+	const {context, registry, relayed} = setUp();
+	registry.receiveHeartbeat(HEARTBEAT);
+	registry.receiveHeartbeat({...HEARTBEAT, sequence: 2});
+	t.deepEqual(relayed, [{news: [{...HEARTBEAT, ageMilliseconds: 0}], refreshed: []}]);
 	await context.pass(500);
-	t.deepEqual(told.at(-1), {news: [], refreshed: [['u', 2, 0]]});
+	t.deepEqual(relayed.at(-1), {news: [], refreshed: [['u', 2, 0]]});
 });
 
-test('what another control host heard counts here', t => {
+test('heartbeats that another control host relays are applied', t => {
 	const {registry} = setUp();
-	registry.takeRelayed({news: [{...HEARTBEAT, ageMilliseconds: 20}], refreshed: [['unknown', 3, 0]]});
+	registry.receiveRelayed({news: [{...HEARTBEAT, ageMilliseconds: 20}], refreshed: [['unknown', 3, 0]]});
 	t.deepEqual(listNames(registry), ['u']);
 });
 
-test('instances are there again after a restart', async t => {
+test('stored instances are candidates after a restart', async t => {
 	const {context, registry} = setUp([HEARTBEAT]);
 	await context.pass(1);
 	t.deepEqual(listNames(registry), ['u']);
 });
 
-test('one that was acknowledged as draining is not kept as serving', async t => {
-	// Symptom: after a restart of a control host, an upstream that drains gets requests for a moment.
-	// Sequence: it is heard and kept on disk; it is retired; the host restarts and reads the list before it hears the group.
-	// Cause: the list was only written anew when an instance came.
+test('an instance whose draining was acknowledged is not saved as serving', async t => {
+	// Guards against a file that is rewritten only when an instance is new: a control host that restarted after an upstream's retirement
+	// loaded it from the file as serving, and sent it requests until it received the retirement from the group.
 	const {context, registry, saved} = setUp();
-	registry.take(HEARTBEAT);
+	registry.receiveHeartbeat(HEARTBEAT);
 	await context.pass(1000);
 	registry.retire({upstream: 'u', state: 'draining'});
 	await context.pass(1000);
@@ -77,22 +76,22 @@
 	t.true(registry.listCandidates('archive')[0]?.isDraining);
 });
 
-test('a follower is told of changes and given everything at first', t => {
+test('a follower receives all instances at first and changes afterwards', t => {
 	const {registry} = setUp();
 	const follower = fixture.createFakeLink(() => undefined);
-	registry.take(HEARTBEAT);
-	t.deepEqual(registry.describeAll().heard.map(({upstream}) => upstream), ['u']);
+	registry.receiveHeartbeat(HEARTBEAT);
+	t.deepEqual(registry.getSnapshot().heard.map(({upstream}) => upstream), ['u']);
 	registry.follow(follower);
-	registry.take({...HEARTBEAT, sequence: 2});
+	registry.receiveHeartbeat({...HEARTBEAT, sequence: 2});
 	t.is(follower.notified.length, 0);
-	registry.take({...HEARTBEAT, upstream: 'v', address: {ip: '10.0.0.2', port: 80}});
-	t.deepEqual((follower.notified[0]?.[1] as InstanceNews).heard.map(({upstream}) => upstream), ['v']);
+	registry.receiveHeartbeat({...HEARTBEAT, upstream: 'v', address: {ip: '10.0.0.2', port: 80}});
+	t.deepEqual((follower.notified[0]?.[1] as InstanceChanges).heard.map(({upstream}) => upstream), ['v']);
 });
 
-test('an upstream that was silent and is heard again may be tried again', async t => {
+test('an upstream whose heartbeats resume may be tried again', async t => {
 	const {context, registry} = setUp();
-	registry.take(HEARTBEAT);
+	registry.receiveHeartbeat(HEARTBEAT);
 	await context.pass(5000);
-	registry.take({...HEARTBEAT, sequence: 2});
+	registry.receiveHeartbeat({...HEARTBEAT, sequence: 2});
 	t.false(registry.listCandidates('archive')[0]?.isSilent);
 });
--- a/packages/wagtailroute-fleet/src/allotment-enforcer.ts
+++ b/packages/wagtailroute-fleet/src/allotment-enforcer.ts
@@ -10,7 +10,7 @@
 import type {RequestShare} from './request-share.ts';
 import {MAX_ORGANISATION_LABELS, REFUSAL_LOG_INTERVAL_MILLISECONDS} from './constants.ts';
 import type {FleetContext} from './context.ts';
-import {type DecidedAnswer, METHODS} from './messages.ts';
+import {type SlotDecision, METHODS} from './messages.ts';
 import type {FleetSettings} from './settings.ts';
 
 /**
@@ -21,7 +21,7 @@
 	/**
 	Takes an ask from its organisation's allotment; a refusal when there is nothing left.
 	*/
-	readonly admit: (ask: dispatch.SlotRequest) => DecidedAnswer | undefined;
+	readonly admit: (ask: dispatch.SlotRequest) => SlotDecision | undefined;
 	/**
 	Gives back what was taken for an ask that was granted no place.
 	*/
--- a/packages/wagtailroute-fleet/src/dispatch-client.ts
+++ b/packages/wagtailroute-fleet/src/dispatch-client.ts
@@ -17,26 +17,26 @@
 } from './constants.ts';
 import {type Advertisements, type Closure, createAdvertisements} from './advertisements.ts';
 import {
-	type AskOrigin,
-	createAskId,
-	createOrganisationNumbers,
-	createRouteNumbers,
-	getAskedRoute,
-	getAskNumber,
-	type OrganisationTelling,
-	restoreAnswer,
-	type RouteTelling,
-	type ShortAdvertisements,
-	type ShortAnswer,
-	type ShortAsk,
-	shortenAsk,
-	type ShortEnd,
-} from './ask-wire.ts';
+	type RouteReference,
+	createSlotRequestId,
+	createOrganisationNumbering,
+	createRouteNumbering,
+	getRouteParameters,
+	getSlotRequestNumber,
+	type NumberedOrganisation,
+	decodeAnswer,
+	type NumberedRoute,
+	type EncodedAdvertisements,
+	type EncodedAnswer,
+	type EncodedSlotRequest,
+	encodeSlotRequest,
+	type EncodedEnd,
+} from './slot-request-encoding.ts';
 import type {FleetContext} from './context.ts';
 import type {LinkedHost} from './control-links.ts';
 import {createDispatcherFinder, type DispatcherFinder} from './dispatcher-finder.ts';
-import type {Dispatching} from './dispatching.ts';
-import {type AskAnswer, type DecidedAnswer, METHODS} from './messages.ts';
+import type {HostDispatcher} from './host-dispatcher.ts';
+import {type SlotAnswer, type SlotDecision, METHODS} from './messages.ts';
 import {createHeldSlots, type HeldSlot, type HeldSlots} from './held-slots.ts';
 import type {EntrySettings} from './settings.ts';
 import {createRecentUsage, type RecentUsage} from './recent-usage.ts';
@@ -46,13 +46,13 @@
 The final answer to a slot request: a granted slot, or a refusal.
 */
 export type FinalAnswer =
-	| (Extract<AskAnswer, {kind: 'grant'}> & {
+	| (Extract<SlotAnswer, {kind: 'grant'}> & {
 		/**
 		Identifies the granted slot when its end or an advertisement is reported.
 		*/
 		readonly id: dispatch.SlotRequestId;
 	})
-	| Extract<AskAnswer, {kind: 'refuse'}>;
+	| Extract<SlotAnswer, {kind: 'refuse'}>;
 
 /**
 A slot request in progress.
@@ -90,7 +90,7 @@
 	/**
 	Handles the final answer to a slot request that had to wait.
 	*/
-	readonly handleAnswer: (requestNumber: number, answer: ShortAnswer) => void;
+	readonly handleAnswer: (requestNumber: number, answer: EncodedAnswer) => void;
 	/**
 	Returns whether the dispatcher at the other end of a link still counts this host among its requesting hosts.
 	*/
@@ -115,7 +115,7 @@
 	/**
 	This host's own dispatcher. Its later decisions are passed to {@link DispatchClient.handleAnswer}.
 	*/
-	readonly ownDispatcher: Pick<Dispatching, 'ask' | 'cancel' | 'end' | 'recordAdvertisements' | 'applyUpdates' | 'takeOver'>;
+	readonly ownDispatcher: Pick<HostDispatcher, 'requestSlot' | 'cancel' | 'end' | 'recordAdvertisements' | 'applyUpdates' | 'applyPastUsage'>;
 	readonly isRetired: (upstream: core.UpstreamId) => boolean;
 	/**
 	Returns the milliseconds for which messages may wait behind large bodies on this host's own network link.
@@ -156,8 +156,8 @@
 	readonly #advertisements: Advertisements;
 	readonly #recentUses: RecentUsage;
 	readonly #finder: DispatcherFinder;
-	readonly #routeNumbers = createRouteNumbers();
-	readonly #organisationNumbers = createOrganisationNumbers();
+	readonly #routeNumbers = createRouteNumbering();
+	readonly #organisationNumbers = createOrganisationNumbering();
 	readonly #lastRequestAt = new WeakMap<link.Link, number>();
 	#lastRequestNumber = 0;
 	#isProbing = false;
@@ -225,7 +225,7 @@
 		if (dispatcher === undefined) {
 			this.#options.ownDispatcher.recordAdvertisements(id, advertisements);
 		} else {
-			dispatcher.link.notify(METHODS.advertised, [getAskNumber(id), advertisements] satisfies ShortAdvertisements);
+			dispatcher.link.notify(METHODS.advertised, [getSlotRequestNumber(id), advertisements] satisfies EncodedAdvertisements);
 		}
 	}
 
@@ -233,9 +233,9 @@
 		return this.#advertisements.findClosure(upstream) !== undefined;
 	}
 
-	handleAnswer(requestNumber: number, answer: ShortAnswer): void {
-		const pending = this.#pending.get(createAskId(this.#options.settings.hostId, requestNumber));
-		const restored = restoreAnswer(answer);
+	handleAnswer(requestNumber: number, answer: EncodedAnswer): void {
+		const pending = this.#pending.get(createSlotRequestId(this.#options.settings.hostId, requestNumber));
+		const restored = decodeAnswer(answer);
 		if (pending !== undefined && (restored.kind === 'grant' || restored.kind === 'refuse')) {
 			this.#settle(pending, restored);
 		}
@@ -253,27 +253,27 @@
 
 	#createId(): dispatch.SlotRequestId {
 		this.#lastRequestNumber++;
-		return createAskId(this.#options.settings.hostId, this.#lastRequestNumber);
+		return createSlotRequestId(this.#options.settings.hostId, this.#lastRequestNumber);
 	}
 
-	#encode(dispatcherLink: link.Link, request: dispatch.SlotRequest): ShortAsk {
-		return shortenAsk(request, this.#registerRoute(dispatcherLink, request));
+	#encode(dispatcherLink: link.Link, request: dispatch.SlotRequest): EncodedSlotRequest {
+		return encodeSlotRequest(request, this.#registerRoute(dispatcherLink, request));
 	}
 
-	#registerRoute(dispatcherLink: link.Link, request: dispatch.SlotRequest): AskOrigin {
-		const route = getAskedRoute(request);
-		const {number, isNew} = this.#routeNumbers.number(dispatcherLink, route);
+	#registerRoute(dispatcherLink: link.Link, request: dispatch.SlotRequest): RouteReference {
+		const route = getRouteParameters(request);
+		const {number, isNew} = this.#routeNumbers.assign(dispatcherLink, route);
 		if (isNew) {
-			dispatcherLink.notify(METHODS.route, [number, route] satisfies RouteTelling);
+			dispatcherLink.notify(METHODS.route, [number, route] satisfies NumberedRoute);
 		}
 
 		return request.organisation === undefined ? number : [number, this.#registerOrganisation(dispatcherLink, request.organisation)];
 	}
 
 	#registerOrganisation(dispatcherLink: link.Link, organisation: core.Organisation): number {
-		const {number, isNew} = this.#organisationNumbers.number(dispatcherLink, organisation);
+		const {number, isNew} = this.#organisationNumbers.assign(dispatcherLink, organisation);
 		if (isNew) {
-			dispatcherLink.notify(METHODS.organisation, [number, organisation] satisfies OrganisationTelling);
+			dispatcherLink.notify(METHODS.organisation, [number, organisation] satisfies NumberedOrganisation);
 		}
 
 		return number;
@@ -304,7 +304,7 @@
 		}
 
 		if (answer.isOk()) {
-			this.#handleFirstAnswer(pending, restoreAnswer(answer.value as ShortAnswer));
+			this.#handleFirstAnswer(pending, decodeAnswer(answer.value as EncodedAnswer));
 		} else {
 			this.#abandonDispatcher(dispatcher, answer.error.kind);
 		}
@@ -327,7 +327,7 @@
 	/**
 	Handles the first answer to a slot request; after `wait`, the final one comes to {@link handleAnswer}.
 	*/
-	#handleFirstAnswer(pending: PendingSlotRequest, answer: AskAnswer): void {
+	#handleFirstAnswer(pending: PendingSlotRequest, answer: SlotAnswer): void {
 		if (answer.kind === 'wait') {
 			pending.isWaiting = true;
 		} else if (answer.kind === 'elsewhere') {
@@ -398,14 +398,14 @@
 		this.#options.ownDispatcher.applyUpdates({service: request.service, updates: this.#advertisements.list(request.service)});
 		const uses = this.#recentUses.collectUnreported(this.#options.ownDispatcher);
 		if (uses !== undefined) {
-			this.#options.ownDispatcher.takeOver(this.#options.settings.hostId, uses);
+			this.#options.ownDispatcher.applyPastUsage(this.#options.settings.hostId, uses);
 		}
 
-		const answer = this.#options.ownDispatcher.ask({...request, remainingMilliseconds});
+		const answer = this.#options.ownDispatcher.requestSlot({...request, remainingMilliseconds});
 		this.#handleFirstAnswer(pending, answer.kind === 'elsewhere' ? NO_UPSTREAM_REFUSAL : answer);
 	}
 
-	#settle(pending: PendingSlotRequest, answer: DecidedAnswer): void {
+	#settle(pending: PendingSlotRequest, answer: SlotDecision): void {
 		const {request, dispatcher} = pending;
 		if (!this.#pending.delete(request.id)) {
 			// Cancelled meanwhile, or answered twice.
@@ -491,7 +491,7 @@
 		if (dispatcher === undefined) {
 			this.#options.ownDispatcher.end({id: request.id, ending, milliseconds});
 		} else {
-			dispatcher.link.notify(METHODS.end, [getAskNumber(request.id), ending, Math.round(milliseconds)] satisfies ShortEnd);
+			dispatcher.link.notify(METHODS.end, [getSlotRequestNumber(request.id), ending, Math.round(milliseconds)] satisfies EncodedEnd);
 		}
 	}
 }
@@ -499,12 +499,12 @@
 /**
 The answer when not even this host's own dispatcher knows an upstream of the service.
 */
-const NO_UPSTREAM_REFUSAL: DecidedAnswer = {kind: 'refuse', reason: 'no-upstream', retryAfterMilliseconds: UNKNOWN_SERVICE_RETRY_MILLISECONDS};
+const NO_UPSTREAM_REFUSAL: SlotDecision = {kind: 'refuse', reason: 'no-upstream', retryAfterMilliseconds: UNKNOWN_SERVICE_RETRY_MILLISECONDS};
 
 /**
 Notifies a dispatcher that a slot request is cancelled, and gives its slot back in case the grant is already on its way.
 */
 function notifyCancelled(dispatcherLink: link.Link, request: dispatch.SlotRequest): void {
-	dispatcherLink.notify(METHODS.cancel, [getAskNumber(request.id)]);
-	dispatcherLink.notify(METHODS.end, [getAskNumber(request.id), 'unused', 0] satisfies ShortEnd);
+	dispatcherLink.notify(METHODS.cancel, [getSlotRequestNumber(request.id)]);
+	dispatcherLink.notify(METHODS.end, [getSlotRequestNumber(request.id), 'unused', 0] satisfies EncodedEnd);
 }
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -7,8 +7,8 @@
 import * as link from 'wagtailroute-link';
 import * as proxy from 'wagtailroute-proxy';
 import * as utils from 'wagtailroute-utils';
-import type {ShortAnswer} from './ask-wire.ts';
-import {createAskMethods} from './ask-methods.ts';
+import type {EncodedAnswer} from './slot-request-encoding.ts';
+import {createSlotRequestMethods} from './slot-request-methods.ts';
 import {startAllotmentEnforcer} from './allotment-enforcer.ts';
 import {createRequestingHosts} from './requesting-hosts.ts';
 import {createDispatchClient} from './dispatch-client.ts';
@@ -27,10 +27,10 @@
 import {
 	countAddresses,
 	type DirectoryTable,
-	EMPTY_TABLE,
-	lookUp,
+	EMPTY_DIRECTORY_TABLE,
+	lookUpAddresses,
 } from './directory-table.ts';
-import {sendUpdates, startDispatching} from './dispatching.ts';
+import {sendUpdates, startHostDispatcher} from './host-dispatcher.ts';
 import {createHostCount} from './host-count.ts';
 import {createFleetView} from './fleet-view.ts';
 import {startLoadMeter} from './load.ts';
@@ -82,7 +82,7 @@
 			startupGate.check();
 		},
 		onInstancesChanged(service) {
-			ownDispatcher.refresh(service);
+			ownDispatcher.refreshCandidates(service);
 			scheduleConnectionPruning();
 		},
 	});
@@ -120,7 +120,7 @@
 	});
 
 	const findControlHost = (from: link.Link) => controlLinks.getOpen().find(open => open.link === from);
-	let directory = EMPTY_TABLE;
+	let directory = EMPTY_DIRECTORY_TABLE;
 	const applyDirectory = (table: DirectoryTable) => {
 		// An empty directory comes from a control host that has just started.
 		directory = Object.keys(table.addresses).length > 0 ? table : directory;
@@ -138,22 +138,22 @@
 		},
 	});
 	const askers = createRequestingHosts();
-	const ownDispatcher = startDispatching(context, {
+	const ownDispatcher = startHostDispatcher(context, {
 		settings: {...settings, budget: {...settings.budget, extra: STANDBY_EXTRA_RESENDS}},
 		allotting,
 		requestShare,
-		isTold: false,
-		onEntryHosts: hostCount.record,
+		isReceivingUpdates: false,
+		onEntryHostCount: hostCount.record,
 		listCandidates: fleetView.listCandidates,
 		listStandbys: () => [],
 		notify(host, method, parameters) {
 			if (host !== settings.hostId) {
 				askers.find(host)?.notify(method, parameters);
 			} else if (method === messages.METHODS.answer) {
-				dispatchClient.handleAnswer(...parameters as [number, ShortAnswer]);
+				dispatchClient.handleAnswer(...parameters as [number, EncodedAnswer]);
 			}
 		},
-		tellControls(method, parameters) {
+		notifyControlHosts(method, parameters) {
 			// Without requesting hosts, what this host holds against an upstream may be a fault of its own network path.
 			if (askers.count() > 0) {
 				controlLinks.notifyAll(method, parameters);
@@ -171,25 +171,25 @@
 			}
 		},
 		[messages.METHODS.instancesChanged]: fleetView.applyInstances,
-		[messages.METHODS.retired]({retirements}: Pick<messages.InstanceNews, 'retirements'>) {
+		[messages.METHODS.retired]({retirements}: Pick<messages.InstanceChanges, 'retirements'>) {
 			fleetView.applyRetirements(retirements);
 		},
-		[messages.METHODS.answer]([requestNumber, answer]: [number, ShortAnswer]) {
+		[messages.METHODS.answer]([requestNumber, answer]: [number, EncodedAnswer]) {
 			dispatchClient.handleAnswer(requestNumber, answer);
 		},
 		[messages.METHODS.updates]: ownDispatcher.applyUpdates,
 		[messages.METHODS.use]: allotting.applyReport,
-		[messages.METHODS.believe]: ownDispatcher.hearBelief,
-		[messages.METHODS.beliefNews]: ownDispatcher.hearBeliefNews,
+		[messages.METHODS.believe]: ownDispatcher.applyBelief,
+		[messages.METHODS.beliefNews]: ownDispatcher.applyBeliefs,
 		[messages.METHODS.standbys](hosts: readonly StandbyHost[]) {
 			standbys.setHosts(hosts);
 		},
 		[messages.METHODS.directory]: applyDirectory,
-		...createAskMethods(ownDispatcher, askers.findByLink),
+		...createSlotRequestMethods(ownDispatcher, askers.findByLink),
 		[messages.METHODS.hello]({id, failureDomain}: messages.Hello, from: link.Link) {
 			askers.add({id, failureDomain}, from);
 			return {
-				failureDomain: settings.failureDomain, controls: [], standbys: [], directory: EMPTY_TABLE, version: 0,
+				failureDomain: settings.failureDomain, controls: [], standbys: [], directory: EMPTY_DIRECTORY_TABLE, version: 0,
 			} satisfies messages.Welcome;
 		},
 	}));
@@ -279,7 +279,7 @@
 		isReady,
 		listAddresses(failureDomain, host) {
 			const self = core.formatAddress(settings.trafficAddress);
-			const others = lookUp(directory, failureDomain, host).filter(address => address !== self || isReady());
+			const others = lookUpAddresses(directory, failureDomain, host).filter(address => address !== self || isReady());
 			return others.length > 0 || !isReady() ? others : [self];
 		},
 		addSeeds: controlLinks.addSeeds,
--- a/packages/wagtailroute-fleet/src/fleet-view.ts
+++ b/packages/wagtailroute-fleet/src/fleet-view.ts
@@ -18,7 +18,7 @@
 import {toCandidate} from './candidates.ts';
 import type {FleetContext} from './context.ts';
 import type {LinkedHost} from './control-links.ts';
-import {type FetchedGeneration, type InstanceNews, METHODS} from './messages.ts';
+import {type FetchedGeneration, type InstanceChanges, METHODS} from './messages.ts';
 
 /**
 An entry host's copy of the catalogue and the instances. Lookups of an unknown route, key or service return undefined.
@@ -41,7 +41,7 @@
 	/**
 	Applies new, changed and forgotten instances, and retirements.
 	*/
-	readonly applyInstances: (news: InstanceNews) => void;
+	readonly applyInstances: (news: InstanceChanges) => void;
 	readonly applyRetirements: (retirements: readonly generations.Retirement[]) => void;
 	/**
 	Fetches all instances from one of the linked control hosts, which then sends every change; does nothing while such a link is open.
@@ -157,7 +157,7 @@
 		}
 	};
 
-	const applyInstances = ({heard, forgotten, retirements}: InstanceNews) => {
+	const applyInstances = ({heard, forgotten, retirements}: InstanceChanges) => {
 		applyRetirements(retirements);
 		const changed = new Set<core.ServiceName>();
 		for (const {ageMilliseconds, ...heartbeat} of heard) {
@@ -190,7 +190,7 @@
 		void (async () => {
 			const answer = await source?.link.call(METHODS.followInstances, {}, FETCH_TIMEOUT_MILLISECONDS);
 			if (answer?.isOk() === true) {
-				applyInstances(answer.value as InstanceNews);
+				applyInstances(answer.value as InstanceChanges);
 			} else if (source !== undefined && state.instanceSource === source) {
 				state.instanceSource = undefined;
 				schedule(FETCH_RETRY_DELAY_MILLISECONDS, followInstances);
--- a/packages/wagtailroute-fleet/src/group.ts
+++ b/packages/wagtailroute-fleet/src/group.ts
@@ -1,8 +1,8 @@
 /**
-The replicated group of the control hosts, which keeps the generation and the retirements.
+The replicated group of the control hosts, which stores the generation and the retirements.
 
-A replica whose store failed stops for good, since nobody knows what its disk holds. It is opened anew from its disk after a
-moment: a full disk has room again after a while, and the other parts of the host go on meanwhile.
+A replica whose store failed stops for good, since the content of its disk is uncertain. After a delay a new replica is opened from that disk: a
+full disk has room again after a while, and the other parts of the host work meanwhile.
 */
 import * as path from 'node:path';
 import type * as core from 'wagtailroute-core';
@@ -10,30 +10,33 @@
 import * as replication from 'wagtailroute-replication';
 import type * as results from 'ts-results-es';
 import {
-	GENERATION_BYTES,
-	MOST_VOTERS,
-	RECONCILE_MILLISECONDS,
-	REOPEN_MILLISECONDS,
-	REPLACE_MILLISECONDS,
+	MAX_COMMAND_BYTES,
+	MAX_VOTERS,
+	RECONCILE_INTERVAL_MILLISECONDS,
+	REOPEN_DELAY_MILLISECONDS,
+	REPLACE_MEMBER_DELAY_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 import type {GroupMessage, ProposalAnswer, ReadAnswer} from './messages.ts';
 import type {ControlHost, ControlSettings} from './settings.ts';
 
 /**
-The group on this host.
+This host's replica of the group.
 */
 export type ControlGroup = {
 	readonly receive: (message: GroupMessage) => void;
 	/**
-	Proposes on this host, if it leads.
+	Proposes a command if this host is the leader.
 	*/
 	readonly propose: (command: generations.GenerationCommand) => Promise<ProposalAnswer>;
 	/**
-	Reads the newest generation on this host, if it leads.
+	Reads the newest generation if this host is the leader.
 	*/
 	readonly read: () => Promise<ReadAnswer>;
 	readonly getLeader: () => core.HostId | null;
+	/**
+	Returns the newest generation that this replica has applied.
+	*/
 	readonly getStored: () => generations.StoredGeneration | undefined;
 	readonly getRetirement: (upstream: core.UpstreamId) => generations.RetirementState | undefined;
 	readonly getStatus: () => replication.GroupStatus | undefined;
@@ -41,39 +44,39 @@
 };
 
 /**
-What the group needs.
+What the replica needs of its host.
 */
-export type ControlGroupPlan = {
+export type ControlGroupOptions = {
 	readonly settings: ControlSettings;
 	readonly send: (to: core.HostId, message: GroupMessage) => void;
 	/**
-	The other control hosts that have a link.
+	Returns the other control hosts that have a link to this one.
 	*/
-	readonly getRunning: () => readonly ControlHost[];
+	readonly listLinkedHosts: () => readonly ControlHost[];
 	/**
-	All control hosts that this one knows by name.
+	Returns the control hosts that the replica announces itself to while it is not a member.
 	*/
-	readonly getKnown: () => readonly core.HostId[];
+	readonly listSeeds: () => readonly core.HostId[];
 	readonly onGeneration: (generation: generations.Generation) => void;
 	readonly onRetired: (retirements: readonly generations.Retirement[]) => void;
 };
 
-const GROUP = 'generations';
+const GROUP_NAME = 'generations';
 
 /**
-Starts taking part in the group.
+Opens this host's replica, and lets the leader adapt the group's members to the control hosts that run.
 */
-export function startControlGroup(context: FleetContext, plan: ControlGroupPlan): ControlGroup {
-	const {settings} = plan;
+export function startControlGroup(context: FleetContext, options: ControlGroupOptions): ControlGroup {
+	const {settings} = options;
 	const log = context.logs('group');
-	const goneSince = new Map<core.HostId, number>();
+	const unreachableSince = new Map<core.HostId, number>();
 	let replicated = generations.createReplicatedGenerations();
 	let group: replication.Group | undefined;
 	let isClosed = false;
 	let loggedRole = '';
 
 	/**
-	The role is looked at rather than told: one that lasts shorter than a look has led nobody.
+	Logs a change of the replica's role. The role is polled: a leader that lasts shorter than the interval has led nobody.
 	*/
 	const logRole = () => {
 		const status = group?.getStatus();
@@ -88,29 +91,29 @@
 		}
 
 		loggedRole = text;
-		log.info('Role changed.', {role, term, leader});
+		log.info('Role in the control group changed.', {role, term, leader});
 	};
 
-	const announce = () => {
+	const notifyGeneration = () => {
 		const stored = replicated.getStored();
 		if (stored !== undefined) {
-			plan.onGeneration(stored.generation);
+			options.onGeneration(stored.generation);
 		}
 	};
 
-	const createMachine = (): replication.StateMachine => {
+	const createStateMachine = (): replication.StateMachine => {
 		replicated = generations.createReplicatedGenerations();
 		return {
 			apply(command) {
 				const before = replicated.getStored();
 				const answer = replicated.apply(command as generations.GenerationCommand);
 				if (replicated.getStored() !== before) {
-					announce();
+					notifyGeneration();
 				}
 
 				const {name} = command as generations.GenerationCommand;
 				if (name === 'retire') {
-					plan.onRetired([(command as Extract<generations.GenerationCommand, {name: 'retire'}>).retirement]);
+					options.onRetired([(command as Extract<generations.GenerationCommand, {name: 'retire'}>).retirement]);
 				}
 
 				return answer;
@@ -119,17 +122,17 @@
 			restoreSnapshot(state) {
 				const snapshot = state as generations.GenerationSnapshot;
 				replicated.restoreSnapshot(snapshot);
-				announce();
-				plan.onRetired(snapshot.retirements);
+				notifyGeneration();
+				options.onRetired(snapshot.retirements);
 			},
 		};
 	};
 
 	const reopen = (reason: string) => {
-		log.error('Store failed, the replica is opened anew.', {reason});
+		log.error('Store failed, the replica will be reopened.', {reason});
 		const failed = group;
 		group = undefined;
-		context.schedule(REOPEN_MILLISECONDS, () => {
+		context.schedule(REOPEN_DELAY_MILLISECONDS, () => {
 			void (async () => {
 				await failed?.close();
 				await open();
@@ -143,18 +146,18 @@
 		}
 
 		const opened = await replication.createGroup({
-			group: GROUP,
+			group: GROUP_NAME,
 			host: settings.hostId,
-			store: replication.createDurableStore(path.join(settings.dataFolder, GROUP)),
-			stateMachine: createMachine(),
-			send: plan.send,
+			store: replication.createDurableStore(path.join(settings.dataFolder, GROUP_NAME)),
+			stateMachine: createStateMachine(),
+			send: options.send,
 			clock: context.now,
 			random: context.random,
 			schedule: context.schedule,
-			// A host that comes with an empty disk later on joins; it must not found a second group.
+			// A host that starts with an empty disk later on joins the group; it must not create a second one.
 			...settings.isFirstStart && {first: {hosts: settings.seeds.map(seed => seed.id)}},
-			getSeeds: () => plan.getKnown(),
-			settings: {commandBytesMost: GENERATION_BYTES},
+			getSeeds: () => options.listSeeds(),
+			settings: {commandBytesMost: MAX_COMMAND_BYTES},
 			onStopped(failure) {
 				reopen(failure.message);
 			},
@@ -174,34 +177,34 @@
 			return;
 		}
 
-		const running = [{host: settings.hostId, failureDomain: settings.failureDomain}, ...plan.getRunning()
+		const running = [{host: settings.hostId, failureDomain: settings.failureDomain}, ...options.listLinkedHosts()
 			.map(({id, failureDomain = ''}) => ({host: id, failureDomain}))];
-		noteGone(goneSince, status, {running: running.map(({host}) => host), now: context.now()});
+		updateUnreachable(unreachableSince, status, {running: running.map(({host}) => host), now: context.now()});
 		const wanted = replication.chooseMembers({
 			members: status.members,
 			running,
-			isReplaceable: host => context.now() - (goneSince.get(host) ?? Infinity) > REPLACE_MILLISECONDS,
-			votersMost: MOST_VOTERS,
+			isReplaceable: host => context.now() - (unreachableSince.get(host) ?? Infinity) > REPLACE_MEMBER_DELAY_MILLISECONDS,
+			votersMost: MAX_VOTERS,
 		});
 		const changed = await group!.reconcile(wanted);
 		if (changed.isOk() && changed.value !== undefined) {
-			log.info('Members changed.', {change: changed.value, running: running.length});
+			log.info('Members of the control group changed.', {change: changed.value, running: running.length});
 		}
 	};
 
 	void open();
-	const stopReconciling = context.repeat(RECONCILE_MILLISECONDS, () => {
+	const stopReconciling = context.repeat(RECONCILE_INTERVAL_MILLISECONDS, () => {
 		logRole();
 		void reconcile();
 	});
-	const toNotLeader = (leader: core.HostId | null) => ({kind: 'not-leader', leader} as const);
+	const createNotLeaderAnswer = (leader: core.HostId | null) => ({kind: 'not-leader', leader} as const);
 	return {
 		receive(message) {
 			group?.receive(message);
 		},
 		async propose(command) {
 			if (group === undefined) {
-				return toNotLeader(null);
+				return createNotLeaderAnswer(null);
 			}
 
 			const proposed: results.Result<replication.Applied, replication.GroupFailure> = await group.propose(command);
@@ -209,17 +212,17 @@
 				return {kind: 'applied', version: (proposed.value.value as generations.GenerationAnswer).version};
 			}
 
-			return proposed.error.kind === 'not-leader' ? toNotLeader(proposed.error.leader ?? null) : {kind: 'unknown'};
+			return proposed.error.kind === 'not-leader' ? createNotLeaderAnswer(proposed.error.leader ?? null) : {kind: 'unknown'};
 		},
 		async read() {
 			if (group === undefined) {
-				return toNotLeader(null);
+				return createNotLeaderAnswer(null);
 			}
 
 			const barrier = await group.readBarrier();
 			return barrier.isOk()
 				? {kind: 'read', document: replicated.getStored()?.document ?? null}
-				: toNotLeader(barrier.error.leader ?? null);
+				: createNotLeaderAnswer(barrier.error.leader ?? null);
 		},
 		getLeader: () => group?.getStatus().leader ?? null,
 		getStored: () => replicated.getStored(),
@@ -233,21 +236,24 @@
 	};
 }
 
-function noteGone(
-	goneSince: Map<core.HostId, number>,
+/**
+Records since when each member's host has had no link, and removes hosts that have one again or are no members any more.
+*/
+function updateUnreachable(
+	unreachableSince: Map<core.HostId, number>,
 	status: replication.GroupStatus,
 	{running, now}: {readonly running: readonly core.HostId[]; readonly now: number},
 ): void {
 	const members = status.members.map(member => replication.getMemberHost(member.id));
-	for (const host of goneSince.keys()) {
+	for (const host of unreachableSince.keys()) {
 		if (running.includes(host) || !members.includes(host)) {
-			goneSince.delete(host);
+			unreachableSince.delete(host);
 		}
 	}
 
 	for (const host of members) {
-		if (!running.includes(host) && !goneSince.has(host)) {
-			goneSince.set(host, now);
+		if (!running.includes(host) && !unreachableSince.has(host)) {
+			unreachableSince.set(host, now);
 		}
 	}
 }
--- a/packages/wagtailroute-fleet/src/held-slots.ts
+++ b/packages/wagtailroute-fleet/src/held-slots.ts
@@ -8,7 +8,7 @@
 import type * as dispatch from 'wagtailroute-dispatch';
 import type * as link from 'wagtailroute-link';
 import type {LinkedHost} from './control-links.ts';
-import {type Holding, METHODS} from './messages.ts';
+import {type HandoverReport, METHODS} from './messages.ts';
 import type {Advertisements} from './advertisements.ts';
 import type {RecentUsage} from './recent-usage.ts';
 
@@ -104,7 +104,7 @@
 				places: held,
 				...updates.length > 0 && {updates},
 				...uses !== undefined && {uses, entryHosts: countEntryHosts()},
-			} satisfies Holding);
+			} satisfies HandoverReport);
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/registry.ts
+++ b/packages/wagtailroute-fleet/src/registry.ts
@@ -1,8 +1,8 @@
 /**
-Instances of upstreams on a control host: from heartbeats that come here, and from those that came to other control hosts.
+The registry of upstream instances on a control host, from heartbeats that this host receives and those that other control hosts relay.
 
-Each heartbeat is told to all other control hosts, once. What was lost on the way is made good by the next heartbeat. Entry
-hosts that follow this host are told of changes only.
+Each heartbeat is relayed to all other control hosts once. A relayed heartbeat that is lost is not sent again: the next one replaces it.
+Entry hosts that follow this host receive changes only.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -13,8 +13,8 @@
 import {
 	FETCH_TIMEOUT_MILLISECONDS,
 	HOUSEKEEPING_INTERVAL_MILLISECONDS,
-	RELAY_MILLISECONDS,
-	SAVE_MILLISECONDS,
+	RELAY_BATCH_MILLISECONDS,
+	INSTANCES_SAVE_DELAY_MILLISECONDS,
 	SILENT_UPSTREAM_MILLISECONDS,
 } from './constants.ts';
 import {toCandidate} from './candidates.ts';
@@ -22,77 +22,89 @@
 import type {InstanceStore} from './instance-store.ts';
 import {
 	type HeartbeatBatch,
-	type InstanceNews,
+	type InstanceChanges,
 	METHODS,
 	type RelayedHeartbeat,
 } from './messages.ts';
 
 /**
-The registry of a control host.
+The instances that a control host knows.
 */
-export type Registry = {
+export type InstanceRegistry = {
 	/**
-	Takes a heartbeat from its sender.
+	Handles a heartbeat that its sender sent to this host, and relays it unless it is stale.
 	*/
-	readonly take: (heartbeat: instances.Heartbeat) => instances.Reception;
+	readonly receiveHeartbeat: (heartbeat: instances.Heartbeat) => instances.Reception;
 	/**
-	Takes heartbeats that another control host was sent.
+	Applies heartbeats that another control host received.
 	*/
-	readonly takeRelayed: (batch: HeartbeatBatch) => void;
+	readonly receiveRelayed: (batch: HeartbeatBatch) => void;
 	/**
-	Takes what another control host knows: heartbeats were missed while there was no link to it.
+	Fetches and applies the instances that another control host knows: its heartbeats were not relayed here while there was no link.
 	*/
 	readonly catchUp: (from: link.Link) => Promise<void>;
+	/**
+	Applies a retirement; it is final.
+	*/
 	readonly retire: (retirement: generations.Retirement) => void;
 	readonly listCandidates: (service: core.ServiceName) => readonly dispatch.Candidate[];
 	/**
-	Everything, as news to a host that knows nothing.
+	Returns all instances and retirements, as the changes for a host that knows none.
+	*/
+	readonly getSnapshot: () => InstanceChanges;
+	/**
+	Sends every change over this link from now on.
 	*/
-	readonly describeAll: () => InstanceNews;
 	readonly follow: (follower: link.Link) => void;
 	readonly unfollow: (follower: link.Link) => void;
 	readonly countInstances: () => number;
 	/**
-	Resolves once what was kept on disk is known.
+	Resolves once the instances stored on disk are loaded.
 	*/
 	readonly loaded: Promise<void>;
 	/**
-	Returns the newest start of a server that is known, in Unix milliseconds; 0 when it is unknown or told none.
+	Returns the latest known start of a server in Unix milliseconds; 0 when the server is unknown or its heartbeats give no start.
 	*/
-	readonly findStart: (server: string) => number;
+	readonly findLatestStart: (server: string) => number;
 	readonly teardown: utils.Teardown;
 };
 
 /**
-What the registry tells.
+What the registry depends on.
 */
-export type RegistryPlan = {
-	readonly tellControls: (method: string, parameters: unknown) => void;
+export type InstanceRegistryOptions = {
+	/**
+	Sends a message to the other control hosts.
+	*/
+	readonly notifyControlHosts: (method: string, parameters: unknown) => void;
+	/**
+	Called when the candidates of a service may have changed.
+	*/
 	readonly onChanged: (service: core.ServiceName) => void;
 	readonly store: InstanceStore;
 };
 
-const NO_HEARTBEATS: HeartbeatBatch = {news: [], refreshed: []};
+const EMPTY_BATCH: HeartbeatBatch = {news: [], refreshed: []};
 
 /**
-Creates the registry.
+Creates the registry and starts to load the stored instances.
 */
-export function startRegistry(context: FleetContext, {tellControls, onChanged, store}: RegistryPlan): Registry {
+export function startInstanceRegistry(context: FleetContext, {notifyControlHosts, onChanged, store}: InstanceRegistryOptions): InstanceRegistry {
 	const {now} = context;
 	const log = context.logs('instances');
 	const table = instances.createInstanceTable();
 	const followers = new Set<link.Link>();
-	const silent = new Set<core.UpstreamId>();
+	const silentUpstreams = new Set<core.UpstreamId>();
 	const retirements = new Map<core.UpstreamId, generations.RetirementState>();
-	let unsent: HeartbeatBatch = NO_HEARTBEATS;
+	let pendingBatch: HeartbeatBatch = EMPTY_BATCH;
 
-	const tellFollowers = (news: InstanceNews) => {
+	const notifyFollowers = (changes: InstanceChanges) => {
 		for (const follower of followers) {
-			follower.notify(METHODS.instancesChanged, news);
+			follower.notify(METHODS.instancesChanged, changes);
 		}
 	};
 
-	const list = () => table.listAll().map(instance => ({
+	const listHeartbeats = () => table.listAll().map(instance => ({
 		upstream: instance.upstream,
 		service: instance.service,
 		address: instance.address,
@@ -103,42 +115,42 @@
 		ageMilliseconds: now() - instance.heardAt,
 	}));
 
-	const saveLater = utils.coalesce(context.schedule, SAVE_MILLISECONDS, () => {
-		// One that drains would come back as serving.
-		void store.save(list().filter(({upstream}) => !retirements.has(upstream)));
+	const scheduleSave = utils.coalesce(context.schedule, INSTANCES_SAVE_DELAY_MILLISECONDS, () => {
+		// A draining instance would be loaded as serving after a restart, since its state is not stored.
+		void store.save(listHeartbeats().filter(({upstream}) => !retirements.has(upstream)));
 	});
 
-	const relay = () => {
-		tellControls(METHODS.heard, unsent);
-		unsent = NO_HEARTBEATS;
+	const flushBatch = () => {
+		notifyControlHosts(METHODS.heard, pendingBatch);
+		pendingBatch = EMPTY_BATCH;
 	};
 
-	const relayCollected = utils.coalesce(context.schedule, RELAY_MILLISECONDS, relay);
+	const scheduleFlush = utils.coalesce(context.schedule, RELAY_BATCH_MILLISECONDS, flushBatch);
 
 	/**
-	News go at once, what changes nothing is collected: it is most of all heartbeats.
+	Relays a heartbeat: at once if it changes something, otherwise in a batch, since most heartbeats change nothing.
 	*/
-	const relayLater = (heartbeat: instances.Heartbeat, reception: instances.Reception) => {
+	const relay = (heartbeat: instances.Heartbeat, reception: instances.Reception) => {
 		if (reception === 'news') {
-			unsent = {...unsent, news: [...unsent.news, {...heartbeat, ageMilliseconds: 0}]};
-			relay();
+			pendingBatch = {...pendingBatch, news: [...pendingBatch.news, {...heartbeat, ageMilliseconds: 0}]};
+			flushBatch();
 			return;
 		}
 
-		unsent = {...unsent, refreshed: [...unsent.refreshed, [heartbeat.upstream, heartbeat.sequence, 0]]};
-		relayCollected();
+		pendingBatch = {...pendingBatch, refreshed: [...pendingBatch.refreshed, [heartbeat.upstream, heartbeat.sequence, 0]]};
+		scheduleFlush();
 	};
 
-	const receive = (heartbeat: instances.Heartbeat, heardAt: number) => {
-		const reception = table.take(heartbeat, heardAt);
-		const wasSilent = reception !== 'stale' && silent.delete(heartbeat.upstream);
+	const applyHeartbeat = (heartbeat: instances.Heartbeat, receivedAt: number) => {
+		const reception = table.take(heartbeat, receivedAt);
+		const wasSilent = reception !== 'stale' && silentUpstreams.delete(heartbeat.upstream);
 		if (reception === 'news') {
 			const {upstream, service, address, slots, sequence, failureDomain} = heartbeat;
-			log.info('Instance heard.', {
+			log.info('Instance is new or changed.', {
 				upstream, service, address: `${address.ip}:${address.port}`, slots, sequence, failureDomain,
 			});
-			saveLater();
-			tellFollowers({heard: [{...heartbeat, ageMilliseconds: now() - heardAt}], forgotten: [], retirements: []});
+			scheduleSave();
+			notifyFollowers({heard: [{...heartbeat, ageMilliseconds: now() - receivedAt}], forgotten: [], retirements: []});
 		}
 
 		if (reception === 'news' || wasSilent) {
@@ -148,31 +160,31 @@
 		return reception;
 	};
 
-	const receiveRelayed = (heartbeats: readonly RelayedHeartbeat[]) => {
+	const applyRelayed = (heartbeats: readonly RelayedHeartbeat[]) => {
 		for (const {ageMilliseconds, ...heartbeat} of heartbeats) {
-			receive(heartbeat, now() - ageMilliseconds);
+			applyHeartbeat(heartbeat, now() - ageMilliseconds);
 		}
 	};
 
 	/**
-	Silence alone takes no upstream out: it only ends the trials of one that failed as well.
+	Removes instances after a long silence. A shorter one removes no upstream from dispatch: it only ends the trials of an upstream that has failed as well.
 	*/
-	const lookForSilence = () => {
+	const checkSilence = () => {
 		const forgotten = table.forgetSilent(now());
 		if (forgotten.length > 0) {
-			log.info('Instances forgotten.', {upstreams: forgotten});
-			tellFollowers({heard: [], forgotten, retirements: []});
+			log.info('Instances removed after a long silence.', {upstreams: forgotten});
+			notifyFollowers({heard: [], forgotten, retirements: []});
 		}
 
 		const changed = new Set<core.ServiceName>();
 		for (const instance of table.listAll()) {
-			if (!(now() - instance.heardAt > SILENT_UPSTREAM_MILLISECONDS) || silent.has(instance.upstream)) {
+			if (!(now() - instance.heardAt > SILENT_UPSTREAM_MILLISECONDS) || silentUpstreams.has(instance.upstream)) {
 				continue;
 			}
 
-			silent.add(instance.upstream);
+			silentUpstreams.add(instance.upstream);
 			changed.add(instance.service);
-			log.warn('Instance silent.', {upstream: instance.upstream, service: instance.service, ageMilliseconds: Math.round(now() - instance.heardAt)});
+			log.warn('Instance became silent.', {upstream: instance.upstream, service: instance.service, ageMilliseconds: Math.round(now() - instance.heardAt)});
 		}
 
 		for (const service of changed) {
@@ -180,54 +192,54 @@
 		}
 	};
 
-	const takeKept = async () => {
-		const kept = await store.load();
-		for (const heartbeat of kept) {
-			receive(heartbeat, now());
+	const loadStored = async () => {
+		const stored = await store.load();
+		for (const heartbeat of stored) {
+			applyHeartbeat(heartbeat, now());
 		}
 	};
 
-	const loaded = takeKept();
-	const stopLooking = context.repeat(HOUSEKEEPING_INTERVAL_MILLISECONDS, lookForSilence);
+	const loaded = loadStored();
+	const stopChecking = context.repeat(HOUSEKEEPING_INTERVAL_MILLISECONDS, checkSilence);
 	return {
-		take(heartbeat) {
-			const reception = receive(heartbeat, now());
+		receiveHeartbeat(heartbeat) {
+			const reception = applyHeartbeat(heartbeat, now());
 			if (reception !== 'stale') {
-				relayLater(heartbeat, reception);
+				relay(heartbeat, reception);
 			}
 
 			return reception;
 		},
-		takeRelayed(batch) {
-			receiveRelayed(batch.news);
+		receiveRelayed(batch) {
+			applyRelayed(batch.news);
 
 			for (const [upstream, sequence, age] of batch.refreshed) {
-				// One that is unknown here comes with the list that is fetched when a link opens.
+				// An instance that is unknown here is part of the list that is fetched when a link opens.
 				const known = table.get(upstream);
 				if (known !== undefined) {
-					receive({...known, sequence, warmupMilliseconds: Math.max(0, known.warmAt - now())}, now() - age);
+					applyHeartbeat({...known, sequence, warmupMilliseconds: Math.max(0, known.warmAt - now())}, now() - age);
 				}
 			}
 		},
 		async catchUp(from) {
 			const answer = await from.call(METHODS.listInstances, {}, FETCH_TIMEOUT_MILLISECONDS);
-			receiveRelayed(answer.isOk() ? (answer.value as InstanceNews).heard : []);
+			applyRelayed(answer.isOk() ? (answer.value as InstanceChanges).heard : []);
 		},
 		retire({upstream, state}) {
 			const service = table.get(upstream)?.service;
 			utils.setBounded(retirements, upstream, state, generations.RETIREMENTS_KEPT);
-			const isNews = table.retire(upstream, state);
-			if (service === undefined || !isNews) {
+			const isChanged = table.retire(upstream, state);
+			if (service === undefined || !isChanged) {
 				return;
 			}
 
 			log.info('Instance retired.', {upstream, service, state});
-			saveLater();
+			scheduleSave();
 			onChanged(service);
 		},
-		listCandidates: service => table.list(service).map(instance => toCandidate(instance, silent.has(instance.upstream))),
-		describeAll: () => ({
-			heard: list(),
+		listCandidates: service => table.list(service).map(instance => toCandidate(instance, silentUpstreams.has(instance.upstream))),
+		getSnapshot: () => ({
+			heard: listHeartbeats(),
 			forgotten: [],
 			retirements: retirements.entries().map(([upstream, state]) => ({upstream, state})).toArray(),
 		}),
@@ -239,10 +251,10 @@
 		},
 		countInstances: () => table.listAll().length,
 		loaded,
-		findStart(server) {
+		findLatestStart(server) {
 			const newest = table.findNewest(server);
 			return newest === undefined ? 0 : instances.getLifetime(newest.upstream).startedAt;
 		},
-		teardown: stopLooking,
+		teardown: stopChecking,
 	};
 }
