--- /dev/null
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/fleet-view.test.ts
@@ -0,0 +1,106 @@
+/**
+Tests of an entry host's view of the fleet: versions of generations never decrease, instances and retirements are followed.
+*/
+import test from 'ava';
+import type * as generations from 'wagtailroute-generations';
+import type {LinkedHost} from '../../control-links.ts';
+import {createFleetView, type FleetView} from '../../fleet-view.ts';
+import type {RelayedHeartbeat} from '../../messages.ts';
+import * as fixture from './fixture.ts';
+
+const createGeneration = (version: number): generations.Generation => ({
+	version,
+	routes: [],
+	services: [{name: 'archive', healthPath: '/', connectionsPerUpstream: 10}],
+	limits: {
+		headerBytes: 1, bodyBytes: 1, headerMilliseconds: 1, idleMilliseconds: 1,
+	},
+});
+
+const HEARTBEAT: RelayedHeartbeat = {
+	upstream: 'u', service: 'archive', address: {ip: '10.0.0.1', port: 80}, failureDomain: 'x', slots: 4, warmupMilliseconds: 0, sequence: 1, ageMilliseconds: 0,
+};
+
+type Setup = {
+	readonly context: fixture.FakeContext;
+	readonly fleetView: FleetView;
+	readonly controls: readonly LinkedHost[];
+	readonly links: readonly fixture.FakeLink[];
+};
+
+/**
+Creates the view of a host with links to some control hosts.
+
+@param versions The version that each control host answers with; undefined does not answer.
+*/
+function setUp(versions: ReadonlyArray<number | undefined>): Setup {
+	const context = fixture.createFakeContext();
+	const links = versions.map(version => fixture.createFakeLink(method => {
+		const generation = version === undefined ? undefined : {generation: createGeneration(version)};
+		return method === 'generation.fetch' ? generation : {heard: [HEARTBEAT], forgotten: [], retirements: []};
+	}));
+	const controls = links.map((link, index): LinkedHost => ({
+		host: {id: `c${index}`, address: {ip: '10.0.0.2', port: 1}, failureDomain: index === 0 ? 'far' : 'near'}, link,
+	}));
+	const fleetView = createFleetView(context, {
+		failureDomain: 'near',
+		getControlHosts: () => controls,
+		onGeneration: () => undefined,
+		onInstancesChanged: () => undefined,
+	});
+	return {
+		context, fleetView, controls, links,
+	};
+}
+
+test('a generation is fetched from the own failure domain if possible', async t => {
+	const {context, fleetView, controls, links} = setUp([3, 3]);
+	fleetView.recordVersion(controls[0]!, 3);
+	fleetView.recordVersion(controls[1]!, 3);
+	await context.pass(100);
+	t.is(fleetView.getGeneration()?.version, 3);
+	t.deepEqual(links.map(link => link.called.length), [0, 1]);
+});
+
+test('a control host that lags behind does not replace a newer generation', async t => {
+	// Guards against a host that answers that a known route does not exist: it has fetched version 5, and a control host that was partitioned reports and
+	// serves version 4.
+	const {context, fleetView, controls} = setUp([4, 5]);
+	fleetView.recordVersion(controls[1]!, 5);
+	await context.pass(100);
+	fleetView.recordVersion(controls[0]!, 4);
+	await context.pass(100);
+	t.is(fleetView.getGeneration()?.version, 5);
+});
+
+test('when a control host does not answer, the generation comes from another', async t => {
+	const {context, fleetView, controls} = setUp([7, undefined]);
+	fleetView.recordVersion(controls[1]!, 7);
+	fleetView.recordVersion(controls[0]!, 7);
+	await context.pass(1000);
+	t.is(fleetView.getGeneration()?.version, 7);
+});
+
+test('a retired instance gets no more requests, and no heartbeat makes it serve again', async t => {
+	const {context, fleetView} = setUp([1]);
+	fleetView.followInstances();
+	await context.pass(10);
+	t.false(fleetView.listCandidates('archive')[0]?.isDraining);
+	fleetView.applyRetirements([{upstream: 'u', state: 'draining'}]);
+	fleetView.applyInstances({heard: [{...HEARTBEAT, sequence: 2}], forgotten: [], retirements: []});
+	t.true(fleetView.listCandidates('archive')[0]?.isDraining);
+	t.true(fleetView.isRetired('u'));
+});
+
+test('an address is listed for as long as an instance has it', async t => {
+	// Guards against memory that grows for as long as an entry host runs: upstreams are replaced all day, each at a new address, and the connection pools of
+	// addresses without an instance are kept.
+	const {context, fleetView} = setUp([1]);
+	fleetView.followInstances();
+	await context.pass(10);
+	t.deepEqual([...fleetView.listAddresses()], ['10.0.0.1:80']);
+	fleetView.applyRetirements([{upstream: 'u', state: 'draining'}]);
+	t.is(fleetView.listAddresses().size, 1);
+	fleetView.applyRetirements([{upstream: 'u', state: 'gone'}]);
+	t.is(fleetView.listAddresses().size, 0);
+});
--- a/packages/wagtailroute-fleet/src/advertisements.ts
+++ b/packages/wagtailroute-fleet/src/advertisements.ts
@@ -1,8 +1,8 @@
 /**
 What upstreams advertised in answers to this host.
 
-A backoff and that an upstream leaves bind this host whatever its dispatcher grants. A dispatcher that it turns to may know nothing of what was advertised: it may
-have just started, or have been partitioned at the time.
+An advertised backoff or drain binds this host whatever its dispatcher grants. A dispatcher that the host starts to use may not know of advertisements, because it has
+just started or was partitioned at the time, so they are kept here and reported to it.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -11,7 +11,7 @@
 import {RATE_LIMIT_TTL_MILLISECONDS} from './constants.ts';
 
 /**
-Why this host sends nothing to an upstream.
+Why an upstream is closed to this host: it advertised a backoff, or that it is draining.
 */
 export type Closure = Exclude<core.Advertisement['kind'], 'rate-limit'>;
 
@@ -27,18 +27,21 @@
 	*/
 	readonly liftRateLimit: (service: core.ServiceName, upstream: core.UpstreamId, sentAt: number) => void;
 	/**
-	Returns why nothing may be sent to an upstream now; undefined when it may.
+	Returns why an upstream is closed to this host now; undefined when it is open.
 	*/
 	readonly findClosure: (upstream: core.UpstreamId) => Closure | undefined;
+	/**
+	Returns the advertisements of a service's upstreams that still hold, as they are reported to dispatchers.
+	*/
 	readonly list: (service: core.ServiceName) => readonly dispatch.UpstreamUpdate[];
 };
 
-type Limit = {
+type AdvertisedRateLimit = {
 	readonly ratePerSecond: number;
 	readonly advertisedAt: number;
 };
 
-type Backoff = {
+type AdvertisedBackoff = {
 	readonly service: core.ServiceName;
 	readonly until: number;
 };
@@ -57,11 +60,11 @@
 @param now Monotonic time in milliseconds.
 */
 export function createAdvertisements(host: core.HostId, now: () => number): Advertisements {
-	const limitsByService = new Map<core.ServiceName, Map<core.UpstreamId, Limit>>();
-	const backoffs = new Map<core.UpstreamId, Backoff>();
+	const limitsByService = new Map<core.ServiceName, Map<core.UpstreamId, AdvertisedRateLimit>>();
+	const backoffs = new Map<core.UpstreamId, AdvertisedBackoff>();
 	const draining = new Map<core.UpstreamId, core.ServiceName>();
 
-	const pruneLimits = (limits: Map<core.UpstreamId, Limit>) => {
+	const pruneLimits = (limits: Map<core.UpstreamId, AdvertisedRateLimit>) => {
 		for (const [upstream, {advertisedAt}] of limits) {
 			if (now() - advertisedAt <= RATE_LIMIT_TTL_MILLISECONDS) {
 				break;
@@ -81,9 +84,9 @@
 
 	const recorders: Recorders = {
 		'rate-limit'(service, upstream, {ratePerSecond}) {
-			const limits = limitsByService.get(service) ?? new Map<core.UpstreamId, Limit>();
+			const limits = limitsByService.get(service) ?? new Map<core.UpstreamId, AdvertisedRateLimit>();
 			limitsByService.set(service, limits);
-			// Keeps the entries in order of time.
+			// Deleting first moves the entry to the end: the map stays in order of time.
 			limits.delete(upstream);
 			limits.set(upstream, {ratePerSecond, advertisedAt: now()});
 			pruneLimits(limits);
@@ -98,7 +101,7 @@
 	};
 
 	const listLimits = (service: core.ServiceName) => {
-		const limits = limitsByService.get(service) ?? new Map<core.UpstreamId, Limit>();
+		const limits = limitsByService.get(service) ?? new Map<core.UpstreamId, AdvertisedRateLimit>();
 		pruneLimits(limits);
 		return limits.entries().map(([upstream, {ratePerSecond, advertisedAt}]): dispatch.UpstreamUpdate => ({
 			kind: 'rate-limit', upstream, ratePerSecond, ageMilliseconds: now() - advertisedAt, granted: 0,
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -3,91 +3,91 @@
 */
 
 /**
-Milliseconds that the first message of a link may take; a control host that is busy with its start needs most.
+Milliseconds that the hello of a link may take; a control host that is busy with its start takes longest.
 */
-export const HELLO_MILLISECONDS = 1500;
+export const HELLO_TIMEOUT_MILLISECONDS = 1500;
 
 /**
-Milliseconds that a dispatcher may take to answer an ask at once, if only with "wait": a pause of its process for a used-up
-share of the processor lasts up to 100 ms, and a caller's objective is about a second.
+Milliseconds that a dispatcher may take for its first answer to a slot request, which may be "wait". CPU throttling pauses a process for up to
+100 ms, and a caller's latency objective is about a second.
 */
-export const ASK_MILLISECONDS = 250;
+export const SLOT_REQUEST_TIMEOUT_MILLISECONDS = 250;
 
 /**
-Milliseconds more that a host waits for others at most while large bodies fill its own link. Who does not wait for its own bytes takes every control host
-for lost, dispatches alone, and sees neither free slots nor what others have learned.
+Longest time in milliseconds that a host adds to its timeouts while large bodies fill its own network link. Without it the host would take every control host
+for lost and use its own dispatcher, which knows neither the slots in use nor what other dispatchers hold against upstreams.
 */
-export const MOST_LINK_DELAY_MILLISECONDS = 1000;
+export const MAX_LINK_DELAY_MILLISECONDS = 1000;
 
 /**
-Dispatchers that may leave an ask unanswered before its host dispatches alone: with the second one the other control hosts are probed, so
-the third is one that answers, or an entry host.
+Dispatchers that may fail to decide on a slot request before its host uses its own dispatcher. When one does not answer, the other control hosts
+are probed, so the third one tried is responsive, or is a standby.
 */
-export const MOST_UNANSWERED = 3;
+export const MAX_FAILED_DISPATCHERS = 3;
 
 /**
-Milliseconds after which a request is to come back when no upstream of its service is known at all: heartbeats come every second or two.
+Milliseconds after which a caller is to retry when no upstream of the service is known: heartbeats arrive every one or two seconds.
 */
-export const UNKNOWN_SERVICE_MILLISECONDS = 500;
+export const UNKNOWN_SERVICE_RETRY_MILLISECONDS = 500;
 
 /**
-Milliseconds that a control host may take to answer a probe, after another one has left an ask unanswered: like an ask's, less what was lost
-already.
+Milliseconds that a control host may take to answer a probe, which is sent after another one did not answer a slot request: less than the timeout of a
+slot request, since part of the caller's time is already lost.
 */
-export const PROBE_MILLISECONDS = 150;
+export const PROBE_TIMEOUT_MILLISECONDS = 150;
 
 /**
-Entry hosts that all hosts know as dispatchers for when no control host answers: two of each of three failure domains, so that some are
-left when hosts are lost with the control hosts, and few enough that each dispatches several services.
+Entry hosts that dispatch when no control host answers: two in each of three failure domains, so that some are left when entry hosts are lost together
+with the control hosts, and few enough that each dispatches several services.
 */
-export const STANDBYS_MOST = 6;
+export const MAX_STANDBYS = 6;
 
 /**
-Standbys of a service that are told what its dispatcher believes: the first, and the next for when that one is lost too.
+Standbys of a service that receive its dispatcher's updates: the first, and a second for when the first is lost too.
 */
-export const STANDBYS_TOLD = 2;
+export const STANDBYS_PER_SERVICE = 2;
 
 /**
-Milliseconds for which changes of the entry hosts are collected before the standbys are told anew.
+Milliseconds for which changes of the entry hosts are batched before the standbys are chosen again and published.
 */
-export const STANDBYS_MILLISECONDS = 300;
+export const STANDBYS_BATCH_MILLISECONDS = 300;
 
 /**
-Milliseconds after the last need for which links to standbys stay open: longer than control hosts take to be back in order.
+Milliseconds for which links to standbys stay open after they were last needed: longer than control hosts take to recover.
 */
-export const STANDBY_IDLE_MILLISECONDS = 20_000;
+export const STANDBY_IDLE_TIMEOUT_MILLISECONDS = 20_000;
 
 /**
-Milliseconds that a request waits for the first link to a standby: twice what opening one takes within a region.
+Milliseconds that a slot request waits for the first link to a standby: twice the time that opening one takes within a region.
 */
-export const STANDBY_OPEN_MILLISECONDS = 60;
+export const MAX_STANDBY_WAIT_MILLISECONDS = 60;
 
 /**
-Resends that an entry host may give out beyond a part of the requests. The budget is the whole fleet's, and any number of hosts may dispatch at
-once: each takes next to nothing beyond what the requests that it is asked for give it.
+Resends that the dispatcher of an entry host may grant in addition to a ratio of the requests that it dispatches. The budget holds for the whole fleet
+and any number of entry hosts may dispatch at once, so each gets next to nothing beyond the ratio.
 */
 export const STANDBY_EXTRA_RESENDS = 2;
 
 /**
-Milliseconds for which a dispatcher that did not answer in time is passed over.
+Milliseconds for which a dispatcher that did not answer in time is skipped.
 */
-export const SLOW_DISPATCHER_MILLISECONDS = 1000;
+export const UNRESPONSIVE_DISPATCHER_MILLISECONDS = 1000;
 
 /**
-Milliseconds of silence after which a dispatcher is passed over without asking: two pings were missed. An ask
-that is not answered tells sooner.
+Milliseconds of silence after which a dispatcher is skipped without a request to it: two pings were missed. A slot request that times out shows
+it sooner.
 */
 export const SILENT_DISPATCHER_MILLISECONDS = 5500;
 
 /**
-Milliseconds between two looks of a dispatcher for asks that can no longer be served and places that were abandoned.
+Milliseconds between two checks of a dispatcher for requests that can no longer be granted a slot in time and granted slots that were abandoned.
 */
 export const DISPATCH_TICK_MILLISECONDS = 50;
 
 /**
-Milliseconds for which heartbeats that change nothing are collected before the other control hosts are told.
+Milliseconds for which heartbeats that change nothing are batched before they are relayed to the other control hosts.
 */
-export const RELAY_MILLISECONDS = 500;
+export const RELAY_BATCH_MILLISECONDS = 500;
 
 /**
 Milliseconds without a heartbeat after which an upstream counts as silent: three heartbeats were missed.
@@ -95,108 +95,108 @@
 export const SILENT_UPSTREAM_MILLISECONDS = 5000;
 
 /**
-Milliseconds between two looks for silent upstreams and hosts.
+Milliseconds between two checks for silent upstreams, idle links to standbys and expired control hosts.
 */
-export const HOUSEKEEPING_MILLISECONDS = 1000;
+export const HOUSEKEEPING_INTERVAL_MILLISECONDS = 1000;
 
 /**
-Milliseconds for which a host waits for a control host of its own failure domain before it fetches a generation from another.
+Milliseconds for which an entry host waits for a control host of its own failure domain to report a new generation before it fetches it from another failure domain.
 */
-export const NEAR_FETCH_MILLISECONDS = 25;
+export const FAR_FETCH_DELAY_MILLISECONDS = 25;
 
 /**
 Milliseconds that fetching a generation or the list of instances may take: 12 MB on a link of 50 Mbit/s.
 */
-export const FETCH_MILLISECONDS = 2000;
+export const FETCH_TIMEOUT_MILLISECONDS = 2000;
 
 /**
-Milliseconds that a request waits on a host that has no generation yet. After a restart of everything it is there within 0.8 s; a caller that
-waits in vain still has most of its time.
+Milliseconds that a request waits on a host that does not serve yet. After a restart of the whole fleet the generation arrives within 0.8 s; a caller
+that waits in vain still has most of its time.
 */
-export const FIRST_GENERATION_MILLISECONDS = 1000;
+export const MAX_FIRST_GENERATION_WAIT_MILLISECONDS = 1000;
 
 /**
-Milliseconds after the first generation for which a host that has just started waits for its links to the other control hosts: three tries.
+Milliseconds for which a host that has just started waits, after its first generation, for its links to the other control hosts: three connection attempts.
 */
-export const LINKING_MILLISECONDS = 250;
+export const MAX_CONTROL_LINKS_WAIT_MILLISECONDS = 250;
 
 /**
-Milliseconds after which a request is to come back to a fleet that has no generation: what went wrong takes longer than a usual start.
+Milliseconds after which a caller is to retry when the host has no generation: the cause lasts longer than a usual start, for which requests wait.
 */
-export const NO_GENERATION_MILLISECONDS = 700;
+export const NO_GENERATION_RETRY_MILLISECONDS = 700;
 
 /**
-Milliseconds before a fetch that failed is tried again.
+Milliseconds before a fetch that failed is retried.
 */
-export const FETCH_AGAIN_MILLISECONDS = 100;
+export const FETCH_RETRY_DELAY_MILLISECONDS = 100;
 
 /**
-Milliseconds without a link after which a control host that no other one names is forgotten.
+Milliseconds without a link after which a control host is forgotten unless another one names it.
 */
-export const FORGET_CONTROL_MILLISECONDS = 15_000;
+export const CONTROL_HOST_EXPIRY_MILLISECONDS = 15_000;
 
 /**
-Milliseconds that one try to bring a command to the leader may take: operators turn to another host after a second.
+Milliseconds that one call of the leader may take: operators try another host after a second.
 */
-export const PROPOSE_MILLISECONDS = 700;
+export const LEADER_CALL_TIMEOUT_MILLISECONDS = 700;
 
 /**
-Tries to bring a command to the leader, and the wait between them in milliseconds: together less than a second, so that the
-operator still hears an answer.
+Attempts at a call of the leader, and the milliseconds after each: attempts without a leader take less than a second together, so that the operator
+still receives an answer.
 */
-export const PROPOSE_TRIES = 3;
-export const PROPOSE_AGAIN_MILLISECONDS = 60;
+export const MAX_LEADER_CALL_ATTEMPTS = 3;
+export const LEADER_CALL_RETRY_DELAY_MILLISECONDS = 60;
 
 /**
-Milliseconds between two steps of the leader towards the wanted members of the group.
+Milliseconds between two steps by which the leader of the control group adapts its members to the control hosts that run.
 */
-export const RECONCILE_MILLISECONDS = 300;
+export const RECONCILE_INTERVAL_MILLISECONDS = 300;
 
 /**
-Milliseconds after which a control host that is gone is replaced by another one that runs. Longer than a restart of a process.
+Milliseconds without a link to a member's host after which another control host replaces it in the group. Longer than a restart of a process.
 */
-export const REPLACE_MILLISECONDS = 2500;
+export const REPLACE_MEMBER_DELAY_MILLISECONDS = 2500;
 
 /**
-Voters of the group at most: two may be lost at once.
+Largest number of voters in the control group: with 5, two may be lost at once.
 */
-export const MOST_VOTERS = 5;
+export const MAX_VOTERS = 5;
 
 /**
-Largest command of the group in bytes of JSON: a catalogue of 46,000 routes with its document takes 23 MB, and a message between hosts 33 MB
-at most.
+Largest command of the control group in bytes of JSON: a catalogue of 46,000 routes with its document takes 23 MB, and a message between hosts may
+take 33 MB.
 */
-export const GENERATION_BYTES = 29_360_128;
+export const MAX_COMMAND_BYTES = 29_360_128;
 
 /**
-Milliseconds before a group whose store failed is opened again: a full disk lasts for seconds.
+Milliseconds before a replica whose store failed is opened again: a full disk lasts for seconds.
 */
-export const REOPEN_MILLISECONDS = 1000;
+export const REOPEN_DELAY_MILLISECONDS = 1000;
 
 /**
-Seconds for which callers keep the directory's answer. Short, so that they leave a host that stops while it still serves.
+Seconds for which callers may cache the directory's answer. Short, so that they turn away from a stopping host while it still serves.
 */
 export const ADDRESS_TTL_SECONDS = 2;
 
 /**
-Entry hosts of a failure domain that the directory names at least: one may be frozen and another one stopping.
+Smallest number of entry hosts that the directory names in a failure domain: one may be frozen and another one stopping.
 */
-export const ADDRESSES_LEAST = 3;
+export const MIN_DIRECTORY_ADDRESSES = 3;
 
 /**
-The same at most: what callers take from an answer.
+Largest number of entry hosts that the directory names in a failure domain: callers read no more from an answer.
 */
-export const ADDRESSES_MOST = 64;
+export const MAX_DIRECTORY_ADDRESSES = 64;
 
 /**
-Milliseconds between two looks whether what the directory answers has changed. Entry hosts are told at once then: callers keep an answer for
-two seconds, so a tenth more is little.
+Milliseconds between two computations of the directory's table, which is published at once when it has changed. Callers cache an answer for
+two seconds, so a tenth of that matters little.
 */
-export const DIRECTORY_MILLISECONDS = 200;
+export const DIRECTORY_INTERVAL_MILLISECONDS = 200;
 
 /**
-Load of an entry host that is aimed at, as a part of its processor or link: with twice as much in a burst nothing waits yet. Lower, and more
-hosts share the same requests: each runs colder code and opens more connections, which cost a third more processor time.
+Target load of an entry host, as a part of its processor or link: a burst of twice as much causes no queueing yet. With a lower target, more
+hosts share the same requests: each runs colder code and opens more connections, which costs a third more processor time.
 */
 export const TARGET_LOAD = 0.4;
 
@@ -207,24 +207,24 @@
 export const LINK_LOAD_FACTOR = 4;
 
 /**
-Milliseconds in which the number of entry hosts that the directory names shrinks to half, when less are needed.
+Milliseconds in which the number of entry hosts that the directory names shrinks to half, when fewer are needed.
 */
-export const NARROWING_MILLISECONDS = 5000;
+export const DIRECTORY_HALF_LIFE_MILLISECONDS = 5000;
 
 /**
 Milliseconds between two measurements of an entry host's load.
 */
-export const LOAD_MILLISECONDS = 1000;
+export const LOAD_INTERVAL_MILLISECONDS = 1000;
 
 /**
 Share of a new measurement of load that is lower than the one before.
 */
-export const LOAD_SHARE = 0.3;
+export const LOAD_DECREASE_WEIGHT = 0.3;
 
 /**
-Change of load that the control hosts are told, a third of what is aimed at: a message to each costs as much as a request's.
+Change of an entry host's load from which on it is reported to the control hosts, a third of the target load: a message to each costs as much as those of a request.
 */
-export const LOAD_STEP = 0.13;
+export const MIN_REPORTED_LOAD_CHANGE = 0.13;
 
 /**
 Milliseconds in a second.
@@ -244,99 +244,99 @@
 /**
 Milliseconds between the pings of a link within a failure domain.
 */
-export const NEAR_PING_MILLISECONDS = 700;
+export const NEAR_PING_INTERVAL_MILLISECONDS = 700;
 
 /**
-The same between failure domains, where bytes cost: callers look up an entry host at control hosts of their own failure domain.
+The same between failure domains, where traffic costs. Longer intervals are enough there: callers look up entry hosts at control hosts of their own failure domain.
 */
-export const FAR_PING_MILLISECONDS = 2000;
+export const FAR_PING_INTERVAL_MILLISECONDS = 2000;
 
 /**
-Milliseconds that opening a connection to an upstream may take before another one is tried: a hundred times the way between
-failure domains of one region.
+Milliseconds that opening a connection to an upstream may take before another upstream is tried: a hundred times the latency between failure domains of
+one region.
 */
-export const UPSTREAM_CONNECT_MILLISECONDS = 300;
+export const UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS = 300;
 
 /**
 Part of the time between SIGTERM and the end for which a stopping entry host takes new requests: callers keep its address for a
 while, and whatever is taken in must have its answer before the end, also if it lasts as long as the longest timeouts.
 */
-export const ACCEPTING_PART = 0.48;
+export const ACCEPTING_FRACTION = 0.48;
 
 /**
 Milliseconds before the end of the time to stop at which a stopping host gives up what is still under way, and the part of that time that this is at most.
 */
 export const STOP_MARGIN_MILLISECONDS = 600;
-export const STOP_MARGIN_PART = 0.1;
+export const MAX_STOP_MARGIN_FRACTION = 0.1;
 
 /**
-Usual times of its route after which a request that may be repeated is asked another place for: with work times that spread by half, one in
-a hundred takes longer on an upstream that is well.
+Multiple of the route's usual time after which a repeatable request is overdue and is sent to another upstream: with log-normal service times
+of sigma 0.5, one in a hundred takes longer on a healthy upstream.
 */
-export const PATIENCE_RATIO = 3;
+export const OVERDUE_RATIO = 3;
 
 /**
-The same in milliseconds at least: a pause of a process lasts up to 100 ms.
+Milliseconds before which no request is overdue: a pause of a process lasts up to 100 ms.
 */
-export const PATIENCE_MILLISECONDS = 600;
+export const MIN_OVERDUE_MILLISECONDS = 600;
 
 /**
 Routes whose usual time a host keeps: those it carries of 46,000.
 */
-export const ROUTES_MEASURED = 4096;
+export const MAX_MEASURED_ROUTES = 4096;
 
 /**
-Milliseconds after its last ask for which a host is told what a dispatcher believes.
+Milliseconds after its last slot request for which a host counts as a requesting host and receives a dispatcher's beliefs.
 */
-export const ASKER_MILLISECONDS = 10_000;
+export const REQUESTING_HOST_EXPIRY_MILLISECONDS = 10_000;
 
 /**
-Milliseconds for which suspensions and readmissions are collected before hosts that ask are told. They need them only to dispatch on their
-own, which the standbys, who are told at once, do before them. In a fleet of 277 hosts before 420 upstreams, of which 14 a second are
-suspended and as many readmitted, told at once they are 8,000 messages a second.
+Milliseconds for which suspensions and readmissions are batched before they are sent to the hosts that request slots. These need them only to
+dispatch on their own, which the standbys do before them; standbys receive them at once. In a fleet of 277 hosts with 420 upstreams, of which 14 a
+second are suspended and as many readmitted, sending each to every host at once takes 8,000 messages a second.
 */
-export const BELIEF_NEWS_MILLISECONDS = 1000;
+export const BELIEF_BATCH_MILLISECONDS = 1000;
 
 /**
-Milliseconds for which updates to other dispatchers, of what upstreams advertise, are batched.
+Milliseconds for which updates of what upstreams advertise are batched before they are sent to other dispatchers.
 */
-export const UPDATE_MILLISECONDS = 100;
+export const UPDATE_BATCH_MILLISECONDS = 100;
 
 /**
-Milliseconds after the last answer that advertised it for which a host reports a rate limit to dispatchers that it turns to.
+Milliseconds after the last answer that advertised a rate limit for which a host reports the limit to dispatchers that it starts to use.
 */
 export const RATE_LIMIT_TTL_MILLISECONDS = 10_000;
 
 /**
-Milliseconds for which changes of the linked control hosts are collected before all hosts are told: when a fleet starts, each of 15 control
-hosts opens 14 links within a tenth of a second, and a list for each is 58,000 messages to 277 entry hosts.
+Milliseconds for which changes of the linked control hosts are batched before their list is sent to all hosts: when a fleet starts, each of 15
+control hosts opens 14 links within a tenth of a second, and a list for each link takes 58,000 messages to 277 entry hosts.
 */
-export const CONTROLS_TOLD_MILLISECONDS = 50;
+export const CONTROL_HOSTS_BATCH_MILLISECONDS = 50;
 
 /**
-Milliseconds after a change of the instances before connections to addresses that are gone are closed.
+Milliseconds after a change of the instances before connections to addresses without an instance are closed.
 */
-export const RETAIN_MILLISECONDS = 5000;
+export const CONNECTION_PRUNE_DELAY_MILLISECONDS = 5000;
 
 /**
-Milliseconds after a change of the instances before they are kept on disk: a start brings dozens of changes.
+Milliseconds after a change of the instances before they are saved to disk: a start brings dozens of changes.
 */
-export const SAVE_MILLISECONDS = 1000;
+export const INSTANCES_SAVE_DELAY_MILLISECONDS = 1000;
 
 /**
-Milliseconds after a change of what is held against upstreams before it is kept on disk.
+Milliseconds after a change of a belief before the beliefs are saved to disk.
 */
-export const BELIEVE_MILLISECONDS = 200;
+export const BELIEFS_SAVE_DELAY_MILLISECONDS = 200;
 
 /**
-Milliseconds after which what was kept is of no use: doubt has faded by then.
+Largest age in milliseconds of stored beliefs that are loaded: doubt has decayed by then.
 */
-export const BELIEFS_KEPT_MILLISECONDS = 20_000;
+export const MAX_BELIEFS_AGE_MILLISECONDS = 20_000;
 
 /**
-Milliseconds between two reports of the bytes over links, at the level debug.
+Milliseconds between two log lines about the bytes of a link, at the level debug.
 */
-export const REPORT_MILLISECONDS = 10_000;
+export const LINK_REPORT_INTERVAL_MILLISECONDS = 10_000;
 
 /**
 Milliseconds of recent asks that the request share of a dispatcher is measured over.
@@ -346,33 +346,33 @@
 /**
 Slices of a window in which a host counts what its callers were admitted.
 */
-export const RECENT_USE_SLICES = 20;
+export const RECENT_USAGE_SLICES = 20;
 
 /**
 Milliseconds for which a number of entry hosts that another host told counts: a host that has just started knows all of them by then.
 */
-export const ENTRY_HOST_COUNT_MILLISECONDS = 6000;
+export const ENTRY_HOST_COUNT_TTL_MILLISECONDS = 6000;
 
 /**
-Entry hosts that a fleet is taken to have while a host was not told how many there are: one that dispatches alone may give out one part in so
-many of what is limited over all of them.
+Number of entry hosts assumed while a host does not know how many there are: its own dispatcher may then grant one part in this many of a limit that holds
+over all of them.
 */
-export const UNKNOWN_ENTRY_HOSTS = 100;
+export const ASSUMED_ENTRY_HOSTS = 100;
 
 /**
 Organisations that have a label of their own in metrics, and whose refusals are collected between two log lines; the others count together.
 */
-export const ORGANISATION_LABELS_MOST = 20;
+export const MAX_ORGANISATION_LABELS = 20;
 
 /**
 Milliseconds between two log lines about refusals of one organisation.
 */
-export const REFUSALS_TOLD_MILLISECONDS = 1000;
+export const REFUSAL_LOG_INTERVAL_MILLISECONDS = 1000;
 
 /**
 Milliseconds between two looks whether the process runs late.
 */
-export const PAUSE_LOOK_MILLISECONDS = 1000;
+export const PAUSE_CHECK_MILLISECONDS = 1000;
 
 /**
 Milliseconds from which on a late timer is logged: a leader that is late by so much misses a heartbeat.
@@ -380,33 +380,37 @@
 export const PAUSE_MILLISECONDS = 200;
 
 /**
-Longest time in milliseconds without a message of this side on a link to a dispatcher that is asked: looked at every 0.35 s.
+Longest time in milliseconds without a message from this host on a link to a dispatcher that it recently sent slot requests to; checked every 0.35 s.
 */
-export const ASKED_PING_MILLISECONDS = 350;
+export const DISPATCHER_PING_INTERVAL_MILLISECONDS = 350;
 
 /**
 Silence in milliseconds from which on an entry host that asks here counts as absent: two pings were missed.
 */
-export const SILENT_ASKER_MILLISECONDS = 1000;
+export const SILENT_REQUESTING_HOST_MILLISECONDS = 1000;
 
 /**
 Milliseconds between two looks at which entry hosts are heard: at least while a dispatcher is asked, at most while it is not.
 */
-export const ABSENCE_LOOK_MILLISECONDS = 50;
-export const ABSENCE_REPEAT_MILLISECONDS = 250;
+export const MIN_ABSENCE_CHECK_MILLISECONDS = 50;
+export const ABSENCE_CHECK_INTERVAL_MILLISECONDS = 250;
 
 /**
 Milliseconds of the slices of time in which absent hosts are put together.
 */
-export const ABSENCE_SLICE_MILLISECONDS = 250;
+export const ABSENCE_GROUP_MILLISECONDS = 250;
 
 /**
 Milliseconds after which an entry host that is not heard counts as gone: callers have turned to others.
 */
-export const ABSENCE_MOST_MILLISECONDS = 60_000;
+export const MAX_ABSENCE_MILLISECONDS = 60_000;
 
 /**
-Milliseconds between two lines on the upstreams of a service that get nothing, and how many of them a line names.
+Milliseconds between two log lines about the idle upstreams of a service.
 */
-export const IDLE_TOLD_MILLISECONDS = 2000;
-export const IDLE_NAMED_MOST = 5;
+export const IDLE_LOG_INTERVAL_MILLISECONDS = 2000;
+
+/**
+Largest number of idle upstreams that such a line names.
+*/
+export const MAX_IDLE_UPSTREAMS_LOGGED = 5;
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -1,195 +1,195 @@
 /**
-An entry host: it serves callers, knows the generation and the instances from the control hosts, and asks their dispatchers
-where each request goes.
+An entry host: it serves callers, follows the catalogue generation and the instances through the control hosts, and requests a slot at an upstream
+from their dispatchers for each attempt of a request.
 */
 import * as timers from 'node:timers/promises';
 import * as core from 'wagtailroute-core';
 import * as link from 'wagtailroute-link';
 import * as proxy from 'wagtailroute-proxy';
 import * as utils from 'wagtailroute-utils';
-import type {ShortAnswer} from './ask-wire.ts';
-import {createAskMethods} from './ask-methods.ts';
-import {startAllotting} from './allotting.ts';
-import {createAskers} from './askers.ts';
-import {createAsking} from './asking.ts';
-import {createBeginning} from './beginning.ts';
+import type {EncodedAnswer} from './slot-request-encoding.ts';
+import {createSlotRequestMethods} from './slot-request-methods.ts';
+import {startAllotmentEnforcer} from './allotment-enforcer.ts';
+import {createRequestingHosts} from './requesting-hosts.ts';
+import {createDispatchClient} from './dispatch-client.ts';
+import {createStartupGate} from './startup-gate.ts';
 import {
-	LOAD_STEP,
+	ASSUMED_ENTRY_HOSTS,
+	CONNECTION_PRUNE_DELAY_MILLISECONDS,
+	MAX_LINK_DELAY_MILLISECONDS,
 	MILLISECONDS_PER_SECOND,
-	MOST_LINK_DELAY_MILLISECONDS,
-	RETAIN_MILLISECONDS,
+	MIN_REPORTED_LOAD_CHANGE,
 	STANDBY_EXTRA_RESENDS,
-	UNKNOWN_ENTRY_HOSTS,
-	UPSTREAM_CONNECT_MILLISECONDS,
+	UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 import {startControlLinks} from './control-links.ts';
 import {
 	countAddresses,
 	type DirectoryTable,
-	EMPTY_TABLE,
-	lookUp,
+	EMPTY_DIRECTORY_TABLE,
+	lookUpAddresses,
 } from './directory-table.ts';
-import {sendUpdates, startDispatching} from './dispatching.ts';
+import {sendUpdates, startHostDispatcher} from './host-dispatcher.ts';
 import {createHostCount} from './host-count.ts';
-import {createKnowledge} from './knowledge.ts';
+import {createFleetView} from './fleet-view.ts';
 import {startLoadMeter} from './load.ts';
 import {createMessageOrder} from './message-order.ts';
 import * as messages from './messages.ts';
-import {createNoting} from './noting.ts';
+import {createRequestLog} from './request-log.ts';
 import {watchPauses} from './pauses.ts';
 import {createRequestShare} from './request-share.ts';
 import {createRouter} from './routing.ts';
 import type {ControlHost, EntrySettings, StandbyHost} from './settings.ts';
 import {createStandbys} from './standbys.ts';
-import {divideStop} from './stop-times.ts';
+import {divideStopTime} from './stop-times.ts';
 
 /**
 A running entry host.
 */
 export type Entry = {
 	/**
-	It has a generation, and is not stopping.
+	Returns whether the host has a generation and is not stopping.
 	*/
 	readonly isReady: () => boolean;
 	/**
-	Returns the addresses of entry hosts for a caller, as text; its own when it knows of no other, none when it does not serve.
+	Returns the addresses of entry hosts for a caller, as text: this host's own address if it knows no other, none while it is not ready.
 
-	@param host Host name that the caller is going to use.
+	@param host Host name for which the caller is going to send requests.
 	*/
 	readonly listAddresses: (failureDomain: core.FailureDomain, host: string) => readonly string[];
 	readonly addSeeds: (seeds: readonly ControlHost[]) => void;
 	/**
-	Leaves the directory, serves until callers have heard of it, finishes what is under way and ends.
+	Leaves the directory, serves until callers have looked up other hosts, finishes the requests in progress and closes.
 	*/
 	readonly stop: () => Promise<void>;
 };
 
 /**
-Starts an entry host. Resolves when it takes requests.
+Starts an entry host. Resolves when it accepts requests.
 */
 export async function startEntry(context: FleetContext, settings: EntrySettings, dialect: proxy.Dialect): Promise<Entry> {
 	const log = context.logs('entry');
 	let isStopping = false;
-	// Opened below, when everything that it serves with is there.
+	// The traffic server is opened below, after everything that it depends on was created.
 	const opened: {traffic?: proxy.TrafficServer} = {};
-	const knowledge = createKnowledge(context, {
+	const fleetView = createFleetView(context, {
 		failureDomain: settings.failureDomain,
-		getOpen: () => links.getOpen(),
+		getControlHosts: () => controlLinks.getOpen(),
 		onGeneration({organisations}) {
 			allotting.setOrganisations(organisations);
-			tellState();
-			beginning.look();
+			reportState();
+			startupGate.check();
 		},
-		onInstances(service) {
-			own.refresh(service);
-			retainLater();
+		onInstancesChanged(service) {
+			ownDispatcher.refreshCandidates(service);
+			scheduleConnectionPruning();
 		},
 	});
 	/**
-	Closes the connections to addresses that no instance has any more; otherwise each address that was ever used would keep its pool.
+	Closes the connections to addresses that no instance has any more. Otherwise a connection pool stays for every address that was ever used.
 	*/
-	const retainLater = utils.coalesce(context.schedule, RETAIN_MILLISECONDS, () => {
-		opened.traffic?.connections.retain(knowledge.listAddresses());
+	const scheduleConnectionPruning = utils.coalesce(context.schedule, CONNECTION_PRUNE_DELAY_MILLISECONDS, () => {
+		opened.traffic?.connections.retain(fleetView.listAddresses());
 	});
-	const beginning = createBeginning(context, {
-		hasGeneration: () => knowledge.getGeneration() !== undefined,
-		isLinked: () => links.isComplete(),
+	const startupGate = createStartupGate(context, {
+		hasGeneration: () => fleetView.getGeneration() !== undefined,
+		areControlLinksOpen: () => controlLinks.isComplete(),
 	});
-	const isReady = () => !isStopping && knowledge.getGeneration() !== undefined;
+	const isReady = () => !isStopping && fleetView.getGeneration() !== undefined;
 	const getState = (): messages.EntryState => ({
 		trafficAddress: settings.trafficAddress, linkAddress: settings.linkAddress, isReady: isReady(), load: meter.getLoad(),
 	});
-	let told: messages.EntryState | undefined;
-	const tellState = () => {
+	let reportedState: messages.EntryState | undefined;
+	const reportState = () => {
 		const state = getState();
-		const isSame = state.isReady === told?.isReady && Math.abs(state.load - told.load) < LOAD_STEP;
+		const isSame = state.isReady === reportedState?.isReady && Math.abs(state.load - reportedState.load) < MIN_REPORTED_LOAD_CHANGE;
 		if (isSame) {
 			return;
 		}
 
-		told = state;
-		links.notifyAll(messages.METHODS.state, state);
+		reportedState = state;
+		controlLinks.notifyAll(messages.METHODS.state, state);
 	};
 
 	const meter = startLoadMeter(context, {
 		getBusyMilliseconds: () => performance.eventLoopUtilization().active,
-		getBytes: () => opened.traffic?.getBytes() ?? 0,
+		getBytes: () => opened.traffic?.getTransferredBytes() ?? 0,
 		linkBytesPerSecond: settings.linkBytesPerSecond,
-		onMeasured: tellState,
+		onMeasured: reportState,
 	});
 
-	const findControl = (from: link.Link) => links.getOpen().find(open => open.link === from);
-	let directory = EMPTY_TABLE;
-	const learnDirectory = (table: DirectoryTable) => {
-		// An empty one comes from a control host that has just started.
+	const findControlHost = (from: link.Link) => controlLinks.getOpen().find(open => open.link === from);
+	let directory = EMPTY_DIRECTORY_TABLE;
+	const applyDirectory = (table: DirectoryTable) => {
+		// An empty directory comes from a control host that has just started.
 		directory = Object.keys(table.addresses).length > 0 ? table : directory;
 	};
 
 	const hostCount = createHostCount(context.now, () => countAddresses(directory));
-	const requestShare = createRequestShare(hostCount.get, UNKNOWN_ENTRY_HOSTS);
-	const allotting = startAllotting(context, {
+	const requestShare = createRequestShare(hostCount.get, ASSUMED_ENTRY_HOSTS);
+	const allotting = startAllotmentEnforcer(context, {
 		settings: settings.allotments,
 		requestShare,
-		isTold: false,
-		tellDispatchers(method, parameters) {
-			links.notifyAll(method, parameters);
+		isReceivingReports: false,
+		notifyDispatchers(method, parameters) {
+			controlLinks.notifyAll(method, parameters);
 			standbys.notifyAll(method, parameters);
 		},
 	});
-	const askers = createAskers();
-	const own = startDispatching(context, {
+	const askers = createRequestingHosts();
+	const ownDispatcher = startHostDispatcher(context, {
 		settings: {...settings, budget: {...settings.budget, extra: STANDBY_EXTRA_RESENDS}},
 		allotting,
 		requestShare,
-		isTold: false,
-		onEntryHosts: hostCount.record,
-		listCandidates: knowledge.listCandidates,
+		isReceivingUpdates: false,
+		onEntryHostCount: hostCount.record,
+		listCandidates: fleetView.listCandidates,
 		listStandbys: () => [],
 		notify(host, method, parameters) {
 			if (host !== settings.hostId) {
 				askers.find(host)?.notify(method, parameters);
 			} else if (method === messages.METHODS.answer) {
-				asking.hearAnswer(...parameters as [number, ShortAnswer]);
+				dispatchClient.handleAnswer(...parameters as [number, EncodedAnswer]);
 			}
 		},
-		tellControls(method, parameters) {
-			// What one host alone holds against an upstream may be its own path's fault.
+		notifyControlHosts(method, parameters) {
+			// Without requesting hosts, what this host holds against an upstream may be a fault of its own network path.
 			if (askers.count() > 0) {
-				links.notifyAll(method, parameters);
+				controlLinks.notifyAll(method, parameters);
 			}
 		},
 	});
 	const methods: link.LinkMethods = new Map<string, link.LinkMethod>(Object.entries({
 		[messages.METHODS.controls](controls: readonly ControlHost[]) {
-			links.learn(controls);
+			controlLinks.addDiscovered(controls);
 		},
 		[messages.METHODS.generationVersion]({version}: {version: number}, from: link.Link) {
-			const control = findControl(from);
+			const control = findControlHost(from);
 			if (control !== undefined) {
-				knowledge.hearVersion(control, version);
+				fleetView.recordVersion(control, version);
 			}
 		},
-		[messages.METHODS.instancesChanged]: knowledge.hearInstances,
-		[messages.METHODS.retired]({retirements}: Pick<messages.InstanceNews, 'retirements'>) {
-			knowledge.hearRetirements(retirements);
+		[messages.METHODS.instancesChanged]: fleetView.applyInstances,
+		[messages.METHODS.retired]({retirements}: Pick<messages.InstanceChanges, 'retirements'>) {
+			fleetView.applyRetirements(retirements);
 		},
-		[messages.METHODS.answer]([ask, answer]: [number, ShortAnswer]) {
-			asking.hearAnswer(ask, answer);
+		[messages.METHODS.answer]([requestNumber, answer]: [number, EncodedAnswer]) {
+			dispatchClient.handleAnswer(requestNumber, answer);
 		},
-		[messages.METHODS.updates]: own.applyUpdates,
-		[messages.METHODS.use]: allotting.hearUse,
-		[messages.METHODS.believe]: own.hearBelief,
-		[messages.METHODS.beliefNews]: own.hearBeliefNews,
+		[messages.METHODS.updates]: ownDispatcher.applyUpdates,
+		[messages.METHODS.use]: allotting.applyReport,
+		[messages.METHODS.believe]: ownDispatcher.applyBelief,
+		[messages.METHODS.beliefNews]: ownDispatcher.applyBeliefs,
 		[messages.METHODS.standbys](hosts: readonly StandbyHost[]) {
-			standbys.learn(hosts);
+			standbys.setHosts(hosts);
 		},
-		[messages.METHODS.directory]: learnDirectory,
-		...createAskMethods(own, askers.findByLink),
+		[messages.METHODS.directory]: applyDirectory,
+		...createSlotRequestMethods(ownDispatcher, askers.findByLink),
 		[messages.METHODS.hello]({id, failureDomain}: messages.Hello, from: link.Link) {
 			askers.add({id, failureDomain}, from);
 			return {
-				failureDomain: settings.failureDomain, controls: [], standbys: [], directory: EMPTY_TABLE, version: 0,
+				failureDomain: settings.failureDomain, controls: [], standbys: [], directory: EMPTY_DIRECTORY_TABLE, version: 0,
 			} satisfies messages.Welcome;
 		},
 	}));
@@ -197,49 +197,49 @@
 	const createHello = (): messages.Hello => ({
 		id: settings.hostId, failureDomain: settings.failureDomain, entry: getState(), runningMilliseconds: Math.round(context.now() - startedAt),
 	});
-	const links = startControlLinks(context, {
+	const controlLinks = startControlLinks(context, {
 		seeds: settings.seeds,
-		self: settings.hostId,
+		hostId: settings.hostId,
 		failureDomain: settings.failureDomain,
 		createHello,
 		methods,
-		isAsked: over => asking.isAsked(over),
-		onOpen(control, {version, standbys: toldStandbys, directory: toldDirectory}) {
-			standbys.learn(toldStandbys);
-			learnDirectory(toldDirectory);
-			// What changed between the greeting and its answer is told again.
+		isRecentlyAsked: dispatcherLink => dispatchClient.isRecentlyAsked(dispatcherLink),
+		onOpen(control, {version, standbys: standbyHosts, directory: directoryTable}) {
+			standbys.setHosts(standbyHosts);
+			applyDirectory(directoryTable);
+			// The state may have changed since the hello, so it is sent again.
 			control.link.notify(messages.METHODS.state, getState());
 			if (askers.count() > 0) {
-				// The control host was away, and this host dispatched for others meanwhile.
-				control.link.notify(messages.METHODS.beliefs, own.listBeliefs());
-				sendUpdates(control.link, own);
+				// This host has dispatched for others while the control host was away.
+				control.link.notify(messages.METHODS.beliefs, ownDispatcher.listBeliefs());
+				sendUpdates(control.link, ownDispatcher);
 			}
 
-			knowledge.hearVersion(control, version);
-			knowledge.follow();
-			beginning.look();
+			fleetView.recordVersion(control, version);
+			fleetView.followInstances();
+			startupGate.check();
 		},
 		onLost(control) {
-			knowledge.loseControl(control);
-			asking.loseDispatcher(control);
+			fleetView.handleControlHostLost(control);
+			dispatchClient.handleDispatcherLost(control);
 		},
 	});
 	const standbys = createStandbys(context, {
-		self: settings.hostId,
+		hostId: settings.hostId,
 		createHello,
 		methods,
 		onLost(standby) {
-			asking.loseDispatcher(standby);
+			dispatchClient.handleDispatcherLost(standby);
 		},
 	});
-	const asking = createAsking(context, {
+	const dispatchClient = createDispatchClient(context, {
 		settings,
 		countEntryHosts: hostCount.get,
-		getControls: links.getOpen,
+		getControlHosts: controlLinks.getOpen,
 		standbys,
-		own,
-		isRetired: knowledge.isRetired,
-		getLinkDelay: () => Math.min(MOST_LINK_DELAY_MILLISECONDS, (opened.traffic?.getLargeBytes() ?? 0) * MILLISECONDS_PER_SECOND / settings.linkBytesPerSecond),
+		ownDispatcher,
+		isRetired: fleetView.isRetired,
+		getLinkDelay: () => Math.min(MAX_LINK_DELAY_MILLISECONDS, (opened.traffic?.getLargeBodyBytes() ?? 0) * MILLISECONDS_PER_SECOND / settings.linkBytesPerSecond),
 	});
 	const linkServer = await link.openLinkServer({
 		address: settings.linkAddress,
@@ -250,56 +250,59 @@
 			askers.remove(closed);
 		},
 		onDefect(error) {
-			log.error('Message could not be handled.', {error: error.stack});
+			log.error('A message from another host could not be handled.', {error: error.stack});
 		},
 	});
 	const traffic = await proxy.openTrafficServer(settings.trafficAddress, {
 		hostId: settings.hostId,
 		now: context.now,
 		dialect,
-		route: createRouter(context, {knowledge, asking}),
-		routes: beginning,
+		route: createRouter(context, {fleetView, dispatchClient}),
+		routes: startupGate,
 		claim: async () => ({kind: 'refused', failure: proxy.createRequestFailure('idempotency-records-unavailable', 'This fleet keeps no keys.')}),
-		guard: OPEN_GUARD,
+		guard: PERMISSIVE_GUARD,
 		random: context.random,
 		answerReserved(_message, response) {
 			proxy.answerJson(response, 404, {});
 		},
 		isDraining: () => isStopping,
-		connectMilliseconds: UPSTREAM_CONNECT_MILLISECONDS,
-		paces: proxy.createPaces(settings.linkBytesPerSecond, context.now),
-		note: createNoting(context),
+		connectTimeoutMilliseconds: UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS,
+		pacers: proxy.createPacers(settings.linkBytesPerSecond, context.now),
+		recordRequest: createRequestLog(context),
 	});
 	opened.traffic = traffic;
 	context.metrics.registerGauge('requests_in_flight', traffic.getInFlight);
-	context.metrics.registerGauge('generation_version', () => knowledge.getGeneration()?.version ?? 0);
-	log.info('Host started.', {traffic: core.formatAddress(settings.trafficAddress), seeds: settings.seeds.map(seed => seed.id)});
-	const teardown = utils.mergeTeardowns(watchPauses(context), links.close, standbys.teardown, own.teardown, meter.teardown);
+	context.metrics.registerGauge('generation_version', () => fleetView.getGeneration()?.version ?? 0);
+	log.info('The entry host has started.', {traffic: core.formatAddress(settings.trafficAddress), seeds: settings.seeds.map(seed => seed.id)});
+	const teardown = utils.mergeTeardowns(watchPauses(context), controlLinks.close, standbys.teardown, ownDispatcher.teardown, meter.teardown);
 	return {
 		isReady,
 		listAddresses(failureDomain, host) {
 			const self = core.formatAddress(settings.trafficAddress);
-			const others = lookUp(directory, failureDomain, host).filter(address => address !== self || isReady());
+			const others = lookUpAddresses(directory, failureDomain, host).filter(address => address !== self || isReady());
 			return others.length > 0 || !isReady() ? others : [self];
 		},
-		addSeeds: links.addSeeds,
+		addSeeds: controlLinks.addSeeds,
 		async stop() {
 			isStopping = true;
-			tellState();
-			log.info('Host stopping.', {inFlight: traffic.getInFlight()});
-			const {acceptingMilliseconds, drainingMilliseconds} = divideStop(settings.stopMilliseconds);
+			reportState();
+			log.info('The entry host is stopping.', {inFlight: traffic.getInFlight()});
+			const {acceptingMilliseconds, drainingMilliseconds} = divideStopTime(settings.stopMilliseconds);
 			await timers.setTimeout(acceptingMilliseconds);
 			await Promise.race([traffic.drain(), timers.setTimeout(drainingMilliseconds)]);
-			log.info('Host stopped.', {inFlight: traffic.getInFlight()});
+			log.info('The entry host has stopped.', {inFlight: traffic.getInFlight()});
 			teardown();
 			await linkServer.close();
 		},
 	};
 }
 
-const OPEN_GUARD: proxy.Guard = {
-	getStanding: () => 'free',
+/**
+This kind of fleet quarantines no requests.
+*/
+const PERMISSIVE_GUARD: proxy.CrashGuard = {
+	getQuarantineStatus: () => 'free',
 	requestTrial: async () => ({kind: 'free'}),
-	examineLoss: async () => false,
-	noteSurvived: () => undefined,
+	detectCrash: async () => false,
+	recordSurvival: () => undefined,
 };
--- a/packages/wagtailroute-fleet/src/index.ts
+++ b/packages/wagtailroute-fleet/src/index.ts
@@ -1,25 +1,25 @@
 /**
-Entry and control hosts of a fleet whose slots are dispatched.
+Entry hosts and control hosts of a fleet whose dispatchers grant the slots of upstreams, one request at a time.
 */
 export {createContext, type FleetContext} from './context.ts';
 export {type Control, startControl} from './control.ts';
 export {
 	ADDRESS_TTL_SECONDS,
-	ADDRESSES_LEAST,
+	MIN_DIRECTORY_ADDRESSES as ADDRESSES_LEAST,
 	STANDBY_EXTRA_RESENDS,
-	STANDBYS_MOST,
-	STANDBYS_TOLD,
-	UPSTREAM_CONNECT_MILLISECONDS,
+	MAX_STANDBYS,
+	STANDBYS_PER_SERVICE as STANDBYS_TOLD,
+	UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
-export {type Absences, startAbsences} from './absences.ts';
-export {type Allotting, startAllotting} from './allotting.ts';
-export {createAskers} from './askers.ts';
-export {createAskMethods} from './ask-methods.ts';
-export type {ShortAnswer} from './ask-wire.ts';
-export {type Asking, createAsking} from './asking.ts';
-export type {OpenControl} from './control-links.ts';
+export {type AbsenceTracker, startAbsenceTracker} from './absences.ts';
+export {type AllotmentEnforcer, startAllotmentEnforcer} from './allotment-enforcer.ts';
+export {createRequestingHosts} from './requesting-hosts.ts';
+export {createSlotRequestMethods as createAskMethods} from './slot-request-methods.ts';
+export type {EncodedAnswer as ShortAnswer} from './slot-request-encoding.ts';
+export {createDispatchClient, type DispatchClient} from './dispatch-client.ts';
+export type {LinkedHost} from './control-links.ts';
 export {orderDispatchers} from './dispatch-order.ts';
-export {type Dispatching, startDispatching} from './dispatching.ts';
+export {type HostDispatcher as Dispatching, startHostDispatcher as startDispatching} from './host-dispatcher.ts';
 export {type Belief, METHODS, type ServiceUpdates} from './messages.ts';
 export {createRequestShare, type RequestShare} from './request-share.ts';
 export {createRouter, type Router} from './routing.ts';
--- a/packages/wagtailroute-lab/src/fleet.ts
+++ b/packages/wagtailroute-lab/src/fleet.ts
@@ -81,31 +81,31 @@
 
 const MESSAGE_HANDLERS: Readonly<Record<string, MessageHandler>> = {
 	[fleet.METHODS.believe]({dispatching}, belief) {
-		dispatching.hearBelief(belief as fleet.Belief);
+		dispatching.applyBelief(belief as fleet.Belief);
 	},
 	[fleet.METHODS.updates]({dispatching}, updates) {
 		dispatching.applyUpdates(updates as fleet.ServiceUpdates);
 	},
 	[fleet.METHODS.use]({allotting}, news, from) {
-		allotting.hearUse(news as allotments.UseNews, from);
+		allotting.applyReport(news as allotments.UsageReport, from);
 	},
 };
 
 type Control = {
 	readonly id: core.HostId;
 	readonly endpoint: Endpoint;
-	readonly allotting: fleet.Allotting;
-	readonly askers: ReturnType<typeof fleet.createAskers>;
+	readonly allotting: fleet.AllotmentEnforcer;
+	readonly askers: ReturnType<typeof fleet.createRequestingHosts>;
 	readonly dispatching: fleet.Dispatching;
 };
 
 type Entry = EntryHost & {
 	readonly endpoint: Endpoint;
-	readonly askers: ReturnType<typeof fleet.createAskers>;
+	readonly askers: ReturnType<typeof fleet.createRequestingHosts>;
 	readonly own: fleet.Dispatching;
-	readonly asking: fleet.Asking;
-	readonly controls: fleet.OpenControl[];
-	readonly standbys: fleet.OpenControl[];
+	readonly asking: fleet.DispatchClient;
+	readonly controls: fleet.LinkedHost[];
+	readonly standbys: fleet.LinkedHost[];
 	readonly end: () => void;
 };
 
@@ -156,11 +156,11 @@
 
 	refresh(service: core.ServiceName): void {
 		for (const {dispatching} of this.#controls) {
-			dispatching.refresh(service);
+			dispatching.refreshCandidates(service);
 		}
 
 		for (const {own} of this.#entries) {
-			own.refresh(service);
+			own.refreshCandidates(service);
 		}
 	}
 
@@ -217,7 +217,7 @@
 		this.#plan.clock.schedule(milliseconds + START_MILLISECONDS, () => {
 			this.#start();
 			for (const {dispatching} of this.#controls) {
-				dispatching.hearBeliefs(kept);
+				dispatching.mergeBeliefs(kept);
 			}
 		});
 	}
@@ -237,7 +237,7 @@
 	#loseLinks(entry: Entry): void {
 		for (const old of entry.controls.splice(0)) {
 			old.link.close();
-			entry.asking.loseDispatcher(old);
+			entry.asking.handleDispatcherLost(old);
 		}
 	}
 
@@ -267,13 +267,13 @@
 		const control = this.#createControl(index);
 		this.#controls[index] = control;
 		const neighbour = this.#controls.find(({endpoint, id}) => endpoint.state === 'up' && id !== control.id);
-		control.dispatching.hearBeliefs(neighbour?.dispatching.listBeliefs() ?? []);
+		control.dispatching.mergeBeliefs(neighbour?.dispatching.listBeliefs() ?? []);
 		for (const entry of this.#entries) {
 			const place = entry.controls.findIndex(({host}) => host.id === control.id);
 			const [old] = entry.controls.splice(place, place === -1 ? 0 : 1);
 			if (old !== undefined) {
 				old.link.close();
-				entry.asking.loseDispatcher(old);
+				entry.asking.handleDispatcherLost(old);
 			}
 
 			this.#reconnect(entry, control);
@@ -288,7 +288,7 @@
 			}
 
 			this.#connect(entry, control);
-			control.dispatching.hearBeliefs(entry.askers.count() > 0 ? entry.own.listBeliefs() : []);
+			control.dispatching.mergeBeliefs(entry.askers.count() > 0 ? entry.own.listBeliefs() : []);
 		};
 
 		if (scenario.reconnectSeconds === 0) {
@@ -318,11 +318,11 @@
 			role: 'control', failureDomain, methods, state: 'up', frozenUntil: 0,
 		};
 		const id = `control-${index}`;
-		const askers = fleet.createAskers();
+		const askers = fleet.createRequestingHosts();
 		const requestShare = fleet.createRequestShare(() => this.#entries.length, 1);
-		const absences = fleet.startAbsences(createContext(this.#plan.clock, this.#plan.random, () => undefined), {
+		const absences = fleet.startAbsenceTracker(createContext(this.#plan.clock, this.#plan.random, () => undefined), {
 			listHosts: () => this.#listHeard(askers),
-			getOneShare: requestShare.getOne,
+			getHostShare: requestShare.getHostShare,
 			windowMilliseconds: ALLOTMENTS.windowMilliseconds,
 		});
 		const allotting = this.#startAllotting({
@@ -359,26 +359,26 @@
 		};
 	}
 
-	#listHeard(askers: ReturnType<typeof fleet.createAskers>): ReadonlyArray<Parameters<fleet.Absences['recordClosed']>[0]> {
+	#listHeard(askers: ReturnType<typeof fleet.createRequestingHosts>): ReadonlyArray<Parameters<fleet.AbsenceTracker['recordLinkClosed']>[0]> {
 		return this.#entries.flatMap(({id}) => {
 			const over = askers.find(id);
-			return over === undefined ? [] : [{id, isReady: true, silence: over.getSilence()}];
+			return over === undefined ? [] : [{id, isReady: true, silenceMilliseconds: over.getSilence()}];
 		});
 	}
 
 	#startAllotting({requestShare, absences, isTold, tellDispatchers}: {
 		readonly requestShare: fleet.RequestShare;
-		readonly absences?: fleet.Absences;
+		readonly absences?: fleet.AbsenceTracker;
 		readonly isTold: boolean;
 		readonly tellDispatchers: (message: Message) => void;
-	}): fleet.Allotting {
+	}): fleet.AllotmentEnforcer {
 		const {clock, random, onSuspended} = this.#plan;
-		const allotting = fleet.startAllotting(createContext(clock, random, onSuspended), {
+		const allotting = fleet.startAllotmentEnforcer(createContext(clock, random, onSuspended), {
 			settings: ALLOTMENTS,
 			requestShare,
 			absences,
-			isTold,
-			tellDispatchers(method, parameters) {
+			isReceivingReports: isTold,
+			notifyDispatchers(method, parameters) {
 				tellDispatchers({method, parameters});
 			},
 		});
@@ -387,7 +387,7 @@
 	}
 
 	#listStandbys(): readonly core.HostId[] {
-		return this.#plan.variant.hasStandbys ? this.#entries.slice(0, fleet.STANDBYS_MOST).map(({id}) => id) : [];
+		return this.#plan.variant.hasStandbys ? this.#entries.slice(0, fleet.MAX_STANDBYS).map(({id}) => id) : [];
 	}
 
 	#tellControls(from: core.HostId, {method, parameters}: Message): void {
@@ -403,8 +403,8 @@
 	}
 
 	#startDispatching({askers, allotting, requestShare, isTold, extra, listStandbys, tellControls, getState, onAnswer}: {
-		readonly askers: ReturnType<typeof fleet.createAskers>;
-		readonly allotting: fleet.Allotting;
+		readonly askers: ReturnType<typeof fleet.createRequestingHosts>;
+		readonly allotting: fleet.AllotmentEnforcer;
 		readonly requestShare: fleet.RequestShare;
 		readonly isTold: boolean;
 		readonly extra: number;
@@ -421,7 +421,7 @@
 			settings: {budget: {...scenario.budget, extra}, floor: scenario.floor, policy: variant.policy},
 			allotting,
 			requestShare,
-			isTold,
+			isReceivingUpdates: isTold,
 			listCandidates,
 			listStandbys,
 			notify(host, method, parameters) {
@@ -432,7 +432,7 @@
 					over?.notify(method, parameters);
 				}
 			},
-			tellControls(method, parameters) {
+			notifyControlHosts(method, parameters) {
 				tellControls({method, parameters});
 			},
 		});
@@ -445,9 +445,9 @@
 		const endpoint: Endpoint = {
 			role: 'entry', failureDomain, methods, state: 'up', frozenUntil: 0,
 		};
-		const askers = fleet.createAskers();
-		const controls: fleet.OpenControl[] = [];
-		const standbys: fleet.OpenControl[] = [];
+		const askers = fleet.createRequestingHosts();
+		const controls: fleet.LinkedHost[] = [];
+		const standbys: fleet.LinkedHost[] = [];
 		const notifyControls = (message: Message) => {
 			notifyAll(controls, message);
 		};
@@ -475,14 +475,14 @@
 			},
 			getState: () => endpoint.state,
 			onAnswer([ask, answer]) {
-				asking.hearAnswer(ask, answer);
+				asking.handleAnswer(ask, answer);
 			},
 		});
 		const context = createContext(clock, random, () => undefined);
-		const asking = fleet.createAsking(context, {
+		const asking = fleet.createDispatchClient(context, {
 			settings: {hostId: id, failureDomain, allotments: ALLOTMENTS},
 			countEntryHosts: () => this.#entries.length,
-			getControls: () => controls.filter(({link: over}) => over.isOpen()),
+			getControlHosts: () => controls.filter(({link: over}) => over.isOpen()),
 			standbys: {
 				getOpen: () => standbys,
 				open: () => {
@@ -491,20 +491,20 @@
 				waitForOne: async () => new Promise<void>(resolve => {
 					clock.schedule(DIAL_MILLISECONDS, resolve);
 				}),
-				isSelfNamed: () => this.#listStandbys().includes(id),
+				isOwnHostStandby: () => this.#listStandbys().includes(id),
 			},
-			own,
+			ownDispatcher: own,
 			isRetired: () => false,
 			getLinkDelay: () => 0,
 		});
 		register(methods, {
 			[fleet.METHODS.answer]([ask, answer]: [number, fleet.ShortAnswer]) {
-				asking.hearAnswer(ask, answer);
+				asking.handleAnswer(ask, answer);
 			},
-			[fleet.METHODS.believe]: own.hearBelief,
+			[fleet.METHODS.believe]: own.applyBelief,
 			[fleet.METHODS.updates]: own.applyUpdates,
-			[fleet.METHODS.use]: allotting.hearUse,
-			[fleet.METHODS.beliefNews]: own.hearBeliefNews,
+			[fleet.METHODS.use]: allotting.applyReport,
+			[fleet.METHODS.beliefNews]: own.applyBeliefs,
 			...fleet.createAskMethods(own, askers.findByLink),
 		});
 		const {promise, resolve} = Promise.withResolvers<'left'>();
@@ -523,14 +523,14 @@
 				resolve('left');
 			},
 			route: fleet.createRouter(context, {
-				knowledge: {
+				fleetView: {
 					getGeneration: () => this.#generation,
 					findRoute: (_host, path) => this.#generation.routes.find(({name}) => `/${name}` === path),
 					findOrganisation: key => this.#findOrganisation(key),
 					findService: name => this.#generation.services.find(service => service.name === name),
 					listCandidates,
 				},
-				asking,
+				dispatchClient: asking,
 			}),
 		};
 		return entry;
@@ -555,7 +555,7 @@
 	}
 }
 
-function notifyAll(hosts: readonly fleet.OpenControl[], {method, parameters}: Message): void {
+function notifyAll(hosts: readonly fleet.LinkedHost[], {method, parameters}: Message): void {
 	for (const {link: over} of hosts) {
 		over.notify(method, parameters);
 	}
--- a/packages/wagtailroute-proxy/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-proxy/src/__tests__/unit/fixture.ts
@@ -1,5 +1,5 @@
 /**
-A host's traffic server whose other parts are stand-ins, over loopback.
+A traffic server on loopback with fake ports and stand-in backend servers.
 */
 import type {ExecutionContext} from 'ava';
 import * as undici from 'undici';
@@ -19,54 +19,54 @@
 	limits: {bodyBytes: 50_000_000, timeoutMilliseconds: 5000},
 }).unwrap();
 
-const SERVICE_FAULT = {kind: 'granted', isSendable: () => true, settle: () => undefined} as const;
+const GRANTED_CLAIM = {kind: 'granted', isSendable: () => true, settle: () => undefined} as const;
 
 /**
-What the other parts of the host do.
+Behaviour of the fake ports and the stand-in backend servers.
 */
 export type Setup = {
 	readonly faults: ReadonlyArray<readonly standin.BehaviourRequest[]>;
 	/**
-	Upstreams that nobody listens on, tried first.
+	Number of upstreams without a listener; they are tried first.
 	*/
-	readonly absent?: number;
+	readonly unreachableCount?: number;
 	readonly claim?: proxy.ClaimAnswer;
-	readonly standing?: ReturnType<proxy.Guard['getStanding']>;
+	readonly quarantineStatus?: ReturnType<proxy.CrashGuard['getQuarantineStatus']>;
 	readonly trial?: proxy.TrialAnswer | 'granted';
 	readonly isBudgetEmpty?: boolean;
 	/**
-	Milliseconds after which requests that may be repeated move.
+	Milliseconds after which the answer to an idempotent request is overdue; never when absent.
 	*/
-	readonly patience?: number;
+	readonly overdueMilliseconds?: number;
 	/**
-	The service is carried by other hosts, for which the backend servers stand in.
+	The service is carried by other hosts, whose part the stand-in backend servers play.
 	*/
 	readonly isForwarding?: boolean;
 	readonly admit?: proxy.ServicePort['admit'];
 	readonly hasCrashed?: boolean;
 	readonly routes?: proxy.TrafficPorts['routes'];
 	/**
-	Resolves before a target is given.
+	Targets are granted only after this resolves.
 	*/
 	readonly beforeTarget?: Promise<void>;
 };
 
 /**
-The server and what it told its host.
+The server, and what it reported through its ports.
 */
 export type Fixture = {
 	readonly origin: string;
 	readonly address: core.Address;
 	readonly standins: readonly standin.Standin[];
-	readonly notes: proxy.RequestNote[];
-	readonly reports: proxy.AttemptReport[];
-	readonly releases: proxy.Release[];
-	readonly losses: proxy.Loss[];
+	readonly requestReports: proxy.RequestReport[];
+	readonly attemptReports: proxy.AttemptReport[];
+	readonly releases: proxy.AdmissionRelease[];
+	readonly lostAttempts: proxy.LostAttempt[];
 	readonly trialEndings: proxy.TrialEnding[];
 };
 
 /**
-A port on which nobody listens, and which the system gives to nobody: one that was free just now may be another test's.
+A port without a listener that the system never assigns. A port that was free a moment ago may be in use by another test.
 */
 const UNUSED_PORT = 1;
 
@@ -90,31 +90,31 @@
 }
 
 function createTargets(setup: Setup, standins: readonly standin.Standin[]): proxy.Target[] {
-	const absent = Array.from({length: setup.absent ?? 0}, (_, index) => ({
+	const unreachable = Array.from({length: setup.unreachableCount ?? 0}, (_, index) => ({
 		id: `absent-${index}`,
 		kind: 'upstream' as const,
 		address: {ip: '127.0.0.1', port: UNUSED_PORT},
 	}));
 	const kind = setup.isForwarding === true ? 'host' : 'upstream';
-	const present = standins.map(started => ({id: started.id, kind, address: started.getAddress()} as const));
-	return [...absent, ...present];
+	const listening = standins.map(started => ({id: started.id, kind, address: started.getAddress()} as const));
+	return [...unreachable, ...listening];
 }
 
-async function giveAfter(before: Promise<void>, target: proxy.Target): Promise<proxy.Target> {
-	await before;
+async function resolveAfter(delay: Promise<void>, target: proxy.Target): Promise<proxy.Target> {
+	await delay;
 	return target;
 }
 
 /**
-A host's traffic server whose other parts are stand-ins: targets are tried in order.
+Starts the server and the stand-in backend servers. Targets are tried in order.
 */
 export async function openFixture(t: ExecutionContext, setup: Setup): Promise<Fixture> {
 	const standins = await startStandins(t, setup);
 	const targets = createTargets(setup, standins);
-	const notes: proxy.RequestNote[] = [];
-	const reports: proxy.AttemptReport[] = [];
-	const releases: proxy.Release[] = [];
-	const losses: proxy.Loss[] = [];
+	const requestReports: proxy.RequestReport[] = [];
+	const attemptReports: proxy.AttemptReport[] = [];
+	const releases: proxy.AdmissionRelease[] = [];
+	const lostAttempts: proxy.LostAttempt[] = [];
 	const trialEndings: proxy.TrialEnding[] = [];
 	const table = catalogue.createRouteTable([ENTRY]);
 	const service: proxy.ServicePort = {
@@ -125,35 +125,35 @@
 			releases.push(release);
 		},
 		choose({excluded}) {
-			const target = targets.find(present => !excluded.has(present.id));
+			const target = targets.find(candidate => !excluded.has(candidate.id));
 			return target === undefined || setup.beforeTarget === undefined
 				? target
-				: {result: giveAfter(setup.beforeTarget, target), cancel: () => undefined};
+				: {result: resolveAfter(setup.beforeTarget, target), cancel: () => undefined};
 		},
-		hasAnother: ({excluded}) => targets.some(target => !excluded.has(target.id)),
+		hasOtherTarget: ({excluded}) => targets.some(target => !excluded.has(target.id)),
 		begin: () => undefined,
 		end(report) {
-			reports.push(report);
+			attemptReports.push(report);
 		},
 		retry: {
 			hasBudget: () => setup.isBudgetEmpty !== true,
 			spend: () => undefined,
 			getUsualMilliseconds: () => 0,
-			getPatienceMilliseconds: () => setup.patience ?? Infinity,
+			getOverdueMilliseconds: () => setup.overdueMilliseconds ?? Infinity,
 		},
 	};
 	const server = await proxy.openTrafficServer({ip: '127.0.0.1', port: 0}, {
 		hostId: 'host',
 		now: () => performance.now(),
-		dialect: proxy.OWN_DIALECT,
+		dialect: proxy.DEFAULT_DIALECT,
 		route({host, method, path}) {
 			const match = catalogue.matchRoute(table, host, method, path);
 			return match === undefined ? proxy.createRequestFailure('route-unknown', 'unknown') : {match, service};
 		},
 		routes: setup.routes,
-		claim: async () => setup.claim ?? SERVICE_FAULT,
+		claim: async () => setup.claim ?? GRANTED_CLAIM,
 		guard: {
-			getStanding: () => setup.standing ?? 'free',
+			getQuarantineStatus: () => setup.quarantineStatus ?? 'free',
 			async requestTrial() {
 				const granted: proxy.TrialAnswer = {
 					kind: 'granted',
@@ -164,19 +164,19 @@
 				};
 				return setup.trial === 'granted' ? granted : setup.trial ?? {kind: 'free'};
 			},
-			async examineLoss(loss) {
-				losses.push(loss);
+			async detectCrash(attempt) {
+				lostAttempts.push(attempt);
 				return setup.hasCrashed === true;
 			},
-			noteSurvived: () => undefined,
+			recordSurvival: () => undefined,
 		},
 		random: () => 0,
 		answerReserved(_message, response) {
 			proxy.answerJson(response, 200, {});
 		},
 		isDraining: () => false,
-		note(note) {
-			notes.push(note);
+		recordRequest(report) {
+			requestReports.push(report);
 		},
 	});
 	t.teardown(async () => server.drain());
@@ -184,10 +184,10 @@
 		origin: `http://127.0.0.1:${server.address.port}`,
 		address: server.address,
 		standins,
-		notes,
-		reports,
+		requestReports,
+		attemptReports,
 		releases,
-		losses,
+		lostAttempts,
 		trialEndings,
 	};
 }
@@ -213,7 +213,7 @@
 }
 
 /**
-Counts the requests that backend servers ran.
+Returns the number of requests that the backend servers ran.
 */
 export function countRuns(fixture: Fixture): number {
 	return fixture.standins.reduce((sum, started) => sum + started.counters().runs, 0);
--- a/packages/wagtailroute-proxy/src/bodies.ts
+++ b/packages/wagtailroute-proxy/src/bodies.ts
@@ -1,33 +1,33 @@
 /**
-Bodies of requests: small ones are read whole, so that they can be sent again and digested; large ones are streamed with
-back-pressure behind their first part.
+Bodies of requests. Small ones are buffered, so that they can be sent again and digested; of large ones only the first part is
+buffered, and the rest is streamed with back-pressure.
 */
 import * as buffer from 'node:buffer';
 import type * as http from 'node:http';
 import * as timers from 'node:timers/promises';
 import * as results from 'ts-results-es';
-import {PACED_PIECE_BYTES, REPLAYABLE_BODY_BYTES} from './constants.ts';
+import {MAX_REPLAYABLE_BODY_BYTES, PACED_CHUNK_BYTES} from './constants.ts';
 import {createRequestFailure, type RequestFailure} from './failures.ts';
-import {NO_PACE, type Pace} from './pace.ts';
+import {type Pacer, UNLIMITED_PACER} from './pacing.ts';
 import type {CallerRequest} from './requests.ts';
 
 /**
-A body as far as it was read.
+A body of which the first part is buffered.
 */
 export type Body = {
 	/**
-	The whole body, or its first part when it is larger than what can be sent again.
+	The whole body, or its first part when it is larger than `MAX_REPLAYABLE_BODY_BYTES`.
 	*/
 	readonly prefix: buffer.Buffer;
 	/**
-	Absent when the prefix is the whole body.
+	The part that was not read yet; absent when the prefix is the whole body.
 	*/
 	readonly rest?: AsyncIterator<buffer.Buffer>;
 	readonly limitBytes: number;
 };
 
 /**
-A body that ended early or exceeded its limit while it was being sent on.
+A streamed body that ended early or exceeded its limit.
 */
 export class BodyError extends Error {
 	override readonly name = 'BodyError';
@@ -37,20 +37,20 @@
 }
 
 /**
-The body of a request without one, as if read.
+The result of reading the body of a request without one.
 */
 export const NO_BODY = results.Ok<Body>({prefix: buffer.Buffer.alloc(0), limitBytes: 0});
 
 /**
-Reads a body up to the size that can be sent again.
+Reads a body up to the size that is buffered.
 
-@param limitBytes The service's limit; a body declared larger is refused before anything is read.
+@param limitBytes Maximum size of the body; a body with a larger Content-Length is refused before anything is read.
 */
 export async function readBody(
 	message: http.IncomingMessage,
 	request: CallerRequest,
 	limitBytes: number,
-	pace: Pace = NO_PACE,
+	pacer: Pacer = UNLIMITED_PACER,
 ): Promise<results.Result<Body, RequestFailure>> {
 	if (!request.hasBody) {
 		return NO_BODY;
@@ -60,106 +60,106 @@
 		return results.Err(createRequestFailure('body-too-large', `The body is larger than ${limitBytes} bytes.`));
 	}
 
-	// The iterator must not destroy the message: that would cut the caller's connection before it is told the outcome.
+	// The iterator must not destroy the message: that would close the caller's connection before it is answered.
 	const rest = message.iterator({destroyOnReturn: false}) as AsyncIterator<buffer.Buffer>;
 	const chunks: buffer.Buffer[] = [];
 	let size = 0;
 	try {
-		while (size <= REPLAYABLE_BODY_BYTES) {
-			// eslint-disable-next-line no-await-in-loop -- The parts of a body come one after the other.
-			const part = await rest.next();
-			if (part.done === true) {
-				return size > limitBytes ? results.Err(createTooLarge(limitBytes)) : results.Ok({prefix: buffer.Buffer.concat(chunks), limitBytes});
+		while (size <= MAX_REPLAYABLE_BODY_BYTES) {
+			// eslint-disable-next-line no-await-in-loop -- The chunks of a body arrive one after the other.
+			const chunk = await rest.next();
+			if (chunk.done === true) {
+				return size > limitBytes ? results.Err(createTooLargeFailure(limitBytes)) : results.Ok({prefix: buffer.Buffer.concat(chunks), limitBytes});
 			}
 
-			chunks.push(part.value);
-			size += part.value.length;
+			chunks.push(chunk.value);
+			size += chunk.value.length;
 			// eslint-disable-next-line no-await-in-loop -- See above.
-			await waitFor(pace, part.value.length);
+			await applyPacing(pacer, chunk.value.length);
 		}
 	} catch {
 		return results.Err(createRequestFailure('body-cut-by-caller', 'The body ended early.'));
 	}
 
 	return size > limitBytes
-		? results.Err(createTooLarge(limitBytes))
+		? results.Err(createTooLargeFailure(limitBytes))
 		: results.Ok({prefix: buffer.Buffer.concat(chunks), rest, limitBytes});
 }
 
-function createTooLarge(limitBytes: number): RequestFailure {
+function createTooLargeFailure(limitBytes: number): RequestFailure {
 	return createRequestFailure('body-too-large', `The body is larger than ${limitBytes} bytes.`);
 }
 
 /**
-Says whether the body can be sent again after an attempt that may have sent some of it.
+Returns whether the body can be sent again after an attempt that may have sent some of it.
 */
 export function isReplayable(body: Body): boolean {
 	return body.rest === undefined;
 }
 
 /**
-Returns the body as the HTTP client takes it.
+Returns the body in the form that undici accepts; undefined for an empty body.
 */
-export function getSendable(body: Body, pace: Pace = NO_PACE): buffer.Buffer | AsyncIterable<buffer.Buffer> | undefined {
+export function getSendableBody(body: Body, pacer: Pacer = UNLIMITED_PACER): buffer.Buffer | AsyncIterable<buffer.Buffer> | undefined {
 	if (body.rest !== undefined) {
-		return streamBody(body, body.rest, pace);
+		return streamBody(body, body.rest, pacer);
 	}
 
-	if (pace !== NO_PACE && body.prefix.length > PACED_PIECE_BYTES) {
-		return sendInPieces(body.prefix, pace);
+	if (pacer !== UNLIMITED_PACER && body.prefix.length > PACED_CHUNK_BYTES) {
+		return yieldChunks(body.prefix, pacer);
 	}
 
 	return body.prefix.length === 0 ? undefined : body.prefix;
 }
 
 /**
-Returns the length that the backend server is told; undefined when the HTTP client finds it itself, or nobody knows it.
+Returns the Content-Length to send; undefined when undici determines it, or when it is unknown.
 */
-export function getToldLength(body: Body, request: CallerRequest): number | undefined {
+export function getContentLength(body: Body, request: CallerRequest): number | undefined {
 	if (body.rest !== undefined) {
 		return request.contentLength;
 	}
 
-	return body.prefix.length > PACED_PIECE_BYTES ? body.prefix.length : undefined;
+	return body.prefix.length > PACED_CHUNK_BYTES ? body.prefix.length : undefined;
 }
 
-async function waitFor(pace: Pace, bytes: number): Promise<void> {
-	const milliseconds = pace.pass(bytes);
+async function applyPacing(pacer: Pacer, bytes: number): Promise<void> {
+	const milliseconds = pacer.reserve(bytes);
 	if (milliseconds >= 1) {
 		await timers.setTimeout(milliseconds);
 	}
 }
 
-async function * sendInPieces(bytes: buffer.Buffer, pace: Pace): AsyncIterable<buffer.Buffer> {
-	if (pace === NO_PACE) {
+async function * yieldChunks(bytes: buffer.Buffer, pacer: Pacer): AsyncIterable<buffer.Buffer> {
+	if (pacer === UNLIMITED_PACER) {
 		yield bytes;
 		return;
 	}
 
-	for (let start = 0; start < bytes.length; start += PACED_PIECE_BYTES) {
-		const piece = bytes.subarray(start, start + PACED_PIECE_BYTES);
-		yield piece;
-		// eslint-disable-next-line no-await-in-loop -- One piece after the other.
-		await waitFor(pace, piece.length);
+	for (let start = 0; start < bytes.length; start += PACED_CHUNK_BYTES) {
+		const chunk = bytes.subarray(start, start + PACED_CHUNK_BYTES);
+		yield chunk;
+		// eslint-disable-next-line no-await-in-loop -- The chunks are sent one after the other.
+		await applyPacing(pacer, chunk.length);
 	}
 }
 
-async function * streamBody(body: Body, rest: AsyncIterator<buffer.Buffer>, pace: Pace): AsyncIterable<buffer.Buffer> {
+async function * streamBody(body: Body, rest: AsyncIterator<buffer.Buffer>, pacer: Pacer): AsyncIterable<buffer.Buffer> {
 	let size = body.prefix.length;
-	yield * sendInPieces(body.prefix, pace);
+	yield * yieldChunks(body.prefix, pacer);
 	for (;;) {
-		// eslint-disable-next-line no-await-in-loop -- The parts of a body come one after the other.
-		const part = await rest.next();
-		if (part.done === true) {
+		// eslint-disable-next-line no-await-in-loop -- The chunks of a body arrive one after the other.
+		const chunk = await rest.next();
+		if (chunk.done === true) {
 			return;
 		}
 
-		size += part.value.length;
+		size += chunk.value.length;
 		if (size > body.limitBytes) {
-			// Ends the attempt: the backend server sees a request cut off, never one that looks whole.
+			// Ends the attempt, so that the backend server sees a truncated request and never one that looks complete.
 			throw new BodyError(`The body is larger than ${body.limitBytes} bytes.`);
 		}
 
-		yield * sendInPieces(part.value, pace);
+		yield * yieldChunks(chunk.value, pacer);
 	}
 }
--- a/packages/wagtailroute-proxy/src/targets.ts
+++ b/packages/wagtailroute-proxy/src/targets.ts
@@ -1,86 +1,88 @@
 /**
-The targets of one request: which had it, which gets it next, and which takes it from one that leaves it unanswered.
+The targets of one request: those already tried, the next one, and the one to which it moves when an answer is overdue.
 */
 import * as core from 'wagtailroute-core';
 import * as retries from 'wagtailroute-retries';
 import type {Attempt} from './attempts.ts';
 import type * as failures from './failures.ts';
-import type {GivingUp} from './giving-up.ts';
-import {type OverdueWatch, watchOverdue} from './overdue.ts';
+import {type OverdueWatch, startOverdueWatch} from './overdue.ts';
 import type * as ports from './ports.ts';
+import type {RequestAbortController} from './request-abort.ts';
 import type * as requests from './requests.ts';
 
 /**
-What choosing targets needs.
+The request whose targets are chosen.
 */
 export type TargetsContext = {
 	readonly request: requests.CallerRequest;
-	readonly match: ports.Match;
+	readonly match: ports.RouteMatch;
 	readonly service: ports.ServicePort;
 };
 
 /**
-What is known of an attempt that may be moved.
+Properties of an attempt that decide whether it may be moved.
 */
 export type MovableAttempt = {
 	/**
-	Targets that got the request, this one included.
+	Number of attempts made, this one included.
 	*/
 	readonly count: number;
 	/**
-	Its body is still at hand, whole.
+	The whole body is buffered, so that it can be sent again.
 	*/
 	readonly isReplayable: boolean;
 };
 
 /**
-The time of a request, in milliseconds.
+Remaining and elapsed time of a request.
 */
-export type RequestTime = {
+export type RequestClock = {
 	/**
-	Until its deadline.
+	Milliseconds until the deadline.
 	*/
-	readonly getRemaining: () => number;
+	readonly getRemainingMilliseconds: () => number;
 	/**
-	Since it came.
+	Milliseconds since the request arrived.
 	*/
-	readonly getWaited: () => number;
+	readonly getElapsedMilliseconds: () => number;
 };
 
 /**
-The targets of one request.
+Chooses the targets of one request.
 */
 export class Targets {
 	readonly #tried = new Set<string>();
 	readonly #context: TargetsContext;
-	readonly #givingUp: GivingUp;
-	readonly #getRemaining: () => number;
-	readonly #getWaited: () => number;
+	readonly #abortController: RequestAbortController;
+	readonly #getRemainingMilliseconds: () => number;
+	readonly #getElapsedMilliseconds: () => number;
 	/**
-	Granted already, to a request that moves.
+	Target already granted to a request that moves, used by the next attempt.
 	*/
-	#next: ports.Target | undefined;
+	#nextTarget: ports.Target | undefined;
 
-	constructor(context: TargetsContext, givingUp: GivingUp, {getRemaining, getWaited}: RequestTime) {
+	constructor(context: TargetsContext, abortController: RequestAbortController, {getRemainingMilliseconds, getElapsedMilliseconds}: RequestClock) {
 		this.#context = context;
-		this.#givingUp = givingUp;
-		this.#getRemaining = getRemaining;
-		this.#getWaited = getWaited;
+		this.#abortController = abortController;
+		this.#getRemainingMilliseconds = getRemainingMilliseconds;
+		this.#getElapsedMilliseconds = getElapsedMilliseconds;
 	}
 
 	/**
-	Leaves a target out from now on.
+	Excludes a target from all later choices.
 	*/
 	exclude(target: ports.Target): void {
 		this.#tried.add(target.id);
 	}
 
 	/**
-	Returns the next target, or why there is none.
+	Returns the target of the next attempt, or the reason why there is none; undefined when the service has no other target.
+
+	@param isResend The request was sent to a target before.
 	*/
 	async choose(isResend: boolean): Promise<ports.Target | failures.RequestFailure | undefined> {
-		const next = this.#next;
-		this.#next = undefined;
+		const next = this.#nextTarget;
+		this.#nextTarget = undefined;
 		if (next !== undefined) {
 			return next;
 		}
@@ -90,71 +92,75 @@
 			return chosen;
 		}
 
-		// Whoever gave up waiting gives the target back.
-		this.#givingUp.setListener(() => {
+		// A target that is granted after the cancellation is released by the port.
+		this.#abortController.setListener(() => {
 			chosen.cancel();
 		});
-		const result = await chosen.result;
-		this.#givingUp.setListener(() => undefined);
-		return result;
+		const target = await chosen.result;
+		this.#abortController.setListener(() => undefined);
+		return target;
 	}
 
+	/**
+	Creates the request for a target, with the tried ones excluded.
+	*/
 	createChoice(isResend: boolean): ports.ChoiceRequest {
 		const {match, request} = this.#context;
 		return {
 			excluded: this.#tried,
 			requestClass: match.route.class,
 			requestId: request.id,
-			remainingMilliseconds: this.#getRemaining(),
-			waitedMilliseconds: this.#getWaited(),
+			remainingMilliseconds: this.#getRemainingMilliseconds(),
+			waitedMilliseconds: this.#getElapsedMilliseconds(),
 			isResend,
 			isMove: false,
 		};
 	}
 
 	/**
-	Watches an attempt that may be moved: it may be repeated, another attempt is allowed, and its time suffices.
+	Starts a watch over an attempt that may be moved: the request is idempotent and its body buffered, another attempt is allowed, and
+	the time left suffices for one. Returns undefined for other attempts.
 	*/
 	watch(attempt: Attempt, {count, isReplayable}: MovableAttempt): OverdueWatch | undefined {
 		const {service: {retry, limits, choose}, match} = this.#context;
-		const patienceMilliseconds = retry.getPatienceMilliseconds?.() ?? Infinity;
+		const overdueMilliseconds = retry.getOverdueMilliseconds?.() ?? Infinity;
 		const isMovable = core.isIdempotent(match.route.class)
 			&& count < (limits.attempts ?? retries.MAX_ATTEMPTS)
 			&& isReplayable
-			&& patienceMilliseconds + retry.getUsualMilliseconds() < this.#getRemaining();
+			&& overdueMilliseconds + retry.getUsualMilliseconds() < this.#getRemainingMilliseconds();
 		return isMovable
-			? watchOverdue({
+			? startOverdueWatch({
 				attempt,
-				patienceMilliseconds,
+				overdueMilliseconds,
 				choose: () => choose({...this.createChoice(true), isMove: true}),
-				giveBack: target => {
-					this.#giveBack(target);
+				releaseTarget: target => {
+					this.#releaseTarget(target);
 				},
 			})
 			: undefined;
 	}
 
 	/**
-	Takes what came of a watch; returns whether the request moves.
+	Keeps the target to which a watch moved the request, for the next attempt. Returns whether the request moves.
 	*/
-	keepNext(watch: OverdueWatch | undefined): boolean {
-		this.#next = watch?.getNext();
-		return this.#next !== undefined;
+	recordMove(watch: OverdueWatch | undefined): boolean {
+		this.#nextTarget = watch?.getNextTarget();
+		return this.#nextTarget !== undefined;
 	}
 
 	/**
-	The request is not sent any more. A target that was granted and never used would stay taken until somebody looked for it.
+	Releases a granted target when the request is not sent any more. Otherwise its slot would stay occupied until a check finds it unused.
 	*/
-	abandon(): void {
-		if (this.#next === undefined) {
+	releaseUnused(): void {
+		if (this.#nextTarget === undefined) {
 			return;
 		}
 
-		this.#giveBack(this.#next);
-		this.#next = undefined;
+		this.#releaseTarget(this.#nextTarget);
+		this.#nextTarget = undefined;
 	}
 
-	#giveBack(target: ports.Target): void {
+	#releaseTarget(target: ports.Target): void {
 		this.#context.service.end({
 			target, ending: 'cancelled', latencyMilliseconds: 0, fingerprint: '', hasCrashed: false,
 		});
