--- a/packages/wagtailroute-allotments/src/__tests__/unit/allotments.test.ts
+++ b/packages/wagtailroute-allotments/src/__tests__/unit/allotments.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of allotments at one dispatcher, and of several that tell each other.
+Tests of the allotment limiter of one dispatcher, and of several dispatchers that exchange usage reports.
 */
 import test from 'ava';
 import * as fc from 'fast-check';
@@ -7,10 +7,10 @@
 import * as allotments from '../../index.ts';
 import {
 	createLimiter,
-	type History,
+	type Simulation,
 	type LimiterFactory,
-	play,
-} from './history.ts';
+	simulate,
+} from './simulation.ts';
 
 const PARISH = {organisation: 'parish', ratePerSecond: 10, burst: 10};
 
@@ -22,12 +22,12 @@
 	return limiter;
 }
 
-function tell(limiter: allotments.AllotmentLimiter, services: readonly string[], uses: readonly allotments.Usage[], at: number): void {
+function applyReport(limiter: allotments.AllotmentLimiter, services: readonly string[], uses: readonly allotments.Usage[], at: number): void {
 	limiter.applyReport({at, services, uses}, {at, now: at});
 }
 
 /**
-Returns how many of some requests that come at once are admitted.
+Sends requests at one time and returns how many are admitted.
 */
 function countAdmitted(limiter: allotments.AllotmentLimiter, requests: number, {at, service = 'archive', organisation = 'parish'}: {
 	readonly at: number;
@@ -42,15 +42,15 @@
 	return admitted;
 }
 
-test('an organisation that was quiet may send its burst and a part of the slack at once, then a little more than its rate', t => {
+test('an organisation that sent nothing may send its burst and a fraction of the slack at once, then slightly more than its rate', t => {
 	const limiter = create();
 	t.is(countAdmitted(limiter, 100, {at: 10_000}), 18);
 	t.is(countAdmitted(limiter, 100, {at: 11_000}), 11);
 });
 
-test('one that sends more all the while gets its rate and most of its burst in every window', t => {
-	// Symptom: an organisation that floods is refused more than its allotment asks for. Sequence: it has used its burst once and sends on. Cause: from then on
-	// only the rate is given out, although each window may hold the rate and the burst.
+test('an organisation that permanently sends too much gets its rate and most of its burst in every window', t => {
+	// Guards against refusing too many requests after an organisation has used its burst once: only the rate was admitted from then on, although each window may
+	// hold the rate and the burst.
 	const limiter = create();
 	const admittedAt: number[] = [];
 	for (let at = 10_000; at < 40_000; at += 10) {
@@ -61,13 +61,13 @@
 
 	for (let start = 10_000; start <= 35_000; start += 100) {
 		const inWindow = admittedAt.filter(at => at >= start && at < start + 5000).length;
-		// Right after the first burst the window is full until the burst is out of it.
+		// After the first burst the window stays full until the burst leaves it.
 		const least = start < 20_000 ? 45 : 54;
 		t.true(inWindow >= least && inWindow <= 68, `${start}: ${inWindow}`);
 	}
 });
 
-test('a refusal tells when the next token comes, and what was used', t => {
+test('a refusal states when the next token is available, and the requests used', t => {
 	const limiter = create();
 	countAdmitted(limiter, 18, {at: 10_000});
 	t.like(limiter.admit('parish', 'archive', 10_000), {
@@ -77,13 +77,13 @@
 	t.is(limiter.admit('parish', 'archive', 10_090).kind, 'admitted');
 });
 
-const UNBOUND = [
-	{name: 'an organisation that is unknown', organisation: 'other'},
+const UNLIMITED_CASES = [
+	{name: 'an unknown organisation', organisation: 'other'},
 	{name: 'an organisation without a rate', organisation: 'friends'},
 ] as const;
 
-for (const {name, organisation} of UNBOUND) {
-	test(`nothing bounds ${name}, and the others are told nothing of it`, t => {
+for (const {name, organisation} of UNLIMITED_CASES) {
+	test(`${name} is not limited, and not reported to other dispatchers`, t => {
 		const limiter = create();
 		limiter.setAllotments([PARISH, {organisation: 'friends', ratePerSecond: 0, burst: 0}], 0);
 		t.is(countAdmitted(limiter, 1000, {at: 10_000, organisation}), 1000);
@@ -91,28 +91,28 @@
 	});
 }
 
-test('an account begins nearly empty', t => {
-	// Symptom: an organisation gets its burst twice within a second. Sequence: it has used its burst, all dispatchers start again, it sends on.
-	// Cause: a full account stands for "nothing was used", which a dispatcher that has just started cannot know.
+test('a bucket starts nearly empty', t => {
+	// Guards against admitting a burst twice within a second, before and after a restart of all dispatchers: a dispatcher that has just started cannot know what
+	// was used, so its bucket must not be full.
 	t.is(countAdmitted(create(), 100, {at: 0}), 8);
 });
 
-test('a request that was granted no place gives its token back', t => {
+test('the token of a request that was granted no slot is refunded', t => {
 	const limiter = create();
 	countAdmitted(limiter, 20, {at: 10_000});
 	limiter.refund('parish', 'archive', 10_000);
 	t.is(countAdmitted(limiter, 5, {at: 10_000}), 1);
 });
 
-test('what other dispatchers admitted is taken from the account', t => {
+test('requests that other dispatchers admitted are deducted from the bucket', t => {
 	const limiter = create();
-	tell(limiter, ['media'], [['media', 'parish', 15]], 10_000);
+	applyReport(limiter, ['media'], [['media', 'parish', 15]], 10_000);
 	t.is(countAdmitted(limiter, 100, {at: 10_000}), 3);
 });
 
-test('a host that stood still takes what it hears then as of when it was told', t => {
-	// Symptom: a dispatcher refuses nearly everything for seconds after it was frozen. Sequence: another one dispatches meanwhile and tells each 0.2 s what it
-	// admits, 6 of 10 a second; all of it arrives at the end of the freeze. Cause: four seconds of use are taken from one account at once.
+test('a host that was suspended deducts reports as of the time when they were sent', t => {
+	// Guards against refusing nearly all requests for seconds after a freeze: another dispatcher reported every 0.2 s meanwhile, 6 of 10 requests a second, and
+	// all reports arrived at once, so that four seconds of usage were deducted from one bucket.
 	const limiter = create();
 	countAdmitted(limiter, 1, {at: 10_000});
 	for (let at = 10_200; at <= 14_000; at += 200) {
@@ -122,7 +122,7 @@
 	t.is(countAdmitted(limiter, 100, {at: 14_000}), 16);
 });
 
-test('of what was held up only the last half second is owed by an account that was asked before it heard', t => {
+test('of delayed reports only the last half second is deducted from a bucket that was used before they arrived', t => {
 	const limiter = create();
 	countAdmitted(limiter, 1, {at: 14_000});
 	for (let at = 10_200; at <= 14_000; at += 200) {
@@ -132,29 +132,29 @@
 	t.is(countAdmitted(limiter, 100, {at: 14_000}), 13);
 });
 
-const CLOCKS = [
+const CLOCK_CASES = [
 	{
-		name: 'a message as quick as ever', told: 2000, now: 5000, converted: 5000,
+		name: 'a message with the usual delay', sentAt: 2000, now: 5000, converted: 5000,
 	},
 	{
-		name: 'a message that was held up', told: 2000, now: 9000, converted: 5000,
+		name: 'a delayed message', sentAt: 2000, now: 9000, converted: 5000,
 	},
 	{
-		name: 'a quicker message', told: 2000, now: 4990, converted: 4990,
+		name: 'a faster message', sentAt: 2000, now: 4990, converted: 4990,
 	},
 ] as const;
 
-for (const {name, told, now, converted} of CLOCKS) {
+for (const {name, sentAt, now, converted} of CLOCK_CASES) {
 	test(`the time of ${name} is converted`, t => {
 		const clocks = allotments.createSenderClocks();
 		const sender = {};
 		t.is(clocks.convert(sender, 1000, 4000), 4000);
-		t.is(clocks.convert(sender, told, now), converted);
-		t.is(clocks.convert({}, told, now), now);
+		t.is(clocks.convert(sender, sentAt, now), converted);
+		t.is(clocks.convert({}, sentAt, now), now);
 	});
 }
 
-test('what was admitted is told once, and a service without use is named', t => {
+test('admitted requests are reported once, and a service without usage is listed', t => {
 	const limiter = create();
 	countAdmitted(limiter, 3, {at: 10_000});
 	t.deepEqual(limiter.collectReport(10_100), {at: 10_100, services: ['archive'], uses: [['archive', 'parish', 3]]});
@@ -162,36 +162,36 @@
 	t.is(limiter.collectReport(12_000), undefined);
 });
 
-test('a flood is told at once', t => {
+test('a report is urgent after many requests', t => {
 	const limiter = create();
 	const urgent = Array.from({length: 8}, () => limiter.admit('parish', 'archive', 10_000)).map(admission => admission.kind === 'admitted' && admission.isReportUrgent);
 	t.deepEqual(urgent, [false, false, false, false, false, true, true, true]);
 });
 
-test('a dispatcher that misses the news of a service leaves that service its part', t => {
-	// Symptom: an organisation gets twice its rate. Sequence: the dispatchers of its two services are cut off from each other, the organisation
-	// floods both. Cause: each one gives out the whole rate, since it hears of no other use.
+test('a dispatcher that misses the reports on a service leaves that service its fraction', t => {
+	// Guards against admitting twice the rate while the dispatchers of two services are cut off from each other: each one admitted the whole rate, since it
+	// received no reports of the other.
 	const limiter = create();
 	for (let at = 10_000; at < 15_000; at += 200) {
 		t.is(countAdmitted(limiter, 1, {at}), 1);
-		tell(limiter, ['media'], [['media', 'parish', 1]], at);
+		applyReport(limiter, ['media'], [['media', 'parish', 1]], at);
 	}
 
 	countAdmitted(limiter, 100, {at: 16_000});
 	t.is(countAdmitted(limiter, 100, {at: 16_000}), 0);
 	t.is(countAdmitted(limiter, 100, {at: 17_000}), 4, 'eight tenths of half of the rate');
 	t.is(countAdmitted(limiter, 100, {at: 18_000}), 4);
-	tell(limiter, ['media'], [], 18_000);
+	applyReport(limiter, ['media'], [], 18_000);
 	t.is(countAdmitted(limiter, 100, {at: 18_000}), 0);
-	t.is(countAdmitted(limiter, 100, {at: 18_400}), 4, 'heard again, the whole rate');
+	t.is(countAdmitted(limiter, 100, {at: 18_400}), 4, 'the whole rate after a report');
 });
 
-test('an organisation that used other services only is not shut out by a cut', t => {
-	// Symptom: a refusal tells to come back after an infinite time. Sequence: an organisation uses one service; the dispatcher of another one is cut off from
-	// that of the first; the organisation turns to the other service. Cause: its part of what was used there is nothing.
+test('an organisation that used only other services is not shut out by a network partition', t => {
+	// Guards against a refusal with an infinite retry delay: an organisation used one service and turns to another, whose dispatcher is cut off from that of the
+	// first. Its fraction there was zero.
 	const limiter = create();
 	for (let at = 10_000; at < 15_000; at += 200) {
-		tell(limiter, ['media'], [['media', 'parish', 2]], at);
+		applyReport(limiter, ['media'], [['media', 'parish', 2]], at);
 	}
 
 	countAdmitted(limiter, 100, {at: 20_000});
@@ -201,12 +201,11 @@
 	t.is(countAdmitted(limiter, 100, {at: 24_000}), 1);
 });
 
-test('whoever is asked for a service sets nothing aside for the one that dispatched it before', t => {
-	// Symptom: requests are refused although their organisation is within its allotment. Sequence: the dispatcher of a service is lost, the next one
-	// is asked. Cause: it takes the lost one for one that is cut off and still gives out its part.
+test('the new dispatcher of a service reserves nothing for the previous one', t => {
+	// Guards against refusals within an allotment after the dispatcher of a service failed: its successor treated it as cut off and reserved its fraction.
 	const limiter = create();
 	for (let at = 10_000; at < 15_000; at += 200) {
-		tell(limiter, ['archive'], [['archive', 'parish', 1]], at);
+		applyReport(limiter, ['archive'], [['archive', 'parish', 1]], at);
 	}
 
 	let admitted = 0;
@@ -217,15 +216,15 @@
 	t.is(admitted, 25);
 });
 
-test('a lower limit binds at once', t => {
+test('a lower limit applies at once', t => {
 	const limiter = create();
 	countAdmitted(limiter, 1, {at: 10_000});
 	limiter.setAllotments([{...PARISH, ratePerSecond: 2, burst: 2}], 10_000);
-	t.is(countAdmitted(limiter, 100, {at: 10_000}), 10, 'the lower burst and a part of the slack');
+	t.is(countAdmitted(limiter, 100, {at: 10_000}), 10, 'the lower burst and a fraction of the slack');
 	t.is(countAdmitted(limiter, 100, {at: 11_000}), 2);
 });
 
-test('many hosts that dispatch alone give out no more than the rate and the slack together', t => {
+test('many hosts that each dispatch alone admit in total no more than the rate and the slack', t => {
 	const hosts = 116;
 	const random = utils.createRandom(1);
 	const limiters = Array.from({length: hosts}, () => create({getShare: () => 1 / hosts, isReceivingReports: false, random}));
@@ -240,54 +239,54 @@
 	t.true(admitted >= 40 && admitted <= 60, String(admitted));
 });
 
-test('a host that dispatched long ago begins anew', t => {
+test('a host that dispatched long ago starts with an empty simulation', t => {
 	const limiter = create({isReceivingReports: false});
 	countAdmitted(limiter, 1, {at: 0});
 	t.is(countAdmitted(limiter, 100, {at: 60_000}), 8);
 });
 
-const TAKING_OVER = [
+const PAST_USAGE_CASES = [
 	{
-		name: 'an entry host in four that asks', share: 0.25, told: undefined, admitted: 2,
+		name: 'one entry host of four', share: 0.25, usage: undefined, admitted: 2,
 	},
 	{
-		name: 'one that has told that its callers used nothing', share: 0.25, told: [], admitted: 4,
+		name: 'one entry host of four that reported no usage', share: 0.25, usage: [], admitted: 4,
 	},
 	{
-		name: 'all of them, whose callers used nothing', share: 1, told: [], admitted: 18,
+		name: 'all entry hosts, which reported no usage', share: 1, usage: [], admitted: 18,
 	},
 	{
-		name: 'all of them, whose callers used all but five', share: 1, told: [['archive', 'parish', 63, 1000]], admitted: 5,
+		name: 'all entry hosts, which reported the usage of all but five', share: 1, usage: [['archive', 'parish', 63, 1000]], admitted: 5,
 	},
 	{
-		name: 'all of them, whose callers used another service', share: 1, told: [['media', 'parish', 63, 1000]], admitted: 5,
+		name: 'all entry hosts, which reported usage of another service', share: 1, usage: [['media', 'parish', 63, 1000]], admitted: 5,
 	},
 ] as const;
 
-for (const {name, share, told, admitted} of TAKING_OVER) {
-	test(`a dispatcher that takes over admits for ${name} what is left of their share`, t => {
-		// Guards against a burst that is admitted once by the dispatcher that was lost, and once more by its successor.
+for (const {name, share, usage, admitted} of PAST_USAGE_CASES) {
+	test(`a dispatcher that takes over admits what is left of the share of ${name}`, t => {
+		// Guards against a burst that is admitted by a dispatcher that fails, and again by its successor.
 		const limiter = create({getShare: () => share, isReceivingReports: false});
-		if (told !== undefined) {
-			limiter.applyPastUsage(told, share, 10_000);
+		if (usage !== undefined) {
+			limiter.applyPastUsage(usage, share, 10_000);
 		}
 
 		t.is(countAdmitted(limiter, 100, {at: 10_000}), admitted);
 	});
 }
 
-test('of two dispatchers that are asked for one service each admits what the other has left', t => {
-	// Guards against refusals within an allotment: entry hosts that restart in turn ask another dispatcher for a moment each, and all others would get less for as long.
+test('two dispatchers that receive requests for one service each admit what the other has left', t => {
+	// Guards against refusals within an allotment: entry hosts that restart one after the other use another dispatcher for a moment each, and all others got less meanwhile.
 	const limiter = create({getShare: () => 0.5});
 	countAdmitted(limiter, 100, {at: 10_000});
-	tell(limiter, ['archive'], [['archive', 'parish', 3]], 11_000);
+	applyReport(limiter, ['archive'], [['archive', 'parish', 3]], 11_000);
 	t.is(countAdmitted(limiter, 100, {at: 11_000}), 8);
-	tell(limiter, ['archive'], [], 11_400);
+	applyReport(limiter, ['archive'], [], 11_400);
 	t.is(countAdmitted(limiter, 100, {at: 12_000}), 12, 'the whole rate, and what was left');
 });
 
-test('who held the whole burst is brought none by entry hosts', t => {
-	// Guards against a burst that is given out once more by a dispatcher that has given it out before.
+test('past usage adds no burst to a dispatcher that had the whole burst', t => {
+	// Guards against a burst that is admitted twice by one dispatcher.
 	const limiter = create({getShare: () => 1});
 	countAdmitted(limiter, 100, {at: 10_000});
 	limiter.applyPastUsage([], 1, 10_000);
@@ -302,26 +301,26 @@
 };
 
 /**
-10 a second, 10 at once and 8 beyond: 68 in a window.
+Expected in a window of 5 s: 10 a second, a burst of 10 and 8 tokens of the slack, 68 in total.
 */
-const ABSENCES: readonly AbsenceCase[] = [
+const ABSENCE_CASES: readonly AbsenceCase[] = [
 	{
 		name: 'no host', absences: [], admittedBefore: 0, admitted: 68,
 	},
 	{
-		name: 'half of the hosts, before the flood', absences: [{since: 9000, share: 0.5}], admittedBefore: 0, admitted: 34,
+		name: 'half of the hosts, absent before the requests', absences: [{since: 9000, share: 0.5}], admittedBefore: 0, admitted: 34,
 	},
 	{
-		name: 'half of the hosts, whose part of what was admitted before is their own', absences: [{since: 10_001, share: 0.5}], admittedBefore: 18, admitted: 25,
+		name: 'half of the hosts, absent after requests of which half count as theirs', absences: [{since: 10_001, share: 0.5}], admittedBefore: 18, admitted: 25,
 	},
 	{
-		name: 'half of the hosts one after the other', absences: [{since: 9000, share: 0.25}, {since: 9500, share: 0.25}], admittedBefore: 0, admitted: 34,
+		name: 'half of the hosts, absent one after the other', absences: [{since: 9000, share: 0.25}, {since: 9500, share: 0.25}], admittedBefore: 0, admitted: 34,
 	},
 ];
 
-for (const {name, absences, admittedBefore, admitted} of ABSENCES) {
-	test(`a control host that does not hear ${name} leaves out their shares`, t => {
-		// Guards against the whole allotment being given out beside the part that entry hosts give out which are cut off from it.
+for (const {name, absences, admittedBefore, admitted} of ABSENCE_CASES) {
+	test(`a control host does not admit the shares of absent hosts: ${name}`, t => {
+		// Guards against admitting the whole allotment while entry hosts that are cut off from the control host admit their share too.
 		const limiter = create({listAbsences: now => absences.filter(({since}) => since <= now)});
 		t.is(countAdmitted(limiter, admittedBefore, {at: 10_000}), admittedBefore);
 		let count = 0;
@@ -333,8 +332,8 @@
 	});
 }
 
-test('what an absent host used counts once it is back', t => {
-	// Guards against a burst that is given out once more to hosts that were cut off and had theirs from others.
+test('the usage of an absent host counts when it is connected again', t => {
+	// Guards against a burst that is admitted again for hosts that were cut off and got theirs from other dispatchers.
 	const limiter = create({listAbsences: () => []});
 	countAdmitted(limiter, 0, {at: 10_000});
 	limiter.applyPastUsage([['archive', 'parish', 60, 1000]], 0.5, 20_000, 18_000);
@@ -351,8 +350,8 @@
 ] as const;
 
 for (const {name, share, left} of SIBLINGS) {
-	test(`an entry host that dispatches for half of the hosts takes what another admitted for another service of ${name}`, t => {
-		// Guards against two thirds of a part that are given out by two dispatchers for two services of the same hosts.
+	test(`an entry host that dispatches for half of the hosts deducts what another one admitted for another service of ${name}`, t => {
+		// Guards against a fraction that two dispatchers admit twice for two services of the same hosts.
 		const limiter = create({getShare: () => 0.5, isReceivingReports: false});
 		limiter.applyPastUsage([], 0.5, 10_000);
 		limiter.applyReport({
@@ -365,26 +364,26 @@
 const RATES = [1, 5, 16, 60, 150] as const;
 const DISPATCHERS = [1, 2, 3, 5, 12, 24] as const;
 
-const histories: fc.Arbitrary<History> = fc.record({
+const simulations: fc.Arbitrary<Simulation> = fc.record({
 	seed: fc.integer({min: 1, max: 1_000_000}),
 	dispatchers: fc.constantFrom(...DISPATCHERS),
 	ratePerSecond: fc.constantFrom(...RATES),
 	flood: fc.constantFrom(1 / 1.6, 1.5, 4.7),
 });
 
-test('the sum over all dispatchers stays within the allotment through kills, freezes, halves, restarts and moves', t => {
-	fc.assert(fc.property(histories, history => {
-		const {excess} = play(history);
-		t.true(excess <= 0, JSON.stringify({...history, excess}));
+test('the total of all dispatchers stays within the allotment through kills, freezes, partitions, restarts and moves', t => {
+	fc.assert(fc.property(simulations, simulation => {
+		const {excess} = simulate(simulation);
+		t.true(excess <= 0, JSON.stringify({...simulation, excess}));
 	}), {seed: 20_261_203, numRuns: 150});
 });
 
-test('an organisation within its allotment is hardly ever refused', t => {
+test('at most 1 % of the requests of an organisation within its allotment are refused', t => {
 	let sent = 0;
 	let refused = 0;
 	for (const dispatchers of DISPATCHERS) {
 		for (let seed = 1; seed <= 20; seed++) {
-			const outcome = play({
+			const outcome = simulate({
 				seed, dispatchers, ratePerSecond: 16, flood: 1 / 1.6,
 			});
 			sent += outcome.sent;
@@ -401,22 +400,22 @@
 };
 
 /**
-Ledgers with a fault each, which the histories must find.
+Limiters with one defect each, which the simulations must find.
 */
 const DEFECTS: readonly Defect[] = [
 	{
-		name: 'hears nothing of the others',
+		name: 'ignores the reports of others',
 		create: (now, random) => ({...wrap(createLimiter(now, random)), applyReport: () => undefined}),
 	},
 	{
-		name: 'begins with a full account',
+		name: 'starts with a full bucket',
 		create(now, random) {
 			const limiter = createLimiter(now - 60_000, random);
 			return wrap(limiter);
 		},
 	},
 	{
-		name: 'gives back the tokens of one request in four that ran',
+		name: 'refunds the tokens of one request in four that ran',
 		create(now, random) {
 			const limiter = createLimiter(now, random);
 			return {
@@ -443,8 +442,8 @@
 		refund(organisation, service, now) {
 			limiter.refund(organisation, service, now);
 		},
-		applyReport(news, time) {
-			limiter.applyReport(news, time);
+		applyReport(report, time) {
+			limiter.applyReport(report, time);
 		},
 		applyPastUsage(uses, share, now) {
 			limiter.applyPastUsage(uses, share, now);
@@ -455,8 +454,8 @@
 
 for (const {name, create: createDefective} of DEFECTS) {
 	test(`a limiter that ${name} is found`, t => {
-		const found = fc.check(fc.property(histories, history => play(history, createDefective).excess <= 0), {seed: 1, numRuns: 150});
+		const found = fc.check(fc.property(simulations, simulation => simulate(simulation, createDefective).excess <= 0), {seed: 1, numRuns: 150});
 		t.true(found.failed);
-		t.log(`after ${found.numRuns} histories`);
+		t.log(`after ${found.numRuns} simulations`);
 	});
 }
--- a/packages/wagtailroute-allotments/src/__tests__/unit/history.ts
+++ b/packages/wagtailroute-allotments/src/__tests__/unit/simulation.ts
@@ -1,43 +1,43 @@
 /**
-Histories of several dispatchers that admit requests of one organisation, and the naive sum of what they admitted.
+Simulates several dispatchers that admit requests of one organisation, and counts what they admit in total.
 
-Each service has one dispatcher at a time; asks go to the next one when it is lost, frozen or when entry hosts disagree for a moment. News travel with a
-delay, and not at all between the halves of a split or to a host that is down.
+Each service has one dispatcher at a time. Requests go to the next one when it is down or frozen, or when entry hosts disagree for a moment. Reports arrive with a
+delay, and not at all between the halves of a network partition or at a host that is down.
 */
 import * as utils from 'wagtailroute-utils';
 import * as allotments from '../../index.ts';
 
 /**
-What the sum is held against.
+The window, and the tolerance of the rate, that the admitted requests are checked against.
 */
 export const WINDOW_MILLISECONDS = 5000;
-const OVER = 0.1;
+const RATE_TOLERANCE = 0.1;
 const SLACK = 20;
 const ORGANISATION = 'parish';
 const SERVICES = ['archive', 'media'] as const;
 const STEP_MILLISECONDS = 5;
 const END_MILLISECONDS = 20_000;
-const NEWS_MILLISECONDS = 5;
+const REPORT_DELAY_MILLISECONDS = 5;
 
 /**
-A history.
+Parameters of a simulation.
 */
-export type History = {
+export type Simulation = {
 	readonly seed: number;
 	readonly dispatchers: number;
 	readonly ratePerSecond: number;
 	/**
-	How many times its rate the organisation sends while it floods.
+	Multiple of its rate that the organisation sends while it sends too much.
 	*/
 	readonly flood: number;
 };
 
 /**
-What became of a history.
+Result of a simulation.
 */
-export type Outcome = {
+export type SimulationResult = {
 	/**
-	Most requests in a window beyond what may pass; 0 or less when all are within.
+	Largest number of requests in a window beyond the allowed number; 0 or less when no window exceeds it.
 	*/
 	readonly excess: number;
 	readonly sent: number;
@@ -50,12 +50,12 @@
 type Host = {
 	limiter: allotments.AllotmentLimiter;
 	/**
-	What its clock shows; it stands still while the host is suspended.
+	Monotonic time of the host; it stands still while the host is suspended.
 	*/
 	clock: number;
 	downUntil: number;
 	frozenUntil: number;
-	toldAt: number;
+	lastReportAt: number;
 };
 
 /**
@@ -64,40 +64,40 @@
 export type LimiterFactory = (now: number, random: () => number) => allotments.AllotmentLimiter;
 
 /**
-Creates the limiter that is tested.
+Creates the limiter under test.
 */
 export const createLimiter: LimiterFactory = (now, random) => allotments.createAllotmentLimiter({
 	slack: SLACK, windowMilliseconds: WINDOW_MILLISECONDS, getShare: () => 1, isReceivingReports: true, random,
 }, now);
 
 /**
-Plays a history.
+Runs a simulation.
 */
-export function play(history: History, create: LimiterFactory = createLimiter): Outcome {
-	return new Play(history, create).run();
+export function simulate(simulation: Simulation, create: LimiterFactory = createLimiter): SimulationResult {
+	return new Simulator(simulation, create).run();
 }
 
-class Play {
-	readonly #history: History;
+class Simulator {
+	readonly #simulation: Simulation;
 	readonly #create: LimiterFactory;
 	readonly #random: utils.Random;
 	readonly #hosts: Host[];
 	readonly #admittedAt: number[] = [];
-	#news: Array<{readonly at: number; readonly from: Host; readonly to: Host; readonly news: allotments.UsageReport}> = [];
+	#reports: Array<{readonly at: number; readonly from: Host; readonly to: Host; readonly report: allotments.UsageReport}> = [];
 	readonly #clocks = new Map<Host, allotments.SenderClocks>();
 	#splitUntil = 0;
 	#disagreeUntil = 0;
 	#sent = 0;
 	#refused = 0;
 
-	constructor(history: History, create: LimiterFactory) {
-		this.#history = history;
+	constructor(simulation: Simulation, create: LimiterFactory) {
+		this.#simulation = simulation;
 		this.#create = create;
-		this.#random = utils.createRandom(history.seed);
-		this.#hosts = Array.from({length: history.dispatchers}, () => this.#start(0));
+		this.#random = utils.createRandom(simulation.seed);
+		this.#hosts = Array.from({length: simulation.dispatchers}, () => this.#start(0));
 	}
 
-	run(): Outcome {
+	run(): SimulationResult {
 		const faultAt = 6000 + (this.#random() * 4000);
 		const fault = FAULTS[Math.floor(this.#random() * FAULTS.length)]!;
 		const floodAt = 5000 + (this.#random() * 6000);
@@ -105,10 +105,10 @@
 		for (let now = 0; now < END_MILLISECONDS; now += STEP_MILLISECONDS) {
 			if (!hasFailed && now >= faultAt) {
 				hasFailed = true;
-				this.#fail(fault, now);
+				this.#injectFault(fault, now);
 			}
 
-			this.#step(now, now >= floodAt ? this.#history.flood : 1 / 1.6);
+			this.#step(now, now >= floodAt ? this.#simulation.flood : 1 / 1.6);
 		}
 
 		return {excess: this.#getExcess(), sent: this.#sent, refused: this.#refused};
@@ -116,13 +116,13 @@
 
 	#start(now: number): Host {
 		const limiter = this.#create(now, this.#random);
-		limiter.setAllotments([{organisation: ORGANISATION, ratePerSecond: this.#history.ratePerSecond, burst: this.#history.ratePerSecond}], now);
+		limiter.setAllotments([{organisation: ORGANISATION, ratePerSecond: this.#simulation.ratePerSecond, burst: this.#simulation.ratePerSecond}], now);
 		return {
-			limiter, clock: now, downUntil: 0, frozenUntil: 0, toldAt: now + Math.floor(this.#random() * allotments.REPORT_INTERVAL_MILLISECONDS),
+			limiter, clock: now, downUntil: 0, frozenUntil: 0, lastReportAt: now + Math.floor(this.#random() * allotments.REPORT_INTERVAL_MILLISECONDS),
 		};
 	}
 
-	#fail(fault: Fault, now: number): void {
+	#injectFault(fault: Fault, now: number): void {
 		const host = this.#getDispatchers(Math.floor(this.#random() * SERVICES.length), now)[0]!;
 		const handlers: Readonly<Record<Fault, () => void>> = {
 			none: () => undefined,
@@ -152,7 +152,7 @@
 	}
 
 	/**
-	Hosts that are asked for a service: the first that answers, and the next one too while entry hosts disagree.
+	Returns the hosts that receive the requests of a service: the first that is running, and the next one too while entry hosts disagree.
 	*/
 	#getDispatchers(service: number, now: number): readonly Host[] {
 		const {length} = this.#hosts;
@@ -163,17 +163,17 @@
 
 	#step(now: number, load: number): void {
 		for (const [index, host] of this.#hosts.entries()) {
-			this.#keepUp(index, host, now);
+			this.#advance(index, host, now);
 		}
 
-		this.#deliver(now);
-		const perSecond = load * this.#history.ratePerSecond;
+		this.#deliverReports(now);
+		const perSecond = load * this.#simulation.ratePerSecond;
 		for (let due = perSecond * STEP_MILLISECONDS / 1000; this.#random() < due; due--) {
-			this.#ask(now);
+			this.#sendRequest(now);
 		}
 	}
 
-	#keepUp(index: number, host: Host, now: number): void {
+	#advance(index: number, host: Host, now: number): void {
 		if (host.downUntil > 0 && host.downUntil <= now) {
 			this.#hosts[index] = this.#start(now);
 			return;
@@ -184,15 +184,15 @@
 		}
 
 		host.clock += STEP_MILLISECONDS;
-		if (now - host.toldAt >= allotments.REPORT_INTERVAL_MILLISECONDS) {
-			this.#tell(index, host, now);
+		if (now - host.lastReportAt >= allotments.REPORT_INTERVAL_MILLISECONDS) {
+			this.#sendReport(index, host, now);
 		}
 	}
 
-	#tell(index: number, host: Host, now: number): void {
-		host.toldAt = now;
-		const news = host.limiter.collectReport(host.clock);
-		if (news === undefined) {
+	#sendReport(index: number, host: Host, now: number): void {
+		host.lastReportAt = now;
+		const report = host.limiter.collectReport(host.clock);
+		if (report === undefined) {
 			return;
 		}
 
@@ -200,28 +200,28 @@
 		for (const [other, to] of this.#hosts.entries()) {
 			const isCut = now < this.#splitUntil && (other < half) !== (index < half);
 			if (to !== host && !isCut) {
-				this.#news.push({
-					at: now + NEWS_MILLISECONDS, from: this.#hosts[index]!, to, news,
+				this.#reports.push({
+					at: now + REPORT_DELAY_MILLISECONDS, from: this.#hosts[index]!, to, report,
 				});
 			}
 		}
 	}
 
-	#deliver(now: number): void {
-		const due = this.#news.filter(({at, to}) => at <= now && to.frozenUntil <= now);
-		this.#news = this.#news.filter(item => !due.includes(item));
-		for (const {from, to, news} of due) {
+	#deliverReports(now: number): void {
+		const due = this.#reports.filter(({at, to}) => at <= now && to.frozenUntil <= now);
+		this.#reports = this.#reports.filter(item => !due.includes(item));
+		for (const {from, to, report} of due) {
 			if (!(to.downUntil <= now)) {
 				continue;
 			}
 
 			const clocks = this.#clocks.get(to) ?? allotments.createSenderClocks();
 			this.#clocks.set(to, clocks);
-			to.limiter.applyReport(news, {at: clocks.convert(from, news.at, to.clock), now: to.clock});
+			to.limiter.applyReport(report, {at: clocks.convert(from, report.at, to.clock), now: to.clock});
 		}
 	}
 
-	#ask(now: number): void {
+	#sendRequest(now: number): void {
 		const service = this.#random() < 0.84 ? 0 : 1;
 		const hosts = this.#getDispatchers(service, now);
 		const host = hosts[Math.floor(this.#random() * hosts.length)];
@@ -238,13 +238,13 @@
 
 		this.#admittedAt.push(now);
 		if (admission.isReportUrgent) {
-			this.#tell(this.#hosts.indexOf(host), host, now);
+			this.#sendReport(this.#hosts.indexOf(host), host, now);
 		}
 	}
 
 	#getExcess(): number {
-		const {ratePerSecond} = this.#history;
-		const most = (((ratePerSecond * WINDOW_MILLISECONDS / 1000) + ratePerSecond) * (1 + OVER)) + SLACK;
+		const {ratePerSecond} = this.#simulation;
+		const maxRequests = (((ratePerSecond * WINDOW_MILLISECONDS / 1000) + ratePerSecond) * (1 + RATE_TOLERANCE)) + SLACK;
 		let excess = -Infinity;
 		let first = 0;
 		for (const [last, at] of this.#admittedAt.entries()) {
@@ -252,7 +252,7 @@
 				first++;
 			}
 
-			excess = Math.max(excess, last - first + 1 - most);
+			excess = Math.max(excess, last - first + 1 - maxRequests);
 		}
 
 		return excess;
--- a/packages/wagtailroute-allotments/src/allotments.ts
+++ b/packages/wagtailroute-allotments/src/allotments.ts
@@ -1,70 +1,71 @@
 /**
-The allotments of organisations at one dispatcher. Each service has its dispatcher, so an organisation that calls several services is
-admitted by several; each tells the others what it admitted, and takes what it is told from its own limiter.
-
-Who may give out which part of an allotment:
-
-- A control host that has heard of all use for a whole window gives out all of it, and so do the others that are asked, for other services or for the same one: what
-  each admits is taken from the accounts of the others.
-- Any other dispatcher gives out the share of the entry hosts that ask it: an entry host, since others may be asked at the same time, and a control host that has
-  started less than a window ago, since entry hosts may still be asked. Of what it is told it takes the same share from its accounts: the rest was admitted for the hosts that ask the others.
-- An entry host that turns to another dispatcher tells it what it was admitted in the last window. So a dispatcher that takes over does not admit the burst once
-  more, whoever was lost before.
-
-What can go wrong, and what it costs:
-
-- Two dispatchers admit the same tokens before they hear of each other. They owe them afterwards, so an organisation that floods gets more than its
-  rate by what is admitted in one interval of telling, once.
-- Entry hosts are cut off from all control hosts, and dispatch among themselves. A control host does not give out the shares of those that it does not hear. Of
-  what it admitted before it counts what the others may have had; back again, an entry host tells what it was admitted meanwhile.
-- Dispatchers are cut off from each other while entry hosts reach both. Told nothing, each would give out the whole rate. So whoever misses news of
-  a service gives out only the part that its other services used before; the parts of both sides add up to the whole.
-- A dispatcher is lost. Its successor was told what it admitted, and speaks for its service from the first ask on, so nothing stays set aside.
-- Everything starts anew. What was admitted before is unknown, so accounts begin nearly empty.
+The allotments of organisations at one dispatcher. Each service has one dispatcher, so the requests of an organisation that calls several services are
+admitted by several dispatchers. Each one reports to the others what it admitted, and deducts what they report from its own token buckets.
+
+How much of an allotment a dispatcher may admit:
+
+- A control host that has received all reports for a whole window admits all of it. So do the other control hosts that receive slot requests, for other services or
+  for the same one: what each admits is deducted at the others.
+- Any other dispatcher admits the share of the entry hosts that request slots from it. These are the dispatchers on entry hosts, since others may be in use at the
+  same time, and on a control host that started less than a window ago, since entry hosts may still dispatch. Such a dispatcher deducts the same share of the usage that
+  others report: the rest was admitted for hosts that request slots elsewhere.
+- An entry host that turns to another dispatcher reports to it what it was admitted in the last window. So a dispatcher that takes over does not admit the burst a
+  second time, whichever dispatcher failed before.
+
+Failures, and their effect:
+
+- Two dispatchers admit the same tokens before they receive each other's reports. Both buckets go into debt, so an organisation that sends too much exceeds its
+  rate once, by what is admitted in one report interval.
+- Entry hosts are cut off from all control hosts and dispatch among themselves. A control host does not admit the shares of entry hosts from which it receives nothing.
+  Of the usage before the cut it counts only what the remaining hosts may have used. When an entry host is connected again, it reports what it was admitted meanwhile.
+- Dispatchers are cut off from each other while entry hosts reach both. Without reports each would admit the whole rate. So a dispatcher that misses the reports on
+  a service admits only the fraction that its other services used before; the fractions of both sides add up to the whole.
+- A dispatcher fails. Its successor has received its reports and dispatches the service from the first slot request on, so no fraction stays reserved.
+- All hosts restart. What was admitted before is unknown, so the buckets start nearly empty.
 */
 import type * as core from 'wagtailroute-core';
 import {
 	type Absence,
-	OrganisationLimiter,
-	type Allotment,
 	type AdmissionLimits,
+	type Allotment,
 	getBucketCapacity,
 	getPresentShare,
+	OrganisationLimiter,
 } from './organisation-limiter.ts';
 import {
-	SERVICE_IDLE_MILLISECONDS,
-	SERVICE_EXPIRY_MILLISECONDS,
 	FRESH_REPORT_MILLISECONDS,
+	MAX_UNREPORTED_REQUESTS,
+	MAX_UNREPORTED_SECONDS,
 	MILLISECONDS_PER_SECOND,
-	MISSING_REPORT_BURST_FRACTION,
 	MIN_MISSING_REPORT_FRACTION,
-	REPORT_TIMEOUT_MILLISECONDS,
+	MISSING_REPORT_BURST_FRACTION,
 	MISSING_REPORT_FRACTION,
+	REPORT_TIMEOUT_MILLISECONDS,
+	SERVICE_EXPIRY_MILLISECONDS,
+	SERVICE_IDLE_MILLISECONDS,
 	SLACK_FRACTION,
-	MAX_UNREPORTED_REQUESTS,
-	MAX_UNREPORTED_SECONDS,
 } from './constants.ts';
 
 /**
-Requests that were admitted for a service on behalf of an organisation.
+Requests of an organisation that were admitted for a service. Sent to other hosts.
 */
 export type Usage = readonly [service: core.ServiceName, organisation: core.Organisation, requests: number];
 
 /**
-Requests that an entry host was admitted a while ago.
+Requests that were admitted for an entry host some time ago. Sent to other hosts.
 */
 export type PastUsage = readonly [service: core.ServiceName, organisation: core.Organisation, requests: number, ageMilliseconds: number];
 
 /**
-What a dispatcher tells the others. A service without use is named all the same: its dispatcher can be heard.
+What a dispatcher sends to the others. Services without usage are listed too: the receivers see that their dispatcher is connected.
 */
 export type UsageReport = {
 	/**
-	Clock of the dispatcher that tells it.
+	Time of sending, by the sender's monotonic clock in milliseconds.
 	*/
 	readonly at: number;
 	/**
-	Share of the entry hosts that it speaks for, 0 to 1; absent: it gives out the whole, as control hosts do.
+	Share of the entry hosts that the sender admits requests for, 0 to 1; absent: it admits the whole allotment, as control hosts do.
 	*/
 	readonly share?: number;
 	readonly services: readonly core.ServiceName[];
@@ -72,17 +73,17 @@
 };
 
 /**
-Whether a request is within its organisation's allotment.
+Result of checking a request against its organisation's allotment.
 */
 export type Admission =
 	| {
 		readonly kind: 'admitted';
 		/**
-		The organisation has an allotment, of which the others are told.
+		The organisation has an allotment, so the request has to be reported.
 		*/
 		readonly isLimited: boolean;
 		/**
-		So much was admitted since the last telling that the others are to be told at once.
+		So much was admitted since the last report that the next one is to be sent at once.
 		*/
 		readonly isReportUrgent: boolean;
 	}
@@ -94,15 +95,15 @@
 		readonly retryAfterMilliseconds: number;
 		readonly ratePerSecond: number;
 		/**
-		Requests used in the last window, over the fleet, as far as is known here.
+		Requests of the last window, over the whole fleet, as far as is known here.
 		*/
 		readonly used: number;
 		/**
-		Part of the allotment that is given out here, 0 to 1.
+		Fraction of the allotment that is admitted here, 0 to 1.
 		*/
 		readonly fraction: number;
 		/**
-		Milliseconds since another dispatcher told its use; absent when none ever did.
+		Milliseconds since the last report of another dispatcher; absent when there was none.
 		*/
 		readonly reportAgeMilliseconds?: number;
 	};
@@ -112,30 +113,33 @@
 */
 export type AllotmentLimiter = {
 	/**
-	Takes the allotments in force; organisations that are not named have none, so that nothing bounds them.
+	Replaces the allotments. Organisations that are not listed, or whose rate is 0, are not limited.
 	*/
 	readonly setAllotments: (allotments: readonly Allotment[], now: number) => void;
 	/**
-	Admits a request, or says why not.
+	Admits or refuses a request.
 	*/
 	readonly admit: (organisation: core.Organisation, service: core.ServiceName, now: number) => Admission;
 	/**
-	Gives back what was taken for a request that was sent nowhere and never will be.
+	Refunds the token of a request that was not sent to an upstream and never will be.
 	*/
 	readonly refund: (organisation: core.Organisation, service: core.ServiceName, now: number) => void;
 	/**
-	@param at When it was told, by this dispatcher's clock. A host that stood still hears of seconds at once: taken as of now, they would use up all accounts.
+	Records what another dispatcher admitted.
+
+	@param at When the report was sent, by this dispatcher's clock. A host that was suspended receives the reports of several seconds at once: counted as of now, they would
+	empty all buckets.
 	*/
-	readonly applyReport: (news: UsageReport, time: {readonly at: number; readonly now: number}) => void;
+	readonly applyReport: (report: UsageReport, time: {readonly at: number; readonly now: number}) => void;
 	/**
-	Takes all that an entry host was admitted by other dispatchers in the last window, before it asks here for the first time.
+	Records all requests that other dispatchers admitted for an entry host in the last window, before it requests slots here for the first time.
 
-	@param share Share of the entry hosts that this one is, 0 to 1.
-	@param absentSince When it was last heard here; absent: it was heard all the while.
+	@param share The host's share of all entry hosts, 0 to 1.
+	@param absentSince When the last message was received from the host; default: it was connected all the time.
 	*/
 	readonly applyPastUsage: (uses: readonly PastUsage[], share: number, now: number, absentSince?: number) => void;
 	/**
-	Returns what was not told yet, undefined when this dispatcher speaks for no service.
+	Returns the usage since the last report; undefined when there is none and this dispatcher has had no slot requests lately.
 	*/
 	readonly collectReport: (now: number) => UsageReport | undefined;
 };
@@ -145,21 +149,21 @@
 */
 export type AllotmentSettings = {
 	/**
-	Requests beyond rate and burst that may pass in a window.
+	Requests beyond rate and burst that may be admitted in a window.
 	*/
 	readonly slack: number;
 	readonly windowMilliseconds: number;
 	/**
-	Returns the share of the entry hosts that ask this dispatcher, 0 to 1.
+	Returns the share of the entry hosts that request slots from this dispatcher, 0 to 1.
 	*/
 	readonly getShare: (now: number) => number;
 	/**
-	Returns the entry hosts that this dispatcher does not hear; the same list for as long as nothing changes. Absent on entry hosts, which give out the share of
-	those that ask.
+	Returns the entry hosts from which this dispatcher receives nothing; the same array as long as nothing changes. Absent on entry hosts, which admit only the share of
+	the hosts that request slots from them.
 	*/
 	readonly listAbsences?: (now: number) => readonly Absence[];
 	/**
-	This dispatcher hears of all use even while it is not asked, as control hosts do.
+	This dispatcher receives all reports even while it gets no slot requests, as control hosts do.
 	*/
 	readonly isReceivingReports: boolean;
 	/**
@@ -172,7 +176,7 @@
 const UNLIMITED: Admission = {kind: 'admitted', isLimited: false, isReportUrgent: false};
 
 /**
-Creates allotments of a dispatcher that knows none.
+Creates a limiter without allotments.
 */
 export function createAllotmentLimiter(settings: AllotmentSettings, now: number): AllotmentLimiter {
 	return new DispatcherAllotmentLimiter(settings, now);
@@ -183,24 +187,24 @@
 	#allotments: ReadonlyMap<core.Organisation, Allotment> = new Map();
 	readonly #limiters = new Map<core.Organisation, OrganisationLimiter>();
 	/**
-	When each service was last asked for here.
+	When a slot of each service was last requested here.
 	*/
 	readonly #requestedAt = new Map<core.ServiceName, number>();
 	/**
-	When another dispatcher last told of each service.
+	When another dispatcher last reported on each service.
 	*/
 	readonly #reportedAt = new Map<core.ServiceName, number>();
 	/**
-	Accounts with use that the others may not know of yet.
+	Limiters with usage that the other dispatchers may not know of yet.
 	*/
 	readonly #unconfirmed = new Set<OrganisationLimiter>();
 	readonly #unreported = new Map<core.ServiceName, Map<core.Organisation, number>>();
 	/**
-	Since when this dispatcher has heard of all use.
+	Since when this dispatcher has received the reports on all usage.
 	*/
 	#usageKnownSince: number;
 	/**
-	Share of the entry hosts that have told what they were admitted before.
+	Share of the entry hosts that reported their past usage.
 	*/
 	#reportedShare = 0;
 	#lastRequestAt: number;
@@ -271,7 +275,7 @@
 			this.#confirmUsage();
 		}
 
-		// Entry hosts dispatch for those that are absent here, out of the shares that are not given out for these.
+		// The sender is an entry host: it admits requests for hosts that are absent here, out of their shares, which are not admitted here.
 		if (share !== undefined && this.#listAbsences(now).length > 0) {
 			return;
 		}
@@ -298,7 +302,7 @@
 		for (const [service, organisation, requests, ageMilliseconds] of uses) {
 			const at = now - ageMilliseconds;
 			const allotment = this.#allotments.get(organisation);
-			// What was admitted later was told by the dispatcher that admitted it, unless it spoke for hosts that were absent here.
+			// Later usage was reported by the dispatcher that admitted it, unless that dispatcher served hosts that were absent here.
 			const isUnreported = at <= this.#usageKnownSince + REPORT_TIMEOUT_MILLISECONDS || at >= absentSince;
 			if (allotment === undefined || !isUnreported) {
 				continue;
@@ -329,7 +333,7 @@
 	}
 
 	/**
-	Others may have dispatched while this host was not asked and not told: what it holds is worth nothing then.
+	Discards all state after a time without slot requests if this host receives no reports then: other dispatchers may have admitted requests meanwhile.
 	*/
 	#resetAfterIdle(now: number): void {
 		if (!this.#settings.isReceivingReports && now - this.#lastRequestAt > SERVICE_IDLE_MILLISECONDS) {
@@ -343,7 +347,7 @@
 	}
 
 	/**
-	Whoever dispatches a service that was used lately is to be heard soon, or counts as cut off.
+	Expects reports on a service that was used lately: if none arrives in time, its dispatcher counts as cut off.
 	*/
 	#expectReports(service: core.ServiceName, now: number): void {
 		if (!this.#reportedAt.has(service)) {
@@ -360,7 +364,7 @@
 	}
 
 	/**
-	An limiter that nothing was taken from has filled since this dispatcher began to hear of all use.
+	Creates the limiter at the first request. Its bucket has been refilling since this dispatcher began to receive the reports on all usage.
 	*/
 	#getLimiter(allotment: Allotment, now: number): OrganisationLimiter {
 		const known = this.#limiters.get(allotment.organisation);
@@ -377,8 +381,8 @@
 	}
 
 	/**
-	Tokens of an limiter that begins. A host's part of them may be less than one: then some hosts begin with one, and each of the others somewhere on the
-	way to its first, so that all together give out the rate from the beginning on.
+	Returns the tokens of a new bucket. A host's fraction of them may be less than one: then it starts with one token with this probability, plus a random fraction of
+	another, so that all hosts together admit the rate from the beginning.
 	*/
 	#drawInitialTokens({fraction, extraTokens}: AdmissionLimits): number {
 		const start = extraTokens * fraction;
@@ -404,23 +408,23 @@
 	}
 
 	/**
-	Lists the entry hosts whose shares are not given out here. One that gives out the share of those that ask leaves out the others anyway.
+	Lists the entry hosts whose shares are not admitted here. A dispatcher that admits only the share of the hosts that request slots from it needs no list.
 	*/
 	#listAbsences(now: number): readonly Absence[] {
 		return (this.#hasWholeWindow(now) ? this.#settings.listAbsences?.(now) : undefined) ?? NO_ABSENCES;
 	}
 
 	/**
-	Returns which part of the use of another entry host's dispatcher may be that of hosts that ask here too; undefined where those that ask it ask nobody here. A host
-	asks one dispatcher for each service, so two dispatchers of different services speak for the same hosts.
+	Returns the fraction of the usage reported by another entry host's dispatcher that may belong to hosts that request slots here too; undefined where its hosts request
+	none here. A host requests slots from one dispatcher for each service, so the dispatchers of two services may serve the same hosts.
 	*/
 	#getSharedFraction(service: core.ServiceName, share: number | undefined, now: number): number | undefined {
-		const isOwn = now - (this.#requestedAt.get(service) ?? -Infinity) < SERVICE_IDLE_MILLISECONDS;
-		return share === undefined || isOwn || this.#hasWholeWindow(now) ? undefined : Math.min(1, this.#settings.getShare(now) / share);
+		const isDispatchedHere = now - (this.#requestedAt.get(service) ?? -Infinity) < SERVICE_IDLE_MILLISECONDS;
+		return share === undefined || isDispatchedHere || this.#hasWholeWindow(now) ? undefined : Math.min(1, this.#settings.getShare(now) / share);
 	}
 
 	/**
-	Says whether this dispatcher has heard of all use for a window.
+	Returns whether this dispatcher has received all reports for a whole window.
 	*/
 	#hasWholeWindow(now: number): boolean {
 		const {isReceivingReports, windowMilliseconds} = this.#settings;
@@ -429,12 +433,12 @@
 
 	#getLimits(limiter: OrganisationLimiter, now: number): AdmissionLimits {
 		const full = this.#getFullLimits(now);
-		const silent = this.#listUnreportedServices(now, REPORT_TIMEOUT_MILLISECONDS);
-		if (silent.size === 0) {
+		const unreportedServices = this.#listUnreportedServices(now, REPORT_TIMEOUT_MILLISECONDS);
+		if (unreportedServices.size === 0) {
 			return full;
 		}
 
-		const fraction = Math.max(MIN_MISSING_REPORT_FRACTION, (1 - limiter.getUsageFraction(silent)) * MISSING_REPORT_FRACTION);
+		const fraction = Math.max(MIN_MISSING_REPORT_FRACTION, (1 - limiter.getUsageFraction(unreportedServices)) * MISSING_REPORT_FRACTION);
 		return {
 			...full, isAllUsageKnown: false, fraction: full.fraction * fraction, burstFraction: MISSING_REPORT_BURST_FRACTION,
 		};
@@ -449,27 +453,27 @@
 	}
 
 	/**
-	Says whether the use of all services is heard.
+	Returns whether the reports on all services are up to date.
 	*/
 	#isEveryServiceReported(now: number): boolean {
 		return this.#listUnreportedServices(now, FRESH_REPORT_MILLISECONDS).size === 0;
 	}
 
 	/**
-	Lists the services whose dispatcher was heard before, is not heard now, and is not this one.
+	Lists the services that were reported before, have not been reported for longer than the given milliseconds, and are not dispatched here.
 	*/
-	#listUnreportedServices(now: number, maxSilence: number): ReadonlySet<core.ServiceName> {
-		const silent = new Set<core.ServiceName>();
-		for (const [service, heardAt] of this.#reportedAt) {
-			const isOwn = now - (this.#requestedAt.get(service) ?? -Infinity) < SERVICE_IDLE_MILLISECONDS;
-			const silence = now - heardAt;
-			if (silence > SERVICE_EXPIRY_MILLISECONDS) {
+	#listUnreportedServices(now: number, maxAgeMilliseconds: number): ReadonlySet<core.ServiceName> {
+		const services = new Set<core.ServiceName>();
+		for (const [service, reportedAt] of this.#reportedAt) {
+			const isDispatchedHere = now - (this.#requestedAt.get(service) ?? -Infinity) < SERVICE_IDLE_MILLISECONDS;
+			const ageMilliseconds = now - reportedAt;
+			if (ageMilliseconds > SERVICE_EXPIRY_MILLISECONDS) {
 				this.#reportedAt.delete(service);
-			} else if (!isOwn && silence > maxSilence) {
-				silent.add(service);
+			} else if (!isDispatchedHere && ageMilliseconds > maxAgeMilliseconds) {
+				services.add(service);
 			}
 		}
 
-		return silent;
+		return services;
 	}
 }
--- a/packages/wagtailroute-allotments/src/bench/admitting.bench.ts
+++ b/packages/wagtailroute-allotments/src/bench/admitting.bench.ts
@@ -1,5 +1,5 @@
 /**
-What it costs to admit a request, by the number of organisations: it is on the way of every request, and must not grow with them.
+Measures the time to admit a request by the number of organisations: every request is checked, so the time must not grow with them.
 */
 import * as allotments from '../index.ts';
 
@@ -7,13 +7,13 @@
 const REQUESTS = 300_000;
 const WINDOW_MILLISECONDS = 5000;
 /**
-Times as long as with the fewest organisations that admitting may take with the most: what does not fit into a processor's caches is a few times slower.
+Largest ratio of the time with the most organisations to the time with the fewest: data that does not fit into the processor's caches is a few times slower.
 */
-const RATIO_MOST = 4;
+const MAX_RATIO = 4;
 const MICROSECONDS_PER_MILLISECOND = 1000;
 
 /**
-Measures.
+Runs the measurement for each number of organisations.
 */
 export async function run() {
 	const rows = COUNTS.map(count => ({organisations: count, microsecondsPerRequest: Number(measure(count).toFixed(2))}));
@@ -21,7 +21,7 @@
 	return {
 		title: 'Admitting requests within allotments',
 		rows,
-		broken: ratio > RATIO_MOST ? [`With ${COUNTS.at(-1)} organisations a request takes ${ratio.toFixed(1)} times as long as with ${COUNTS[0]}.`] : [],
+		broken: ratio > MAX_RATIO ? [`With ${COUNTS.at(-1)} organisations a request takes ${ratio.toFixed(1)} times as long as with ${COUNTS[0]}.`] : [],
 	};
 }
 
--- a/packages/wagtailroute-allotments/src/organisation-limiter.ts
+++ b/packages/wagtailroute-allotments/src/organisation-limiter.ts
@@ -1,9 +1,9 @@
 /**
-What one dispatcher knows of one organisation's allotment: a bucket of tokens and a window that its own admissions and those told by other dispatchers
-are counted in, and which service used how much lately.
+The limiter of one organisation at one dispatcher: a token bucket, a sliding window that counts the requests admitted here and those reported by other dispatchers,
+and the recent usage by service.
 
-In a window an organisation may send its rate and its burst, and one that sends more all the while gets so much in every window: the bucket fills a little faster than
-the rate, and the window bounds the sum.
+An organisation may send its rate plus its burst in each window. The bucket refills slightly faster than the rate, so that an organisation that permanently sends more
+gets this amount in every window; the window bounds the sum.
 */
 import * as admission from 'wagtailroute-admission';
 import type * as core from 'wagtailroute-core';
@@ -18,39 +18,39 @@
 import {createUsageWindow, type UsageWindow} from './usage-window.ts';
 
 /**
-Requests that an organisation may send, over the whole fleet.
+Requests that an organisation may send over the whole fleet.
 */
 export type Allotment = {
 	readonly organisation: core.Organisation;
 	readonly ratePerSecond: number;
 	/**
-	Requests beyond the rate that may come at once.
+	Requests that may be sent at once beyond the rate.
 	*/
 	readonly burst: number;
 };
 
 /**
-How much of an allotment a dispatcher may give out: all of it, or a part while others can't be heard.
+How much of an allotment one dispatcher may admit: all of it, or a fraction while other dispatchers may admit requests that are not reported to it.
 */
 export type AdmissionLimits = {
 	/**
-	0 to 1.
+	Fraction of the allotment, 0 to 1.
 	*/
 	readonly fraction: number;
 	/**
-	Part of the burst that may come at once, 0 to 1.
+	Fraction of the burst that the bucket holds, 0 to 1.
 	*/
 	readonly burstFraction: number;
 	/**
-	Share of the entry hosts that this dispatcher speaks for, 0 to 1. It bounds the window, and is the part of what other dispatchers admit that is taken here.
+	Share of the entry hosts that this dispatcher admits requests for, 0 to 1. It bounds the window, and the same share of the usage that others report is deducted here.
 	*/
 	readonly share: number;
 	/**
-	Share of the entry hosts that told what they were admitted before, 0 to 1: the burst is given out anew for these only, since what they have used of it is known.
+	Share of the entry hosts that reported their past usage, 0 to 1. Only their share of the burst is added to the bucket: how much of it they used is known.
 	*/
 	readonly reportedShare: number;
 	/**
-	Entry hosts that are not heard here: their shares are not given out, and count as used by themselves from then on.
+	Entry hosts from which this dispatcher receives nothing. Their shares are not admitted here, and count as used by these hosts from then on.
 	*/
 	readonly absences: readonly Absence[];
 	/**
@@ -58,49 +58,49 @@
 	*/
 	readonly extraTokens: number;
 	/**
-	All use in the last window is known here, so that the burst may be had again in each.
+	All usage of the last window is known here, so the burst may be admitted again in each window.
 	*/
 	readonly isAllUsageKnown: boolean;
 	readonly windowMilliseconds: number;
 };
 
 /**
-Entry hosts that a dispatcher does not hear, and that may go on to serve callers by others.
+Entry hosts from which a dispatcher receives nothing, and that may still serve callers through other dispatchers.
 */
 export type Absence = {
 	/**
-	When they were heard last.
+	When the last message was received from them.
 	*/
 	readonly since: number;
 	/**
-	Share of the entry hosts that they are, 0 to 1.
+	Their share of all entry hosts, 0 to 1.
 	*/
 	readonly share: number;
 };
 
 /**
-An account. Times are in milliseconds of a monotonic clock.
+Limits the requests of one organisation. Times are in milliseconds of a monotonic clock.
 */
 export class OrganisationLimiter {
 	readonly #bucket: admission.RateLimit;
 	/**
-	Requests by service that every dispatcher knows of, so that all come to the same parts.
+	Requests by service that every dispatcher knows of, so that all compute the same fractions.
 	*/
 	readonly #confirmedUsage = new Map<core.ServiceName, number>();
 	/**
-	Requests that were admitted here since the others were last heard.
+	Requests that were admitted here since the reports of all other dispatchers were last up to date.
 	*/
 	readonly #unconfirmedUsage = new Map<core.ServiceName, number>();
 	/**
-	What was admitted here, or for the entry hosts that ask here before they did.
+	Requests that were admitted here, or elsewhere for entry hosts that now request slots here.
 	*/
 	readonly #ownWindow: UsageWindow;
 	/**
-	What other dispatchers told.
+	Requests that other dispatchers reported.
 	*/
 	readonly #remoteWindow: UsageWindow;
 	/**
-	Share of the burst that was given out for what entry hosts told, and of the tokens beyond it for those that ask.
+	Shares of the entry hosts for which the burst, and the tokens beyond the burst, were added to the bucket.
 	*/
 	#addedBurstShare = 0;
 	#addedExtraShare: number;
@@ -135,7 +135,7 @@
 	}
 
 	/**
-	Takes what was admitted here; a negative number gives back.
+	Records requests that were admitted here; a negative number refunds them.
 	*/
 	recordAdmitted(service: core.ServiceName, requests: number, now: number): void {
 		this.#deduct(requests, now);
@@ -143,8 +143,8 @@
 	}
 
 	/**
-	Takes what another dispatcher tells that it admitted. What is owed is bounded by what both can have admitted before they heard of each other: each has
-	kept to the allotment by itself. News that were held up come together, and the tokens that they took have long come back: they count in the window only.
+	Records requests that another dispatcher reported. The debt of the bucket is bounded by what two dispatchers can admit before each receives the other's report:
+	each by itself keeps to the allotment. Delayed reports arrive together, and the tokens for their requests have been refilled since: they count in the window only.
 	*/
 	recordRemoteUsage(service: core.ServiceName, requests: number, {at, now}: {readonly at: number; readonly now: number}): void {
 		this.#deductRemote(requests * this.#limits.share, {at, now});
@@ -153,9 +153,9 @@
 	}
 
 	/**
-	Takes what another dispatcher tells that it admitted on behalf of entry hosts that ask here too, for another service.
+	Records requests that another dispatcher admitted, for another service, on behalf of entry hosts that request slots here too.
 
-	@param fraction Fraction of the requests that these hosts may have sent, 0 to 1.
+	@param fraction Fraction of the requests that may come from these hosts, 0 to 1.
 	*/
 	recordSharedUsage(service: core.ServiceName, requests: number, {at, now, fraction}: {readonly at: number; readonly now: number; readonly fraction: number}): void {
 		this.#deductRemote(requests * fraction, {at, now});
@@ -164,7 +164,7 @@
 	}
 
 	/**
-	Records what was admitted before this account began: it counts in the window, and the tokens that it took were never here.
+	Records requests that were admitted before this limiter existed. They count in the window only: this bucket never held the tokens for them.
 	*/
 	recordPastUsage(service: core.ServiceName, requests: number, at: number): void {
 		this.#ownWindow.add(requests, at);
@@ -172,7 +172,7 @@
 	}
 
 	/**
-	The others are heard: what was admitted here until now is known to them.
+	Marks all requests admitted here so far as known to the other dispatchers.
 	*/
 	confirmUsage(): void {
 		for (const [service, requests] of this.#unconfirmedUsage) {
@@ -183,7 +183,7 @@
 	}
 
 	/**
-	Returns the requests used in the last window; of those that other dispatchers told, the share that this one speaks for.
+	Returns the requests of the last window; of those that other dispatchers reported, only this dispatcher's share.
 	*/
 	getUsage(now: number): number {
 		const {absences, share} = this.#limits;
@@ -192,7 +192,7 @@
 	}
 
 	/**
-	Returns the part of what was used lately that was used for some services, 0 to 1.
+	Returns the fraction of the recent usage that belongs to some services, 0 to 1.
 	*/
 	getUsageFraction(services: ReadonlySet<core.ServiceName>): number {
 		const all = sum(this.#confirmedUsage.values());
@@ -207,8 +207,8 @@
 	}
 
 	/**
-	Gives out what entry hosts bring that have begun to ask since the last call: their share of the tokens beyond the burst, and of the burst once they have told
-	their past. What they used of it counts in the window.
+	Adds the tokens of entry hosts that began to request slots here since the last call: their share of the tokens beyond the burst, and their share of the burst once
+	they have reported their past usage. That usage counts in the window.
 	*/
 	#addNewHostTokens(now: number): void {
 		const {share, reportedShare, burstFraction, extraTokens} = this.#limits;
@@ -277,21 +277,21 @@
 }
 
 /**
-Returns the requests of a window that may be given out; one at least, as for the tokens.
+Returns the requests that may be admitted in a window; at least one, as for the tokens.
 */
 function getWindowCapacity({ratePerSecond, burst}: Allotment, {share, absences, extraTokens, windowMilliseconds}: AdmissionLimits): number {
 	return Math.max(1, ((ratePerSecond * windowMilliseconds / MILLISECONDS_PER_SECOND) + burst + extraTokens) * share * getPresentShare(absences));
 }
 
 /**
-Returns the share of the entry hosts that is left beside those that are absent, 0 to 1.
+Returns the share of the entry hosts that are not absent, 0 to 1.
 */
 export function getPresentShare(absences: readonly Absence[]): number {
 	return Math.max(0, 1 - sum(absences.map(({share}) => share)));
 }
 
 /**
-Returns the tokens that a full account holds; one at least, otherwise nothing could ever be admitted.
+Returns the tokens that a full bucket holds; at least one, otherwise no request could ever be admitted.
 */
 export function getBucketCapacity({burst}: Allotment, {fraction, burstFraction, extraTokens}: AdmissionLimits): number {
 	return Math.max(1, ((burst * burstFraction) + extraTokens) * fraction);
--- a/packages/wagtailroute-allotments/src/sender-clocks.ts
+++ b/packages/wagtailroute-allotments/src/sender-clocks.ts
@@ -1,28 +1,28 @@
 /**
-How the clocks of other hosts stand to this one's: each host counts from its own start, so a time that one tells means nothing to another by itself.
-The shortest way that a message ever took gives the difference.
+Offsets between the monotonic clocks of other hosts and this host's: each host counts from its own start, so a received time has to be converted.
+The offset is estimated from the fastest message so far.
 */
 
 /**
-Differences to the clocks of those that tell something. A sender is forgotten with its object.
+Clock offsets by sender. An entry is garbage-collected with its sender object.
 */
 export type SenderClocks = {
 	/**
-	Returns a told time by this host's clock, now at the latest. Too early by as long as the sender was suspended.
+	Returns a received time by this host's clock, now at the latest. If the sender's clock stood still while it was suspended, the result is too early by that time.
 	*/
-	readonly convert: (sender: object, told: number, now: number) => number;
+	readonly convert: (sender: object, sentAt: number, now: number) => number;
 };
 
 /**
 Creates an empty table.
 */
 export function createSenderClocks(): SenderClocks {
-	const differences = new WeakMap<object, number>();
+	const offsets = new WeakMap<object, number>();
 	return {
-		convert(sender, told, now) {
-			const difference = Math.min(now - told, differences.get(sender) ?? Infinity);
-			differences.set(sender, difference);
-			return told + difference;
+		convert(sender, sentAt, now) {
+			const offset = Math.min(now - sentAt, offsets.get(sender) ?? Infinity);
+			offsets.set(sender, offset);
+			return sentAt + offset;
 		},
 	};
 }
--- a/packages/wagtailroute-allotments/src/usage-window.ts
+++ b/packages/wagtailroute-allotments/src/usage-window.ts
@@ -1,6 +1,6 @@
 /**
-How many requests were used in the last while. Counted in slices, so that a window costs the same memory at any rate; the oldest slice counts whole, so
-that never less is counted than was used.
+Counts the requests of a sliding window. It keeps one sum for each time slice, so its memory does not depend on the rate; the oldest slice counts in full, so
+that the count is never too low.
 */
 import {WINDOW_SLICES} from './constants.ts';
 
@@ -9,17 +9,17 @@
 */
 export type UsageWindow = {
 	/**
-	Counts requests; a negative number takes back.
+	Counts requests; a negative number subtracts.
 
-	@param at When they were used, up to a window ago.
+	@param at When they were admitted, up to a window ago.
 	*/
 	readonly add: (requests: number, at: number) => void;
 	/**
-	@param getWeight Part of the requests used at a time that counts, 0 to 1; absent: all of them.
+	@param getWeight Returns the fraction of a time's requests that counts, 0 to 1; absent: all of them.
 	*/
 	readonly count: (now: number, getWeight?: (at: number) => number) => number;
 	/**
-	Returns the milliseconds until the oldest requests are out of the window.
+	Returns the milliseconds until the oldest requests leave the window.
 	*/
 	readonly getDelay: (now: number) => number;
 };
@@ -30,7 +30,7 @@
 export function createUsageWindow(windowMilliseconds: number): UsageWindow {
 	const sliceMilliseconds = windowMilliseconds / WINDOW_SLICES;
 	/**
-	Requests by number of slice, in the order in which they came.
+	Requests by slice number, in the order of recording.
 	*/
 	const slices = new Map<number, number>();
 	const getSliceNumber = (time: number) => Math.floor(time / sliceMilliseconds);
