--- a/packages/wagtailroute-allotments/src/__tests__/unit/allotments.test.ts
+++ b/packages/wagtailroute-allotments/src/__tests__/unit/allotments.test.ts
@@ -7,9 +7,9 @@
 import * as allotments from '../../index.ts';
 import {
 	createLimiter,
-	type Simulation,
 	type LimiterFactory,
 	simulate,
+	type Simulation,
 } from './simulation.ts';
 
 const PARISH = {organisation: 'parish', ratePerSecond: 10, burst: 10};
@@ -48,7 +48,7 @@
 	t.is(countAdmitted(limiter, 100, {at: 11_000}), 11);
 });
 
-test('an organisation that permanently sends too much gets its rate and most of its burst in every window', t => {
+test('an organisation that continuously sends too much gets its rate and most of its burst in every window', t => {
 	// Guards against refusing too many requests after an organisation has used its burst once: only the rate was admitted from then on, although each window may
 	// hold the rate and the burst.
 	const limiter = create();
@@ -239,7 +239,7 @@
 	t.true(admitted >= 40 && admitted <= 60, String(admitted));
 });
 
-test('a host that dispatched long ago starts with an empty simulation', t => {
+test('a host that dispatched long ago discards its earlier state', t => {
 	const limiter = create({isReceivingReports: false});
 	countAdmitted(limiter, 1, {at: 0});
 	t.is(countAdmitted(limiter, 100, {at: 60_000}), 8);
--- a/packages/wagtailroute-allotments/src/constants.ts
+++ b/packages/wagtailroute-allotments/src/constants.ts
@@ -68,7 +68,7 @@
 export const DELAYED_REPORT_MILLISECONDS = 600;
 
 /**
-Fraction of the burst that is refilled in each window, for an organisation that permanently sends more than its rate. The rest is reserved for what dispatchers
+Fraction of the burst that is refilled in each window, for an organisation that continuously sends more than its rate. The rest is reserved for what dispatchers
 admit before they receive each other's reports.
 */
 export const RENEWED_BURST_FRACTION = 0.75;
--- a/packages/wagtailroute-allotments/src/organisation-limiter.ts
+++ b/packages/wagtailroute-allotments/src/organisation-limiter.ts
@@ -2,17 +2,17 @@
 The limiter of one organisation at one dispatcher: a token bucket, a sliding window that counts the requests admitted here and those reported by other dispatchers,
 and the recent usage by service.
 
-An organisation may send its rate plus its burst in each window. The bucket refills slightly faster than the rate, so that an organisation that permanently sends more
+An organisation may send its rate plus its burst in each window. The bucket refills slightly faster than the rate, so that an organisation that continuously sends more
 gets this amount in every window; the window bounds the sum.
 */
 import * as admission from 'wagtailroute-admission';
 import type * as core from 'wagtailroute-core';
 import {
-	MILLISECONDS_PER_SECOND,
-	RENEWED_BURST_FRACTION,
 	DELAYED_REPORT_MILLISECONDS,
 	MAX_UNREPORTED_REQUESTS,
 	MAX_UNREPORTED_SECONDS,
+	MILLISECONDS_PER_SECOND,
+	RENEWED_BURST_FRACTION,
 	USAGE_DECAY_MILLISECONDS,
 } from './constants.ts';
 import {createUsageWindow, type UsageWindow} from './usage-window.ts';
--- a/packages/wagtailroute-fleet/src/__tests__/unit/absences.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/absences.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of which entry hosts a control host counts as absent, and for how long.
+Tests of which entry hosts a control host treats as absent, and for how long.
 */
 import test from 'ava';
 import {type LinkedHost, startAbsenceTracker} from '../../absences.ts';
@@ -10,29 +10,29 @@
 const RESTARTED_MILLISECONDS = 300;
 
 /**
-Silence for which a link is closed.
+Milliseconds without a message after which a link is closed.
 */
 const LINK_SILENCE_MILLISECONDS = 6500;
 
 /**
-How often a control host looks.
+Interval of the periodic check.
 */
-const LOOK_MILLISECONDS = 250;
+const CHECK_MILLISECONDS = 250;
 
 type Step = {
 	readonly at: number;
 	/**
-	Absent: its link is closed.
+	Milliseconds since the last message; absent: the link is closed.
 	*/
 	readonly silence?: number;
 	readonly isReady?: boolean;
 	/**
-	The control host stood still until then.
+	The control host was suspended until then.
 	*/
 	readonly isPaused?: boolean;
-	readonly does?: 'ask' | 'close' | 'close-other' | 'tell' | 'reconnect' | 'restart';
+	readonly action?: 'ask' | 'close' | 'close-other' | 'tell' | 'reconnect' | 'restart';
 	/**
-	When the host was last heard; absent: it does not count as absent.
+	When the last message of the host arrived; absent: the host does not count as absent.
 	*/
 	readonly since?: number;
 };
@@ -44,84 +44,84 @@
 
 const CASES: readonly Case[] = [
 	{
-		name: 'one that asks and is heard',
-		steps: [{at: 0, silence: 0, does: 'ask'}, {at: 900, silence: 900}],
+		name: 'no, it requests slots and is connected',
+		steps: [{at: 0, silence: 0, action: 'ask'}, {at: 900, silence: 900}],
 	},
 	{
-		name: 'one that asked and is silent for a second',
-		steps: [{at: 0, silence: 0, does: 'ask'}, {at: 1100, silence: 1100, since: 0}, {at: 1200, silence: 1200, since: 0}],
+		name: 'yes, it requested slots and is silent for a second',
+		steps: [{at: 0, silence: 0, action: 'ask'}, {at: 1100, silence: 1100, since: 0}, {at: 1200, silence: 1200, since: 0}],
 	},
 	{
-		name: 'one that does not ask, within its long pings',
+		name: 'not within the long ping interval if it requests no slots',
 		steps: [{at: 0, silence: 0}, {at: 4000, silence: 4000}, {at: 4600, silence: 4600, since: 0}],
 	},
 	{
-		name: 'one that stops',
-		steps: [{at: 0, silence: 0, does: 'ask'}, {at: 2000, silence: 2000, since: 0}, {at: 2100, silence: 0, isReady: false}],
+		name: 'no longer when it stops',
+		steps: [{at: 0, silence: 0, action: 'ask'}, {at: 2000, silence: 2000, since: 0}, {at: 2100, silence: 0, isReady: false}],
 	},
 	{
-		name: 'one whose process ends while it is heard',
-		steps: [{at: 0, silence: 0, does: 'ask'}, {at: 500, silence: 300, does: 'close'}, {at: 2000}],
+		name: 'no, its process ends without a preceding silence',
+		steps: [{at: 0, silence: 0, action: 'ask'}, {at: 500, silence: 300, action: 'close'}, {at: 2000}],
 	},
 	{
-		name: 'one that has opened another link before the silent one is closed',
-		steps: [{at: 0, silence: 0, does: 'ask'}, {at: 900, silence: 0, does: 'close-other'}, {at: 1000, silence: 0}],
+		name: 'no, it opened another link before the silent one was closed',
+		steps: [{at: 0, silence: 0, action: 'ask'}, {at: 900, silence: 0, action: 'close-other'}, {at: 1000, silence: 0}],
 	},
 	{
-		name: 'one whose link is closed for its silence, until it is forgotten',
-		steps: [{at: 0, silence: 0, does: 'ask'}, {
-			at: 6500, silence: 6500, does: 'close', since: 0,
+		name: 'yes, its silent link is closed, until the absence expires',
+		steps: [{at: 0, silence: 0, action: 'ask'}, {
+			at: 6500, silence: 6500, action: 'close', since: 0,
 		}, {at: 30_000, since: 0}, {at: 60_100}],
 	},
 	{
-		name: 'one that is heard again, until it tells what it used',
+		name: 'yes, until it is connected again and reports its usage',
 		steps: [
-			{at: 0, silence: 0, does: 'ask'},
+			{at: 0, silence: 0, action: 'ask'},
 			{at: 3000, silence: 3000, since: 0},
 			{at: 3100, silence: 0, since: 0},
 			{
-				at: 3200, silence: 0, does: 'ask', since: 0,
+				at: 3200, silence: 0, action: 'ask', since: 0,
 			},
-			{at: 3300, silence: 0, does: 'tell'},
+			{at: 3300, silence: 0, action: 'tell'},
 			{at: 3400, silence: 0},
 		],
 	},
 	{
-		name: 'one that is not heard while this host stands still',
+		name: 'no, its messages are not read while this host is suspended',
 		steps: [
-			{at: 0, silence: 0, does: 'ask'},
+			{at: 0, silence: 0, action: 'ask'},
 			{at: 3000, silence: 3000, isPaused: true},
 			{at: 3900, silence: 3900},
 			{at: 4100, silence: 4100, since: 0},
 		],
 	},
 	{
-		name: 'one that opens its link again after a cut',
+		name: 'yes, it opens its link again after a network partition',
 		steps: [
-			{at: 0, silence: 0, does: 'ask'},
+			{at: 0, silence: 0, action: 'ask'},
 			{
-				at: 6500, silence: 6500, does: 'close', since: 0,
+				at: 6500, silence: 6500, action: 'close', since: 0,
 			},
 			{
-				at: 8000, silence: 0, does: 'reconnect', since: 0,
+				at: 8000, silence: 0, action: 'reconnect', since: 0,
 			},
 		],
 	},
 	{
-		name: 'one whose process has started again',
+		name: 'no longer when its process restarts',
 		steps: [
-			{at: 0, silence: 0, does: 'ask'},
+			{at: 0, silence: 0, action: 'ask'},
 			{
-				at: 6500, silence: 6500, does: 'close', since: 0,
+				at: 6500, silence: 6500, action: 'close', since: 0,
 			},
-			{at: 8000, silence: 0, does: 'restart'},
+			{at: 8000, silence: 0, action: 'restart'},
 			{at: 8100, silence: 0},
 		],
 	},
 	{
-		name: 'one that is heard again and tells nothing, for a window',
+		name: 'yes, for a window after it is connected again without a report',
 		steps: [
-			{at: 0, silence: 0, does: 'ask'},
+			{at: 0, silence: 0, action: 'ask'},
 			{at: 3000, silence: 3000, since: 0},
 			{at: 3100, silence: 0, since: 0},
 			{at: 8000, silence: 0, since: 0},
@@ -131,13 +131,13 @@
 ];
 
 for (const {name, steps} of CASES) {
-	test(`an entry host counts as absent: ${name}`, t => {
-		// Guards against control hosts that give out the share of an entry host beside itself, and against shares that nobody gives out for long.
+	test(`whether an entry host counts as absent: ${name}`, t => {
+		// Guards against control hosts that admit the share of an entry host that also admits it itself, and against shares that no dispatcher admits for long.
 		let time = 0;
 		let hosts: readonly LinkedHost[] = [];
-		let look = () => undefined as void;
+		let runCheck = () => undefined as void;
 		const repeat = (_milliseconds: number, run: () => void) => {
-			look = run;
+			runCheck = run;
 			return () => undefined;
 		};
 
@@ -145,17 +145,17 @@
 			listHosts: () => hosts, getHostShare: () => SHARE, windowMilliseconds: WINDOW_MILLISECONDS,
 		});
 		for (const {
-			at, silence, isReady = true, does, since, isPaused = false,
+			at, silence, isReady = true, action, since, isPaused = false,
 		} of steps) {
-			const lastLook = isPaused ? time : at - LOOK_MILLISECONDS;
-			while (time < lastLook) {
-				time += LOOK_MILLISECONDS;
-				look();
+			const lastCheck = isPaused ? time : at - CHECK_MILLISECONDS;
+			while (time < lastCheck) {
+				time += CHECK_MILLISECONDS;
+				runCheck();
 			}
 
 			time = at;
 			const host: LinkedHost = {id: 'entry', isReady, silenceMilliseconds: silence ?? 0};
-			hosts = silence === undefined || does === 'close' ? [] : [host];
+			hosts = silence === undefined || action === 'close' ? [] : [host];
 			const actions = {
 				ask: absences.recordSlotRequest.bind(undefined, host.id),
 				close: absences.recordLinkClosed.bind(undefined, host),
@@ -164,8 +164,8 @@
 				reconnect: absences.recordHello.bind(undefined, host.id, at + RAN_BEFORE_MILLISECONDS),
 				restart: absences.recordHello.bind(undefined, host.id, RESTARTED_MILLISECONDS),
 			};
-			if (does !== undefined) {
-				actions[does]();
+			if (action !== undefined) {
+				actions[action]();
 			}
 
 			t.deepEqual(absences.list(), since === undefined ? [] : [{since, share: SHARE}], `at ${at}`);
@@ -174,7 +174,7 @@
 	});
 }
 
-test('hosts that were last heard at about the same time are listed together, as of the earliest', t => {
+test('hosts whose last messages arrived at about the same time are grouped, as of the start of the slice', t => {
 	let time = 0;
 	let silences: readonly number[] = [0, 0, 0];
 	const absences = startAbsenceTracker({now: () => time, repeat: () => () => undefined}, {
@@ -183,7 +183,7 @@
 		windowMilliseconds: WINDOW_MILLISECONDS,
 	});
 	while (time < 2000) {
-		time += LOOK_MILLISECONDS;
+		time += CHECK_MILLISECONDS;
 		absences.list();
 	}
 
--- a/packages/wagtailroute-fleet/src/__tests__/unit/allotment-enforcer.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/allotment-enforcer.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of allotments at a host's dispatcher: what takes a token, what gives it back, what others are told and what is logged.
+Tests of the allotment enforcer of a host's dispatcher: which requests use or refund a token, what is reported to others, and what is logged.
 */
 import * as stream from 'node:stream';
 import test from 'ava';
@@ -15,10 +15,10 @@
 	name: 'parish', keys: ['k'], ratePerSecond: 10, burst: 10,
 };
 /**
-Tokens of a full account: the burst and two fifths of the slack.
+Tokens of a full bucket: the burst and two fifths of the slack.
 */
-const FULL = 18;
-const FILLED_MILLISECONDS = 10_000;
+const FULL_BUCKET_TOKENS = 18;
+const REFILL_MILLISECONDS = 10_000;
 
 async function setUp(changes: Partial<AllotmentEnforcerOptions> = {}) {
 	const lines: string[] = [];
@@ -34,23 +34,23 @@
 			output, level: 'info', now: base.now, fields: {},
 		}),
 	};
-	const told: allotments.UsageReport[] = [];
-	const allotting = startAllotmentEnforcer(context, {
+	const reports: allotments.UsageReport[] = [];
+	const enforcer = startAllotmentEnforcer(context, {
 		settings: fixture.ALLOTMENTS,
 		requestShare: {get: () => 1, getHostShare: () => 1},
 		isReceivingReports: true,
-		notifyDispatchers(method, news) {
+		notifyDispatchers(method, report) {
 			if (method === METHODS.use) {
-				told.push(news as allotments.UsageReport);
+				reports.push(report as allotments.UsageReport);
 			}
 		},
 		...changes,
 	});
-	allotting.setOrganisations([PARISH]);
+	enforcer.setOrganisations([PARISH]);
 	const dispatching = startHostDispatcher(context, {
 		...fixture.ONLY_DISPATCHER,
 		settings: {budget: {ratio: 0.2, extra: 20, windowMilliseconds: 10_000}, floor: 0},
-		allotting,
+		allotting: enforcer,
 		listCandidates: () => [{
 			upstream: 'u', address: {ip: '10.0.0.1', port: 80}, failureDomain: 'x', slots: 100, isDraining: false, isSilent: false, warmAt: 0,
 		}],
@@ -58,9 +58,9 @@
 		notify: () => undefined,
 		notifyControlHosts: () => undefined,
 	});
-	await context.pass(FILLED_MILLISECONDS);
+	await context.pass(REFILL_MILLISECONDS);
 	let count = 0;
-	const ask = (more: Partial<dispatch.SlotRequest> = {}) => {
+	const requestSlot = (more: Partial<dispatch.SlotRequest> = {}) => {
 		count++;
 		const id = `front:${count}`;
 		return {
@@ -70,114 +70,114 @@
 		};
 	};
 
-	const useUp = () => {
-		for (let next = ask(); next.answer.kind === 'grant'; next = ask()) {
+	const exhaustTokens = () => {
+		for (let next = requestSlot(); next.answer.kind === 'grant'; next = requestSlot()) {
 			dispatching.end({id: next.id, ending: 'success', milliseconds: 10});
 		}
 	};
 
 	return {
-		context, dispatching, ask, useUp, told, lines,
+		context, dispatching, requestSlot, exhaustTokens, reports, lines,
 	};
 }
 
-test('who is over its allotment is refused, and nobody else', async t => {
-	const {ask} = await setUp();
-	const answers = Array.from({length: FULL + 5}, () => ask().answer);
-	t.is(answers.filter(({kind}) => kind === 'grant').length, FULL);
+test('only the requests of an organisation over its allotment are refused', async t => {
+	const {requestSlot} = await setUp();
+	const answers = Array.from({length: FULL_BUCKET_TOKENS + 5}, () => requestSlot().answer);
+	t.is(answers.filter(({kind}) => kind === 'grant').length, FULL_BUCKET_TOKENS);
 	t.like(answers.at(-1), {kind: 'refuse', reason: 'allotment'});
-	t.is(ask({organisation: 'other'}).answer.kind, 'grant');
-	t.is(ask({organisation: undefined}).answer.kind, 'grant');
+	t.is(requestSlot({organisation: 'other'}).answer.kind, 'grant');
+	t.is(requestSlot({organisation: undefined}).answer.kind, 'grant');
 });
 
-type GivingBack = {
+type RefundCase = {
 	readonly name: string;
 	/**
-	Asks for the place and gives it up.
+	Requests a slot and releases it.
 	*/
-	readonly play: (setup: Awaited<ReturnType<typeof setUp>>) => void;
-	readonly isGivenBack: boolean;
+	readonly run: (setup: Awaited<ReturnType<typeof setUp>>) => void;
+	readonly isRefunded: boolean;
 };
 
-const GIVING_BACK: readonly GivingBack[] = [
+const REFUND_CASES: readonly RefundCase[] = [
 	{
-		name: 'a request that ran', isGivenBack: false, play({ask, dispatching}) {
-			dispatching.end({id: ask().id, ending: 'success', milliseconds: 10});
+		name: 'a request that ran', isRefunded: false, run({requestSlot, dispatching}) {
+			dispatching.end({id: requestSlot().id, ending: 'success', milliseconds: 10});
 		},
 	},
 	{
-		name: 'a request whose caller left after it was sent', isGivenBack: false, play({ask, dispatching}) {
-			dispatching.end({id: ask().id, ending: 'cancelled', milliseconds: 10});
+		name: 'a request whose caller left after it was sent', isRefunded: false, run({requestSlot, dispatching}) {
+			dispatching.end({id: requestSlot().id, ending: 'cancelled', milliseconds: 10});
 		},
 	},
 	{
-		name: 'a place that came when its host had turned elsewhere', isGivenBack: true, play({ask, dispatching}) {
-			dispatching.end({id: ask().id, ending: 'unused', milliseconds: 0});
+		name: 'a slot that is granted after its host has turned elsewhere', isRefunded: true, run({requestSlot, dispatching}) {
+			dispatching.end({id: requestSlot().id, ending: 'unused', milliseconds: 0});
 		},
 	},
 	{
-		name: 'an ask that is refused for want of an upstream', isGivenBack: true, play({ask}) {
-			ask({excluded: ['u']});
+		name: 'a slot request that is refused for lack of an upstream', isRefunded: true, run({requestSlot}) {
+			requestSlot({excluded: ['u']});
 		},
 	},
 	{
-		name: 'a resend that was not used', isGivenBack: false, play({ask, dispatching}) {
-			ask();
-			dispatching.end({id: ask({isResend: true}).id, ending: 'unused', milliseconds: 0});
+		name: 'a resend that was not used', isRefunded: false, run({requestSlot, dispatching}) {
+			requestSlot();
+			dispatching.end({id: requestSlot({isResend: true}).id, ending: 'unused', milliseconds: 0});
 		},
 	},
 ];
 
-for (const {name, play, isGivenBack} of GIVING_BACK) {
-	test(`${name} ${isGivenBack ? 'gives its token back' : 'has used its token'}`, async t => {
+for (const {name, run, isRefunded} of REFUND_CASES) {
+	test(`${name} ${isRefunded ? 'refunds its token' : 'has used its token'}`, async t => {
 		const setup = await setUp();
-		play(setup);
-		const granted = Array.from({length: FULL}, () => setup.ask().answer).filter(({kind}) => kind === 'grant').length;
-		t.is(granted, isGivenBack ? FULL : FULL - 1);
+		run(setup);
+		const granted = Array.from({length: FULL_BUCKET_TOKENS}, () => setup.requestSlot().answer).filter(({kind}) => kind === 'grant').length;
+		t.is(granted, isRefunded ? FULL_BUCKET_TOKENS : FULL_BUCKET_TOKENS - 1);
 	});
 }
 
-test('the other control hosts are told what was admitted, and that this host can be heard, until nobody asks', async t => {
-	const {ask, told, context} = await setUp();
-	ask();
-	ask();
+test('admitted requests are reported to the other control hosts, and empty reports follow until no slots are requested', async t => {
+	const {requestSlot, reports, context} = await setUp();
+	requestSlot();
+	requestSlot();
 	await context.pass(3000);
-	t.deepEqual(told.map(({uses}) => uses), [[['archive', 'parish', 2]], [], [], []]);
-	t.deepEqual(told.map(({services}) => services), Array.from({length: 4}, () => ['archive']));
+	t.deepEqual(reports.map(({uses}) => uses), [[['archive', 'parish', 2]], [], [], []]);
+	t.deepEqual(reports.map(({services}) => services), Array.from({length: 4}, () => ['archive']));
 	await context.pass(10_000);
-	t.is(told.length, 4);
+	t.is(reports.length, 4);
 });
 
-test('nothing is told of who has no allotment', async t => {
-	const {ask, told, context} = await setUp();
-	ask({organisation: 'other'});
-	ask({organisation: undefined});
+test('requests without an allotment are not reported', async t => {
+	const {requestSlot, reports, context} = await setUp();
+	requestSlot({organisation: 'other'});
+	requestSlot({organisation: undefined});
 	await context.pass(3000);
-	t.deepEqual(told, []);
+	t.deepEqual(reports, []);
 });
 
-test('a dispatcher that others may be asked beside gives out the share of the entry hosts that ask it', async t => {
-	const {ask, dispatching, context} = await setUp({requestShare: {get: () => 0.2, getHostShare: () => 0.1}, isReceivingReports: false});
+test('a dispatcher that does not receive all reports admits the share of the entry hosts that request slots from it', async t => {
+	const {requestSlot, dispatching, context} = await setUp({requestShare: {get: () => 0.2, getHostShare: () => 0.1}, isReceivingReports: false});
 	let granted = 0;
 	for (let turn = 0; turn < 500; turn++) {
-		const {id, answer} = ask({host: `front-${turn % 2}`});
+		const {id, answer} = requestSlot({host: `front-${turn % 2}`});
 		dispatching.end({id, ending: 'success', milliseconds: 10});
 		granted += answer.kind === 'grant' ? 1 : 0;
 		// eslint-disable-next-line no-await-in-loop -- One after the other.
 		await context.pass(20);
 	}
 
-	// A fifth of what is given out in ten seconds at ten a second.
+	// A fifth of what is admitted in ten seconds at ten a second.
 	t.true(granted >= 17 && granted <= 24, String(granted));
 });
 
-test('a flood of refusals is logged once a second, with their number', async t => {
-	const {ask, useUp, lines, context} = await setUp();
-	useUp();
-	Array.from({length: 200}, () => ask());
+test('many refusals are logged once a second, with their number', async t => {
+	const {requestSlot, exhaustTokens, lines, context} = await setUp();
+	exhaustTokens();
+	Array.from({length: 200}, () => requestSlot());
 	await context.pass(1100);
-	useUp();
-	const refusals = lines.filter(line => line.includes('Organisation over its allotment.'));
+	exhaustTokens();
+	const refusals = lines.filter(line => line.includes('Organisation exceeded its allotment.'));
 	t.is(refusals.length, 2);
 	t.regex(refusals[0]!, /"organisation":"parish".*"ratePerSecond":10.*"refusedBefore":0.*"used":18/v);
 	t.regex(refusals[1]!, /"refusedBefore":200/v);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/caller-deadlines.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/caller-deadlines.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of how long a caller has waited before.
+Tests of the estimate how long a caller has waited before.
 */
 import test from 'ava';
 import type * as generations from 'wagtailroute-generations';
@@ -18,21 +18,21 @@
 };
 
 const CASES = [
-	{name: 'one that gives no deadline', given: [4000, undefined], waited: 0},
-	{name: 'the first', given: [4000], waited: 0},
-	{name: 'one with as much time as others', given: [4000, 4000], waited: 0},
-	{name: 'one with less time', given: [4000, 1500], waited: 2500},
-	{name: 'one with more time', given: [1500, 4000], waited: 0},
+	{name: 'a caller without a deadline', given: [4000, undefined], waited: 0},
+	{name: 'the first caller', given: [4000], waited: 0},
+	{name: 'a caller with the same deadline as others', given: [4000, 4000], waited: 0},
+	{name: 'a caller with a shorter deadline', given: [4000, 1500], waited: 2500},
+	{name: 'a caller with a longer deadline', given: [1500, 4000], waited: 0},
 ];
 
 for (const {name, given, waited} of CASES) {
-	test(`${name} has waited ${waited} ms`, t => {
+	test(`the estimated waiting time of ${name} is ${waited} ms`, t => {
 		const times = createCallerDeadlines();
 		t.is(given.map(milliseconds => times.estimateWaited(ROUTE, milliseconds)).at(-1), waited);
 	});
 }
 
-test('each route has its own', t => {
+test('deadlines are kept by route', t => {
 	const times = createCallerDeadlines();
 	times.estimateWaited(ROUTE, 4000);
 	t.is(times.estimateWaited({...ROUTE, name: 'other'}, 1000), 0);
--- a/packages/wagtailroute-fleet/src/__tests__/unit/entry-domain.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/entry-domain.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of where callers enter.
+Tests of the failure domain where callers enter.
 */
 import test from 'ava';
 import type * as dispatch from 'wagtailroute-dispatch';
@@ -13,19 +13,18 @@
 }
 
 const CHOICES = [
-	{name: 'its own', upstreams: [createReport('a'), createReport('b', {slots: 8})], entry: 'a'},
+	{name: 'its own failure domain', upstreams: [createReport('a'), createReport('b', {slots: 8})], entry: 'a'},
 	{
-		// Symptom: a third of all uploads crosses failure domains, at the price of what they are worth.
-		// Sequence: both upstreams of a failure domain reset requests; its callers go on entering there for ten seconds.
-		// Cause: the directory named entry hosts of the caller's failure domain whatever was known of upstreams.
-		name: 'another one while all of its own are suspended',
+		// Guards against uploads that cross failure domains for ten seconds after both upstreams of a failure domain began to reset requests: the directory
+		// returned entry hosts of the caller's failure domain whatever the state of its upstreams. A third of all uploads crossed, which cost as much as they are worth.
+		name: 'another one while all upstreams of its own are suspended',
 		upstreams: [createReport('a', {isSuspended: true}), createReport('b'), createReport('c', {slots: 8})],
 		entry: 'c',
 	},
-	{name: 'another one while all of its own drain', upstreams: [createReport('a', {isDraining: true}), createReport('b')], entry: 'b'},
-	{name: 'its own while it has one that is well', upstreams: [createReport('a', {isSuspended: true}), createReport('a', {slots: 1}), createReport('b')], entry: 'a'},
-	{name: 'its own when none is well anywhere', upstreams: [createReport('b', {isSuspended: true})], entry: 'a'},
-	{name: 'its own when none is known', upstreams: [], entry: 'a'},
+	{name: 'another one while all upstreams of its own are draining', upstreams: [createReport('a', {isDraining: true}), createReport('b')], entry: 'b'},
+	{name: 'its own while it has a usable upstream', upstreams: [createReport('a', {isSuspended: true}), createReport('a', {slots: 1}), createReport('b')], entry: 'a'},
+	{name: 'its own when no upstream is usable anywhere', upstreams: [createReport('b', {isSuspended: true})], entry: 'a'},
+	{name: 'its own when no upstream is known', upstreams: [], entry: 'a'},
 ];
 
 for (const {name, upstreams, entry} of CHOICES) {
@@ -38,13 +37,13 @@
 
 const FINDS = [
 	{
-		name: 'the heaviest share of an upload', host: 'scans.EXAMPLE', routes: [ROUTE], service: 'media',
+		name: 'the largest share of an upload route', host: 'scans.EXAMPLE', routes: [ROUTE], service: 'media',
 	},
 	{
-		name: 'nothing for a host without uploads', host: 'scans.example', routes: [{...ROUTE, class: 'read' as const}], service: undefined,
+		name: 'undefined for a host name without upload routes', host: 'scans.example', routes: [{...ROUTE, class: 'read' as const}], service: undefined,
 	},
 	{
-		name: 'nothing for a host that is not known', host: 'other.example', routes: [ROUTE], service: undefined,
+		name: 'undefined for an unknown host name', host: 'other.example', routes: [ROUTE], service: undefined,
 	},
 ];
 
--- a/packages/wagtailroute-fleet/src/__tests__/unit/load.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/load.test.ts
@@ -11,13 +11,13 @@
 		name: 'an idle host', busy: 0, bytes: 0, load: 0,
 	},
 	{
-		name: 'a loop that is busy for half of the time', busy: LOAD_INTERVAL_MILLISECONDS / 2, bytes: 10, load: 0.5,
+		name: 'a host whose event loop is busy for half of the time', busy: LOAD_INTERVAL_MILLISECONDS / 2, bytes: 10, load: 0.5,
 	},
 	{
-		name: 'a link that is full while the loop idles', busy: 10, bytes: 1000, load: 4,
+		name: 'a host whose link is full while its event loop is idle', busy: 10, bytes: 1000, load: 4,
 	},
 	{
-		name: 'a link and a loop that are used alike', busy: LOAD_INTERVAL_MILLISECONDS / 10, bytes: 100, load: 0.4,
+		name: 'a host whose link and event loop are equally used', busy: LOAD_INTERVAL_MILLISECONDS / 10, bytes: 100, load: 0.4,
 	},
 ];
 
--- a/packages/wagtailroute-fleet/src/__tests__/unit/recent-usage.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/recent-usage.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of what an entry host tells of its callers' recent use, and of how many entry hosts count.
+Tests of the recent usage that an entry host reports, and of the number of entry hosts.
 */
 import test from 'ava';
 import {createHostCount} from '../../host-count.ts';
@@ -18,48 +18,48 @@
 			time = at;
 			uses.record({service: 'archive', organisation, admittedBy: by});
 		},
-		tell(at: number, dispatcher: object) {
+		collectUnreported(at: number, dispatcher: object) {
 			time = at;
 			return uses.collectUnreported(dispatcher);
 		},
 	};
 }
 
-test('a dispatcher is told what others admitted in the last window', t => {
-	// Guards against a dispatcher that takes over and admits a burst that its predecessor has admitted before.
-	const {admit, tell} = setUp();
+test('the report contains what other dispatchers admitted in the last window', t => {
+	// Guards against a dispatcher that takes over and admits the burst that its predecessor has already admitted.
+	const {admit, collectUnreported} = setUp();
 	admit(1000, 'parish', FIRST);
 	admit(6000, 'parish', FIRST);
 	admit(6010, 'parish', FIRST);
 	admit(6020, 'museum', FIRST);
 	admit(6500, 'parish', SECOND);
-	t.deepEqual(tell(7000, SECOND), [['archive', 'parish', 2, 990], ['archive', 'museum', 1, 980]]);
-	t.deepEqual(tell(7000, FIRST), [['archive', 'parish', 1, 500]]);
+	t.deepEqual(collectUnreported(7000, SECOND), [['archive', 'parish', 2, 990], ['archive', 'museum', 1, 980]]);
+	t.deepEqual(collectUnreported(7000, FIRST), [['archive', 'parish', 1, 500]]);
 });
 
-const TOLD_BEFORE = [
+const REPORT_CASES = [
 	{
-		name: 'one that was told a window ago', earlier: 6000, at: 11_100, isTold: true,
+		name: 'one that was reported to a window ago', earlier: 6000, at: 11_100, isReported: true,
 	},
 	{
-		name: 'one that was told within the window', earlier: 6000, at: 10_000, isTold: false,
+		name: 'one that was reported to within the window', earlier: 6000, at: 10_000, isReported: false,
 	},
 	{
-		name: 'one that a host turns to in its first window', earlier: 1000, at: 4000, isTold: false,
+		name: 'one that a host turns to in its first window', earlier: 1000, at: 4000, isReported: false,
 	},
 ] as const;
 
-for (const {name, earlier, at, isTold} of TOLD_BEFORE) {
-	test(`a dispatcher is told ${isTold ? 'all' : 'nothing'}: ${name}`, t => {
-		const {admit, tell} = setUp();
-		tell(earlier, SECOND);
+for (const {name, earlier, at, isReported} of REPORT_CASES) {
+	test(`a dispatcher gets ${isReported ? 'a report' : 'no report'}: ${name}`, t => {
+		const {admit, collectUnreported} = setUp();
+		collectUnreported(earlier, SECOND);
 		admit(at - 100, 'parish', FIRST);
-		t.is(tell(at, SECOND) !== undefined, isTold);
+		t.is(collectUnreported(at, SECOND) !== undefined, isReported);
 	});
 }
 
-test('the largest number of entry hosts that was told lately counts', t => {
-	// Guards against a control host that has just started, knows three of a hundred entry hosts, and gives out a third for each.
+test('the largest number of entry hosts that was reported recently is used', t => {
+	// Guards against a control host that has just started, knows three of a hundred entry hosts, and admits a third for each.
 	let time = 0;
 	let known = 3;
 	const count = createHostCount(() => time, () => known);
--- a/packages/wagtailroute-fleet/src/absences.ts
+++ b/packages/wagtailroute-fleet/src/absences.ts
@@ -1,96 +1,96 @@
 /**
-The entry hosts that a control host no longer hears, and that may go on to serve callers.
+Tracks absent entry hosts: those from which this control host no longer receives messages, and that may still serve callers.
 
-They can be without power, or cut off from all control hosts while callers still reach them: from here this looks the same. Cut off, they dispatch among
-themselves and give out their share of every allotment. A host whose connection ends while it is heard has ended by itself, and counts no longer.
+They may have failed, or be cut off from all control hosts while callers still reach them; this control host cannot tell the difference. Entry hosts that are cut off
+dispatch among themselves and admit their share of every allotment. An entry host whose link closes without a preceding silence has stopped, and is not absent.
 */
 import type * as allotments from 'wagtailroute-allotments';
 import type * as core from 'wagtailroute-core';
 import type * as utils from 'wagtailroute-utils';
 import {
-	MIN_ABSENCE_CHECK_MILLISECONDS,
-	MAX_ABSENCE_MILLISECONDS,
 	ABSENCE_CHECK_INTERVAL_MILLISECONDS,
 	ABSENCE_GROUP_MILLISECONDS,
-	REQUESTING_HOST_EXPIRY_MILLISECONDS,
+	MAX_ABSENCE_MILLISECONDS,
+	MIN_ABSENCE_CHECK_MILLISECONDS,
 	PAUSE_MILLISECONDS,
-	SILENT_REQUESTING_HOST_MILLISECONDS,
+	REQUESTING_HOST_EXPIRY_MILLISECONDS,
 	SILENT_FAR_ENTRY_MILLISECONDS,
+	SILENT_REQUESTING_HOST_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 
 /**
-An entry host with a link here.
+An entry host with a link to this control host.
 */
 export type LinkedHost = {
 	readonly id: core.HostId;
 	/**
-	It serves callers, as far as it has told.
+	It serves callers, according to its last message.
 	*/
 	readonly isReady: boolean;
 	/**
-	Milliseconds since it was last heard.
+	Milliseconds since the last message was received from it.
 	*/
 	readonly silenceMilliseconds: number;
 };
 
 /**
-The absent hosts.
+Tracks absent entry hosts.
 */
 export type AbsenceTracker = {
 	/**
-	A host has opened a link. A process that has started since the host was last heard has used nothing meanwhile.
+	Records that a host opened a link. If its process started after the host became absent, it has used nothing meanwhile and is no longer absent.
 	*/
 	readonly recordHello: (host: core.HostId, runningMilliseconds: number) => void;
 	/**
-	A host has asked this host's dispatcher.
+	Records that a host requested a slot from this control host's dispatcher.
 	*/
 	readonly recordSlotRequest: (host: core.HostId) => void;
 	/**
-	The link of a host is closed.
+	Records that a link of a host was closed.
 	*/
 	readonly recordLinkClosed: (host: LinkedHost) => void;
 	/**
-	Returns when an absent host was last heard; undefined for one that is not absent.
+	Returns when the last message was received from an absent host; undefined if it is not absent.
 	*/
 	readonly findAbsentSince: (host: core.HostId) => number | undefined;
 	/**
-	A host has told what it used meanwhile.
+	Ends the absence of a host that reported its usage meanwhile.
 	*/
 	readonly endAbsence: (host: core.HostId) => void;
 	/**
-	Returns the absent hosts together with those that were last heard at about the same time; the same list for as long as nothing changes.
+	Returns the absent hosts, grouped by when the last message was received from them; the same array as long as nothing changes.
 	*/
 	readonly list: () => readonly allotments.Absence[];
 	readonly teardown: utils.Teardown;
 };
 
 /**
-What absences are found by.
+What the tracker needs of its host.
 */
 export type AbsenceTrackerOptions = {
 	readonly listHosts: () => Iterable<LinkedHost>;
 	/**
-	Returns the share of the entry hosts that one of them is.
+	Returns the share of one entry host, 0 to 1.
 	*/
 	readonly getHostShare: () => number;
 	/**
-	Milliseconds after which what a host used meanwhile no longer counts.
+	Milliseconds after which the usage of a host no longer counts.
 	*/
 	readonly windowMilliseconds: number;
 };
 
 type AbsentHost = allotments.Absence & {
 	/**
-	Since when its link is heard again.
+	When messages arrived again; undefined while there are none.
 	*/
 	recoveredAt?: number;
 };
 
 /**
-Starts without absent hosts.
+Starts a tracker without absent hosts.
 
-Looks for them now and then, too: while nobody asks here, nothing else would notice a silence that ends before its link does.
+It also checks periodically: while no slots are requested here, nothing else would detect a silence that ends before the link is closed.
 */
 export function startAbsenceTracker({now, repeat}: Pick<FleetContext, 'now' | 'repeat'>, options: AbsenceTrackerOptions): AbsenceTracker {
 	const requestedAt = new Map<core.HostId, number>();
@@ -114,7 +114,8 @@
 	};
 
 	/**
-	One that is heard again stays absent until it has told what it used meanwhile, or that no longer counts. Asks that arrive may have been held up.
+	A host whose messages arrive again stays absent until it has reported its usage meanwhile, or that usage no longer counts. Slot requests that arrive may be
+	delayed ones.
 	*/
 	const recordRecovery = (id: core.HostId, known: AbsentHost) => {
 		known.recoveredAt ??= now();
@@ -143,7 +144,7 @@
 	};
 
 	/**
-	Half of the hosts may be absent at once, and each admission looks at all entries of the list.
+	Groups the hosts: half of them may be absent at once, and each admission reads the whole list.
 	*/
 	const updateList = () => {
 		const groups = Map.groupBy(absent.values(), ({since}) => Math.floor(since / ABSENCE_GROUP_MILLISECONDS) * ABSENCE_GROUP_MILLISECONDS);
@@ -153,7 +154,7 @@
 	};
 
 	const checkHosts = () => {
-		// A process that was paused looks before it reads what has come meanwhile.
+		// After a pause of the process this check runs before the messages that arrived meanwhile are read.
 		processResumedAt = now() - checkedAt > ABSENCE_CHECK_INTERVAL_MILLISECONDS + PAUSE_MILLISECONDS ? now() : processResumedAt;
 		checkedAt = now();
 		for (const host of options.listHosts()) {
@@ -182,7 +183,7 @@
 		},
 		endAbsence,
 		recordLinkClosed(host) {
-			// It has opened another link: connections can go silent for good while new ones work.
+			// The host has opened another link: a connection can be stuck while new ones work.
 			if (Iterator.from(options.listHosts()).some(({id}) => id === host.id)) {
 				return;
 			}
--- a/packages/wagtailroute-fleet/src/allotment-enforcer.ts
+++ b/packages/wagtailroute-fleet/src/allotment-enforcer.ts
@@ -1,5 +1,5 @@
 /**
-The allotments of organisations at the dispatcher of a host: what is admitted, what the other dispatchers are told of it, and what is logged.
+Enforces the allotments of organisations at the dispatcher of a host: admits slot requests, exchanges usage reports with the other dispatchers, and logs refusals.
 */
 import * as allotments from 'wagtailroute-allotments';
 import type * as core from 'wagtailroute-core';
@@ -14,53 +14,55 @@
 import type {FleetSettings} from './settings.ts';
 
 /**
-Allotments at a dispatcher.
+Enforces allotments at a dispatcher.
 */
 export type AllotmentEnforcer = {
 	readonly setOrganisations: (organisations: readonly generations.GenerationOrganisation[] | undefined) => void;
 	/**
-	Takes an ask from its organisation's allotment; a refusal when there is nothing left.
+	Deducts a slot request from its organisation's allotment; returns a refusal when the allotment is used up.
 	*/
 	readonly admit: (ask: dispatch.SlotRequest) => SlotDecision | undefined;
 	/**
-	Gives back what was taken for an ask that was granted no place.
+	Refunds the token of a slot request that was granted no slot.
 	*/
 	readonly refund: (ask: dispatch.SlotRequest) => void;
 	/**
-	Takes all that an entry host was admitted by other dispatchers in the last window, before it asks here for the first time.
+	Records all requests that other dispatchers admitted for an entry host in the last window, before it requests slots here for the first time.
 	*/
 	readonly applyPastUsage: (host: core.HostId, uses: readonly allotments.PastUsage[]) => void;
 	/**
-	@param sender Stands for the host that tells it: times of one sender are compared with each other.
+	Records what another dispatcher admitted.
+
+	@param sender Identifies the reporting host: the clock offset is estimated per sender.
 	*/
-	readonly applyReport: (news: allotments.UsageReport, sender: object) => void;
+	readonly applyReport: (report: allotments.UsageReport, sender: object) => void;
 };
 
 /**
-What allotting needs.
+What the enforcer needs of its host.
 */
 export type AllotmentEnforcerOptions = {
 	readonly settings: FleetSettings['allotments'];
 	/**
-	Share of the entry hosts that ask this host's dispatcher: where others may be asked beside it, it gives out no more.
+	Share of the entry hosts that request slots from this dispatcher. It admits no more than this share where other dispatchers may be in use at the same time.
 	*/
 	readonly requestShare: Pick<RequestShare, 'get' | 'getHostShare'>;
 	/**
-	The entry hosts that are not heard here; absent on entry hosts.
+	The absent entry hosts; undefined on entry hosts.
 	*/
 	readonly absences?: Pick<AbsenceTracker, 'recordSlotRequest' | 'findAbsentSince' | 'endAbsence' | 'list'>;
 	/**
-	This host hears of all use even while it is not asked, as control hosts do.
+	This host receives all usage reports even while it gets no slot requests, as control hosts do.
 	*/
 	readonly isReceivingReports: boolean;
 	/**
-	Sends to the other hosts that may dispatch.
+	Sends a notification to the other hosts that may dispatch.
 	*/
 	readonly notifyDispatchers: (method: string, parameters: unknown) => void;
 };
 
 /**
-Starts the allotments of a dispatcher.
+Starts an enforcer without allotments.
 */
 export function startAllotmentEnforcer(context: FleetContext, options: AllotmentEnforcerOptions): AllotmentEnforcer {
 	const {now} = context;
@@ -81,7 +83,7 @@
 		}
 
 		options.notifyDispatchers(METHODS.use, report);
-		// Goes on until nothing was asked for a while: whoever misses it takes this host for cut off.
+		// Reports continue until no slots have been requested for a while: a dispatcher that misses a report treats this host as cut off.
 		scheduleReport();
 	};
 
@@ -129,12 +131,13 @@
 type Refusal = Extract<allotments.Admission, {kind: 'refused'}>;
 
 /**
-An organisation that floods is refused hundreds of times a second: each refusal is counted, one in a while is logged and tells how many there were.
+Creates the log of refusals. An organisation that sends too much is refused hundreds of times a second: each refusal is counted in the metrics, but only one per
+interval is logged, with the number of refusals since the previous line.
 */
 function createRefusalLog(context: FleetContext): (ask: dispatch.SlotRequest, refusal: Refusal) => void {
 	const log = context.logs('allotment');
 	const labels = new Set<string>();
-	const lastLogged = new Map<core.Organisation, {readonly loggedAt: number; refusals: number}>();
+	const lastLines = new Map<core.Organisation, {readonly loggedAt: number; refusals: number}>();
 
 	const getLabel = (organisation: string) => {
 		if (labels.size < MAX_ORGANISATION_LABELS) {
@@ -146,14 +149,14 @@
 
 	return ({id, service, organisation = ''}, {ratePerSecond, used, fraction, reportAgeMilliseconds, retryAfterMilliseconds}) => {
 		context.metrics.count('allotment_refusals', {organisation: getLabel(organisation)});
-		const before = lastLogged.get(organisation);
-		if (before !== undefined && context.now() - before.loggedAt < REFUSAL_LOG_INTERVAL_MILLISECONDS) {
-			before.refusals++;
+		const lastLine = lastLines.get(organisation);
+		if (lastLine !== undefined && context.now() - lastLine.loggedAt < REFUSAL_LOG_INTERVAL_MILLISECONDS) {
+			lastLine.refusals++;
 			return;
 		}
 
-		utils.setBounded(lastLogged, organisation, {loggedAt: context.now(), refusals: 0}, MAX_ORGANISATION_LABELS);
-		log.warn('Organisation over its allotment.', {
+		utils.setBounded(lastLines, organisation, {loggedAt: context.now(), refusals: 0}, MAX_ORGANISATION_LABELS);
+		log.warn('Organisation exceeded its allotment.', {
 			id,
 			service,
 			organisation,
@@ -162,7 +165,7 @@
 			part: Number(fraction.toFixed(2)),
 			heardMillisecondsAgo: reportAgeMilliseconds === undefined ? undefined : Math.round(reportAgeMilliseconds),
 			retryAfterMilliseconds: Math.round(retryAfterMilliseconds),
-			refusedBefore: before?.refusals ?? 0,
+			refusedBefore: lastLine?.refusals ?? 0,
 		});
 	};
 }
--- a/packages/wagtailroute-fleet/src/caller-deadlines.ts
+++ b/packages/wagtailroute-fleet/src/caller-deadlines.ts
@@ -1,24 +1,24 @@
 /**
-How long callers of a route wait in all, as their deadlines tell, and so how long one that has less left has waited before: it was refused
-or lost its connection, and has come back.
+The longest deadline that callers of each route send. A caller that sends a shorter one has probably waited for the difference before: its request was refused
+or its connection lost, and it retries.
 */
 import type * as generations from 'wagtailroute-generations';
 import * as utils from 'wagtailroute-utils';
 import {MAX_MEASURED_ROUTES} from './constants.ts';
 
 /**
-Deadlines by route.
+Longest deadlines by route.
 */
 export type CallerDeadlines = {
 	/**
-	Takes note of the milliseconds that a caller gives, and returns those that it has probably waited before; 0 when it gives none.
+	Records the deadline of a caller in milliseconds, and returns how many milliseconds it has probably waited before; 0 without a deadline.
 	*/
 	readonly estimateWaited: (route: generations.GenerationRoute, timeoutMilliseconds: number | undefined) => number;
 };
 
 /**
-Creates an empty table. A caller whose deadline is shorter than others' counts as one that has waited: under overload it stands behind those
-that can be answered in time, else it makes no difference.
+Creates a table without deadlines. A caller whose deadline is shorter than those of others counts as one that has waited: under overload it is served after those
+that can be answered in time, otherwise it makes no difference.
 */
 export function createCallerDeadlines(): CallerDeadlines {
 	const longest = new Map<string, number>();
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -201,8 +201,8 @@
 export const TARGET_LOAD = 0.4;
 
 /**
-How much more a used part of the link counts than one of the processor. A large body holds the link until it is through, while the processor turns to
-the next request after a millisecond: with 0.4 of a link in use by uploads of 0.2 s to 1 s each, half of all requests wait behind one.
+Weight of the link's utilisation relative to the processor's. A large body occupies the link until it is transferred, while the processor turns to
+the next request after a millisecond: with 0.4 of a link used by uploads of 0.2 s to 1 s each, half of all requests wait behind one.
 */
 export const LINK_LOAD_FACTOR = 4;
 
@@ -217,7 +217,7 @@
 export const LOAD_INTERVAL_MILLISECONDS = 1000;
 
 /**
-Share of a new measurement of load that is lower than the one before.
+Weight of a new measurement in the moving average of the load, if it is lower than the average.
 */
 export const LOAD_DECREASE_WEIGHT = 0.3;
 
@@ -232,12 +232,12 @@
 export const MILLISECONDS_PER_SECOND = 1000;
 
 /**
-Milliseconds of silence after which the directory no longer names an entry host of its own failure domain: two pings were missed.
+Milliseconds without a message after which the directory no longer returns an entry host of its own failure domain: two pings were missed.
 */
 export const SILENT_ENTRY_MILLISECONDS = 1600;
 
 /**
-The same for an entry host of another failure domain, which pings less often.
+The same for an entry host of another failure domain, which sends pings less often.
 */
 export const SILENT_FAR_ENTRY_MILLISECONDS = 4500;
 
@@ -258,13 +258,13 @@
 export const UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS = 300;
 
 /**
-Part of the time between SIGTERM and the end for which a stopping entry host takes new requests: callers keep its address for a
-while, and whatever is taken in must have its answer before the end, also if it lasts as long as the longest timeouts.
+Fraction of the time between SIGTERM and the end in which a stopping entry host accepts new requests: callers keep its address for a
+while, and accepted requests must be answered before the end, even if they take as long as the longest timeouts.
 */
 export const ACCEPTING_FRACTION = 0.48;
 
 /**
-Milliseconds before the end of the time to stop at which a stopping host gives up what is still under way, and the part of that time that this is at most.
+Milliseconds before the end at which a stopping host aborts the requests that are still in flight, and the largest fraction of the stop time that this may take.
 */
 export const STOP_MARGIN_MILLISECONDS = 600;
 export const MAX_STOP_MARGIN_FRACTION = 0.1;
@@ -281,7 +281,7 @@
 export const MIN_OVERDUE_MILLISECONDS = 600;
 
 /**
-Routes whose usual time a host keeps: those it carries of 46,000.
+Routes for which a host keeps usual durations and deadlines: of a catalogue of 46,000 it serves only some.
 */
 export const MAX_MEASURED_ROUTES = 4096;
 
@@ -339,17 +339,17 @@
 export const LINK_REPORT_INTERVAL_MILLISECONDS = 10_000;
 
 /**
-Milliseconds of recent asks that the request share of a dispatcher is measured over.
+Milliseconds of recent slot requests over which the request share of a dispatcher is measured.
 */
 export const REQUEST_SHARE_WINDOW_MILLISECONDS = 1000;
 
 /**
-Slices of a window in which a host counts what its callers were admitted.
+Time slices of a window in which a host counts the requests that were admitted for its callers.
 */
 export const RECENT_USAGE_SLICES = 20;
 
 /**
-Milliseconds for which a number of entry hosts that another host told counts: a host that has just started knows all of them by then.
+Milliseconds for which a number of entry hosts reported by another host is used: by then a host that has just started knows all of them.
 */
 export const ENTRY_HOST_COUNT_TTL_MILLISECONDS = 6000;
 
@@ -360,7 +360,7 @@
 export const ASSUMED_ENTRY_HOSTS = 100;
 
 /**
-Organisations that have a label of their own in metrics, and whose refusals are collected between two log lines; the others count together.
+Organisations that have their own label in metrics, and whose refusals are counted between two log lines; the others share a label.
 */
 export const MAX_ORGANISATION_LABELS = 20;
 
@@ -370,12 +370,12 @@
 export const REFUSAL_LOG_INTERVAL_MILLISECONDS = 1000;
 
 /**
-Milliseconds between two looks whether the process runs late.
+Interval in milliseconds of the timer whose delay is measured.
 */
 export const PAUSE_CHECK_MILLISECONDS = 1000;
 
 /**
-Milliseconds from which on a late timer is logged: a leader that is late by so much misses a heartbeat.
+Delay in milliseconds from which on a late timer is logged: a leader that is delayed by this time misses a heartbeat.
 */
 export const PAUSE_MILLISECONDS = 200;
 
@@ -385,23 +385,23 @@
 export const DISPATCHER_PING_INTERVAL_MILLISECONDS = 350;
 
 /**
-Silence in milliseconds from which on an entry host that asks here counts as absent: two pings were missed.
+Milliseconds without a message after which an entry host that requests slots here counts as absent: two pings were missed.
 */
 export const SILENT_REQUESTING_HOST_MILLISECONDS = 1000;
 
 /**
-Milliseconds between two looks at which entry hosts are heard: at least while a dispatcher is asked, at most while it is not.
+Milliseconds between two checks for absent entry hosts: the minimum while slots are requested, and the interval of the periodic check.
 */
 export const MIN_ABSENCE_CHECK_MILLISECONDS = 50;
 export const ABSENCE_CHECK_INTERVAL_MILLISECONDS = 250;
 
 /**
-Milliseconds of the slices of time in which absent hosts are put together.
+Milliseconds of the time slices by which absent hosts are grouped.
 */
 export const ABSENCE_GROUP_MILLISECONDS = 250;
 
 /**
-Milliseconds after which an entry host that is not heard counts as gone: callers have turned to others.
+Milliseconds without a message after which an entry host no longer counts as absent: its callers have turned to others.
 */
 export const MAX_ABSENCE_MILLISECONDS = 60_000;
 
--- a/packages/wagtailroute-fleet/src/entry-domain.ts
+++ b/packages/wagtailroute-fleet/src/entry-domain.ts
@@ -1,17 +1,17 @@
 /**
-In which failure domain a caller had best enter.
+Chooses the failure domain whose entry hosts a caller uses.
 
-Its own, as a rule. But where every upstream of its own failure domain that takes its uploads is suspended, each upload would
-cross to another failure domain behind the entry host. The caller is as near to that failure domain as to its own: it enters
-there instead, and its large bodies go to an upstream next to its entry host.
+Normally this is the caller's own failure domain. But if every upstream of it that receives the caller's uploads is suspended, each upload would
+cross to another failure domain behind the entry host. The distance from the caller to that failure domain is about the same as to its own, so it enters
+there instead, and its large bodies go to an upstream in the failure domain of its entry host.
 */
 import type * as core from 'wagtailroute-core';
 import type * as dispatch from 'wagtailroute-dispatch';
 import type * as generations from 'wagtailroute-generations';
 
 /**
-Returns the service that takes the uploads of each host name, by its first such route and the heaviest share of it. Names are in lower case; a
-host without uploads is left out.
+Returns the service that receives the uploads of each host name: the one with the largest share of its first upload route. Names are in lower case; a
+host name without upload routes is left out.
 */
 export function listUploadServices({routes}: generations.Generation): ReadonlyMap<string, core.ServiceName> {
 	const services = new Map<string, core.ServiceName>();
@@ -29,10 +29,10 @@
 }
 
 /**
-Chooses where a caller enters.
+Returns the failure domain where a caller enters.
 
 @param ownDomain The caller's failure domain.
-@param upstreams Those of the service that takes its uploads.
+@param upstreams Upstreams of the service that receives its uploads.
 */
 export function chooseEntryDomain(ownDomain: core.FailureDomain, upstreams: readonly dispatch.UpstreamReport[]): core.FailureDomain {
 	const slots = countUsableSlots(upstreams);
--- a/packages/wagtailroute-fleet/src/entry-hosts.ts
+++ b/packages/wagtailroute-fleet/src/entry-hosts.ts
@@ -1,8 +1,8 @@
 /**
-The entry hosts that have a link to this control host, and the answer of the directory.
+The entry hosts that have a link to this control host, and the choice of those that the directory returns to callers.
 
-The directory names some entry hosts of the caller's failure domain, the same for all callers, as many as the load needs. The
-others are at hand for when one of these goes.
+The directory returns some entry hosts of the caller's failure domain: the same for all callers, and as many as the load needs. The
+others are available when one of these stops.
 */
 import * as core from 'wagtailroute-core';
 import type * as link from 'wagtailroute-link';
@@ -12,7 +12,7 @@
 import type {EntryState} from './messages.ts';
 
 /**
-An entry host as its first message and later ones described it.
+An entry host, as described by the first and later messages on its link.
 */
 export type EntryHost = {
 	readonly id: core.HostId;
@@ -22,12 +22,12 @@
 };
 
 /**
-The table of entry hosts that have a link here.
+Entry hosts by link and by id.
 */
 export type EntryHosts = {
 	readonly add: (host: EntryHost) => void;
 	/**
-	Returns the host as it was before.
+	Replaces the state of a host and returns the host with its previous state; undefined for an unknown link.
 	*/
 	readonly setState: (entryLink: link.Link, state: EntryState) => EntryHost | undefined;
 	readonly remove: (entryLink: link.Link) => EntryHost | undefined;
@@ -37,11 +37,11 @@
 	readonly count: () => number;
 	readonly listAll: () => readonly EntryHost[];
 	/**
-	Returns those that serve, as far as is known.
+	Returns the hosts that are ready and whose last message is recent enough.
 	*/
 	readonly listReady: () => readonly EntryHost[];
 	/**
-	Returns the addresses for a caller; none when no entry host is known to serve.
+	Returns the addresses for a caller; empty when no entry host is known to serve.
 	*/
 	readonly listAddresses: (failureDomain: core.FailureDomain) => readonly core.Address[];
 };
@@ -63,8 +63,8 @@
 	};
 
 	const isServing = (host: EntryHost) => {
-		const silence = host.failureDomain === ownDomain ? SILENT_ENTRY_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS;
-		return host.state.isReady && host.link.getSilence() < silence;
+		const maxSilenceMilliseconds = host.failureDomain === ownDomain ? SILENT_ENTRY_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS;
+		return host.state.isReady && host.link.getSilence() < maxSilenceMilliseconds;
 	};
 
 	return {
@@ -80,7 +80,7 @@
 		remove(entryLink) {
 			const host = byLink.get(entryLink);
 			byLink.delete(entryLink);
-			// The host may have opened another link already.
+			// The host may have opened a new link already.
 			if (host !== undefined && byId.get(host.id)?.link === entryLink) {
 				byId.delete(host.id);
 			}
@@ -111,7 +111,7 @@
 }
 
 /**
-Writes a host for the log.
+Returns the log fields of a host.
 */
 export function describeEntryHost({id, state}: EntryHost): Readonly<Record<string, unknown>> {
 	return {
--- a/packages/wagtailroute-fleet/src/host-count.ts
+++ b/packages/wagtailroute-fleet/src/host-count.ts
@@ -1,34 +1,36 @@
 /**
-How many entry hosts serve callers, for dispatchers that grant the share of those that ask them.
+The number of entry hosts that serve callers, for dispatchers that grant only the share of the hosts that request slots from them.
 
-A control host that has just started knows few entry hosts yet. Taken for all, those few would make the share of each dispatcher too large, so the largest number that
-entry hosts told lately counts.
+A control host that has just started knows only a few entry hosts. If those were taken for all, the share of each dispatcher would be too large, so the largest number
+that entry hosts reported recently counts.
 */
 import {ENTRY_HOST_COUNT_TTL_MILLISECONDS} from './constants.ts';
 
 /**
-A number of entry hosts.
+Number of entry hosts, as far as known.
 */
 export type HostCount = {
 	/**
-	@param hosts 0 when it is not known.
+	Records a number that another host reported.
+
+	@param hosts 0 when it is unknown.
 	*/
 	readonly record: (hosts: number) => void;
 	/**
-	Returns the largest of this host's own number and those that were told in the last while; 0 when none is known.
+	Returns the largest of this host's own number and those that were reported recently; 0 when none is known.
 	*/
 	readonly get: () => number;
 };
 
 /**
-Creates a number that nothing is known of.
+Creates a count without reports so far.
 
 @param now Monotonic time in milliseconds.
-@param countOwn Returns the number that this host knows at present.
+@param countOwn Returns the number of entry hosts that this host knows at present.
 */
 export function createHostCount(now: () => number, countOwn: () => number): HostCount {
 	/**
-	When each number was told last.
+	When each number was last reported.
 	*/
 	const reportedAt = new Map<number, number>();
 
--- a/packages/wagtailroute-fleet/src/load.ts
+++ b/packages/wagtailroute-fleet/src/load.ts
@@ -1,47 +1,47 @@
 /**
-How loaded this host is: the busier of its loop and its link, whose load weighs more.
+The load of this host: the larger of the utilisation of its event loop and the weighted utilisation of its network link.
 */
 import type * as utils from 'wagtailroute-utils';
 import {
 	LINK_LOAD_FACTOR,
-	LOAD_INTERVAL_MILLISECONDS,
 	LOAD_DECREASE_WEIGHT,
+	LOAD_INTERVAL_MILLISECONDS,
 	MILLISECONDS_PER_SECOND,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 
 /**
-Measures the load again and again.
+Measures the load periodically.
 */
 export type LoadMeter = {
 	/**
-	Returns the part of what the host can do that is in use, 0 and up.
+	Returns the used fraction of the host's capacity, 0 and up: because of its weight a busy link yields more than 1.
 	*/
 	readonly getLoad: () => number;
 	readonly teardown: utils.Teardown;
 };
 
 /**
-What is measured.
+Sources of the measurement.
 */
 export type LoadMeterOptions = {
 	/**
-	Milliseconds so far in which the loop was at work.
+	Returns the total milliseconds in which the event loop was active.
 	*/
 	readonly getBusyMilliseconds: () => number;
 	/**
-	Bytes so far in each direction of the link.
+	Returns the total bytes transferred so far in each direction of the link.
 	*/
 	readonly getBytes: () => number;
 	/**
-	What the link carries in each direction.
+	Capacity of the link in each direction.
 	*/
 	readonly linkBytesPerSecond: number;
 	readonly onMeasured: () => void;
 };
 
 /**
-Starts measuring.
+Starts the measurements, and registers the load as a gauge.
 */
 export function startLoadMeter(context: FleetContext, options: LoadMeterOptions): LoadMeter {
 	const {now} = context;
@@ -51,10 +51,10 @@
 	const measure = () => {
 		const next = sample();
 		const milliseconds = Math.max(1, next.at - last.at);
-		const busy = (next.busy - last.busy) / milliseconds;
-		const sent = (next.bytes - last.bytes) * MILLISECONDS_PER_SECOND / milliseconds / options.linkBytesPerSecond;
-		const current = Math.max(busy, sent * LINK_LOAD_FACTOR);
-		// Growth counts at once: callers keep an answer for seconds.
+		const loopLoad = (next.busy - last.busy) / milliseconds;
+		const linkLoad = (next.bytes - last.bytes) * MILLISECONDS_PER_SECOND / milliseconds / options.linkBytesPerSecond;
+		const current = Math.max(loopLoad, linkLoad * LINK_LOAD_FACTOR);
+		// An increase counts at once: callers keep the directory's answer for seconds.
 		load = current > load ? current : (load * (1 - LOAD_DECREASE_WEIGHT)) + (current * LOAD_DECREASE_WEIGHT);
 		last = next;
 		options.onMeasured();
--- a/packages/wagtailroute-fleet/src/pauses.ts
+++ b/packages/wagtailroute-fleet/src/pauses.ts
@@ -1,22 +1,22 @@
 /**
-Tells when a process was busy or stood still for so long that its timers ran late: all that it answers is late by as much.
+Detects that the process was busy or suspended for so long that its timers ran late: all its answers are late by as much.
 */
 import type * as utils from 'wagtailroute-utils';
 import {PAUSE_CHECK_MILLISECONDS, PAUSE_MILLISECONDS} from './constants.ts';
 import type {FleetContext} from './context.ts';
 
 /**
-Starts looking.
+Starts a periodic timer and reports how late it runs.
 */
 export function watchPauses(context: FleetContext): utils.Teardown {
 	const log = context.logs('process');
 	let checkedAt = context.now();
 	return context.repeat(PAUSE_CHECK_MILLISECONDS, () => {
-		const late = context.now() - checkedAt - PAUSE_CHECK_MILLISECONDS;
+		const lateMilliseconds = context.now() - checkedAt - PAUSE_CHECK_MILLISECONDS;
 		checkedAt = context.now();
-		context.metrics.observe('pause', Math.max(0, late));
-		if (late >= PAUSE_MILLISECONDS) {
-			log.warn('Process paused.', {milliseconds: Math.round(late)});
+		context.metrics.observe('pause', Math.max(0, lateMilliseconds));
+		if (lateMilliseconds >= PAUSE_MILLISECONDS) {
+			log.warn('Process was busy or paused; timers ran late.', {milliseconds: Math.round(lateMilliseconds)});
 		}
 	});
 }
--- a/packages/wagtailroute-fleet/src/recent-requesting-hosts.ts
+++ b/packages/wagtailroute-fleet/src/recent-requesting-hosts.ts
@@ -1,10 +1,10 @@
 /**
-The hosts that asked a dispatcher lately.
+The hosts that recently requested slots from a dispatcher.
 */
 import type * as core from 'wagtailroute-core';
 
 /**
-A table of hosts by the time of their last ask.
+Hosts by the time of their last slot request.
 */
 export type RecentRequestingHosts = {
 	readonly record: (host: core.HostId, now: number) => void;
@@ -15,7 +15,7 @@
 /**
 Creates an empty table.
 
-@param retentionMilliseconds Time after its last ask for which a host counts.
+@param retentionMilliseconds Time after its last slot request for which a host is kept.
 */
 export function createRecentRequestingHosts(retentionMilliseconds: number): RecentRequestingHosts {
 	const requestedAt = new Map<core.HostId, number>();
@@ -31,7 +31,7 @@
 
 	return {
 		record(host, now) {
-			// The one that asked last comes last.
+			// Keeps the map in the order of the last slot requests.
 			requestedAt.delete(host);
 			requestedAt.set(host, now);
 		},
--- a/packages/wagtailroute-fleet/src/recent-usage.ts
+++ b/packages/wagtailroute-fleet/src/recent-usage.ts
@@ -1,47 +1,47 @@
 /**
-What the organisations that call an entry host were admitted in the last while, and by which dispatcher.
+Counts the requests that dispatchers admitted for an entry host in the last window, by service, organisation and dispatcher.
 
-A dispatcher that the host turns to may know nothing of it: it has just started, or those that admitted the requests can not be heard. Told nothing, it would
-admit the same burst once more.
+A dispatcher that the host turns to may not know this usage: it has just started, or receives nothing from the dispatchers that admitted the requests. Without a report
+it would admit the same burst again.
 */
 import type * as allotments from 'wagtailroute-allotments';
 import type * as core from 'wagtailroute-core';
 import {RECENT_USAGE_SLICES} from './constants.ts';
 
 /**
-A request that was admitted.
+A request that a dispatcher admitted.
 */
 export type AdmittedRequest = {
 	readonly service: core.ServiceName;
 	readonly organisation: core.Organisation;
 	/**
-	Stands for the dispatcher that admitted it.
+	Identifies the dispatcher.
 	*/
 	readonly admittedBy: object;
 };
 
 /**
-Recent uses of a host.
+Recent usage of an entry host.
 */
 export type RecentUsage = {
 	readonly record: (request: AdmittedRequest) => void;
 	/**
-	Returns all that other dispatchers admitted in the last window; undefined for one that was told within it, and on a host that has not run for so long: what its
-	callers were admitted through other hosts before is unknown.
+	Returns all that other dispatchers admitted in the last window. Undefined if the dispatcher was reported to within the window, or if this host has run for less than a
+	window: what was admitted for its callers through other hosts before is unknown.
 	*/
 	readonly collectUnreported: (dispatcher: object) => readonly allotments.PastUsage[] | undefined;
 };
 
 type Slice = AdmittedRequest & {
 	/**
-	Time of its last request: taken for older, what it holds would be out of the dispatcher's window too soon.
+	Time of the last request: with an earlier time, the requests would leave the dispatcher's window too soon.
 	*/
 	at: number;
 	requests: number;
 };
 
 /**
-Creates an empty table.
+Creates an empty record.
 
 @param now Monotonic time in milliseconds.
 */
@@ -49,7 +49,7 @@
 	const startedAt = now();
 	const sliceMilliseconds = windowMilliseconds / RECENT_USAGE_SLICES;
 	/**
-	In the order of their first times.
+	In the order of their first requests.
 	*/
 	const slices = new Map<string, Slice>();
 	const dispatcherNumbers = new WeakMap<object, number>();
--- a/packages/wagtailroute-fleet/src/request-share.ts
+++ b/packages/wagtailroute-fleet/src/request-share.ts
@@ -1,32 +1,32 @@
 /**
-The share of a fleet's requests that a dispatcher on an entry host handles.
+The share of a fleet's requests that a dispatcher handles.
 
-Such a dispatcher does not hear of the others, so of a limit that holds over the whole fleet it grants this share only.
+A dispatcher on an entry host does not know what the others grant, so it grants only this share of a limit that applies to the whole fleet.
 */
 import type * as core from 'wagtailroute-core';
 import {REQUEST_SHARE_WINDOW_MILLISECONDS} from './constants.ts';
 import {createRecentRequestingHosts} from './recent-requesting-hosts.ts';
 
 /**
-A share, 0 to 1.
+Shares, 0 to 1.
 */
 export type RequestShare = {
 	/**
-	Records that a host sent an ask.
+	Records that a host requested a slot.
 	*/
 	readonly record: (host: core.HostId, now: number) => void;
 	readonly get: (now: number) => number;
 	/**
-	Returns the share of one host.
+	Returns the share of one entry host.
 	*/
 	readonly getHostShare: () => number;
 };
 
 /**
-Creates the share of a dispatcher that no host has asked yet.
+Creates the share of a dispatcher without slot requests so far.
 
-@param countEntryHosts Returns how many entry hosts serve callers, 0 when it is not known.
-@param unknownHosts Entry hosts that there are taken to be then.
+@param countEntryHosts Returns the number of entry hosts that serve callers, 0 when it is unknown.
+@param unknownHosts Number of entry hosts to assume when it is unknown.
 */
 export function createRequestShare(countEntryHosts: () => number, unknownHosts: number): RequestShare {
 	const recentHosts = createRecentRequestingHosts(REQUEST_SHARE_WINDOW_MILLISECONDS);
--- a/packages/wagtailroute-fleet/src/requesting-hosts.ts
+++ b/packages/wagtailroute-fleet/src/requesting-hosts.ts
@@ -1,12 +1,12 @@
 /**
-The hosts that have a link here and ask this host's dispatcher.
+The hosts that have a link here and request slots from this host's dispatcher.
 */
 import type * as core from 'wagtailroute-core';
 import type * as link from 'wagtailroute-link';
 import type {RequestingHost} from './slot-request-methods.ts';
 
 /**
-The table of asking hosts.
+Requesting hosts by link and by id.
 */
 export type RequestingHosts = {
 	readonly add: (host: RequestingHost, hostLink: link.Link) => void;
@@ -30,7 +30,7 @@
 		remove(hostLink) {
 			const host = byLink.get(hostLink);
 			byLink.delete(hostLink);
-			// The host may have opened another link already.
+			// The host may have opened a new link already.
 			if (host !== undefined && byId.get(host.id) === hostLink) {
 				byId.delete(host.id);
 			}
--- a/packages/wagtailroute-fleet/src/stop-times.ts
+++ b/packages/wagtailroute-fleet/src/stop-times.ts
@@ -1,26 +1,26 @@
 /**
-How an entry host divides the time that it has to stop.
+Divides the time that an entry host has for stopping.
 */
 import {ACCEPTING_FRACTION, STOP_MARGIN_MILLISECONDS, MAX_STOP_MARGIN_FRACTION} from './constants.ts';
 
 /**
-The parts of a stop, in milliseconds.
+The phases of a stop.
 */
 export type StopTimes = {
 	/**
-	For which it takes new requests.
+	Time in which the host still accepts new requests.
 	*/
 	readonly acceptingMilliseconds: number;
 	/**
-	After that, until it gives up what is still under way.
+	Time after that, until the host aborts the requests that are still in flight.
 	*/
 	readonly drainingMilliseconds: number;
 };
 
 /**
-Divides the time to stop.
+Divides the time for stopping.
 
-@param milliseconds From the request to stop until the process is killed.
+@param milliseconds Time from the stop signal until the process is killed.
 */
 export function divideStopTime(milliseconds: number): StopTimes {
 	const acceptingMilliseconds = milliseconds * ACCEPTING_FRACTION;
--- a/packages/wagtailroute-fleet/src/usual-times.ts
+++ b/packages/wagtailroute-fleet/src/usual-times.ts
@@ -1,5 +1,5 @@
 /**
-How long requests of a route usually take, as this host sees it.
+The usual duration of the requests of each route, as measured by this host.
 */
 import * as dispatch from 'wagtailroute-dispatch';
 import type * as generations from 'wagtailroute-generations';
@@ -7,18 +7,18 @@
 import {MAX_MEASURED_ROUTES} from './constants.ts';
 
 /**
-Usual times by route.
+Usual durations by route.
 */
 export type UsualTimes = {
 	/**
-	Returns the usual milliseconds; a part of the latency objective for a route that was not measured yet.
+	Returns the usual milliseconds; a fraction of the latency objective for a route without measurements.
 	*/
 	readonly get: (route: generations.GenerationRoute) => number;
 	readonly record: (route: generations.GenerationRoute, milliseconds: number) => void;
 };
 
 /**
-Creates an empty table.
+Creates a table without measurements.
 */
 export function createUsualTimes(): UsualTimes {
 	const usualMilliseconds = new Map<string, number>();
