--- a/packages/wagtailroute-fleet/src/__tests__/unit/absences.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/absences.test.ts
@@ -2,7 +2,7 @@
 Tests of which entry hosts a control host treats as absent, and for how long.
 */
 import test from 'ava';
-import {type LinkedHost, startAbsenceTracker} from '../../absences.ts';
+import {type EntryHostStatus, startAbsenceTracker} from '../../absences.ts';
 
 const WINDOW_MILLISECONDS = 5000;
 const SHARE = 0.1;
@@ -134,7 +134,7 @@
 	test(`whether an entry host counts as absent: ${name}`, t => {
 		// Guards against control hosts that admit the share of an entry host that also admits it itself, and against shares that no dispatcher admits for long.
 		let time = 0;
-		let hosts: readonly LinkedHost[] = [];
+		let hosts: readonly EntryHostStatus[] = [];
 		let runCheck = () => undefined as void;
 		const repeat = (_milliseconds: number, run: () => void) => {
 			runCheck = run;
@@ -154,7 +154,7 @@
 			}
 
 			time = at;
-			const host: LinkedHost = {id: 'entry', isReady, silenceMilliseconds: silence ?? 0};
+			const host: EntryHostStatus = {id: 'entry', isReady, silenceMilliseconds: silence ?? 0};
 			hosts = silence === undefined || action === 'close' ? [] : [host];
 			const actions = {
 				ask: absences.recordSlotRequest.bind(undefined, host.id),
@@ -178,7 +178,7 @@
 	let time = 0;
 	let silences: readonly number[] = [0, 0, 0];
 	const absences = startAbsenceTracker({now: () => time, repeat: () => () => undefined}, {
-		listHosts: () => silences.map((silence, index): LinkedHost => ({id: `entry-${index}`, isReady: true, silenceMilliseconds: silence})),
+		listHosts: () => silences.map((silence, index): EntryHostStatus => ({id: `entry-${index}`, isReady: true, silenceMilliseconds: silence})),
 		getHostShare: () => SHARE,
 		windowMilliseconds: WINDOW_MILLISECONDS,
 	});
--- a/packages/wagtailroute-fleet/src/__tests__/unit/recent-usage.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/recent-usage.test.ts
@@ -2,7 +2,7 @@
 Tests of the recent usage that an entry host reports, and of the number of entry hosts.
 */
 import test from 'ava';
-import {createHostCount} from '../../host-count.ts';
+import {createEntryHostCount} from '../../host-count.ts';
 import {createRecentUsage} from '../../recent-usage.ts';
 
 const WINDOW_MILLISECONDS = 5000;
@@ -62,7 +62,7 @@
 	// Guards against a control host that has just started, knows three of a hundred entry hosts, and admits a third for each.
 	let time = 0;
 	let known = 3;
-	const count = createHostCount(() => time, () => known);
+	const count = createEntryHostCount(() => time, () => known);
 	t.is(count.get(), 3);
 	count.record(116);
 	t.is(count.get(), 116);
--- a/packages/wagtailroute-fleet/src/absences.ts
+++ b/packages/wagtailroute-fleet/src/absences.ts
@@ -12,7 +12,7 @@
 	ABSENCE_GROUP_MILLISECONDS,
 	MAX_ABSENCE_MILLISECONDS,
 	MIN_ABSENCE_CHECK_MILLISECONDS,
-	PAUSE_MILLISECONDS,
+	MIN_PAUSE_MILLISECONDS,
 	REQUESTING_HOST_EXPIRY_MILLISECONDS,
 	SILENT_FAR_ENTRY_MILLISECONDS,
 	SILENT_REQUESTING_HOST_MILLISECONDS,
@@ -20,9 +20,9 @@
 import type {FleetContext} from './context.ts';
 
 /**
-An entry host with a link to this control host.
+State of an entry host with a link to this control host.
 */
-export type LinkedHost = {
+export type EntryHostStatus = {
 	readonly id: core.HostId;
 	/**
 	It serves callers, according to its last message.
@@ -49,7 +49,7 @@
 	/**
 	Records that a link of a host was closed.
 	*/
-	readonly recordLinkClosed: (host: LinkedHost) => void;
+	readonly recordLinkClosed: (host: EntryHostStatus) => void;
 	/**
 	Returns when the last message was received from an absent host; undefined if it is not absent.
 	*/
@@ -69,7 +69,7 @@
 What the tracker needs of its host.
 */
 export type AbsenceTrackerOptions = {
-	readonly listHosts: () => Iterable<LinkedHost>;
+	readonly listHosts: () => Iterable<EntryHostStatus>;
 	/**
 	Returns the share of one entry host, 0 to 1.
 	*/
@@ -99,12 +99,12 @@
 	let checkedAt = now();
 	let processResumedAt = -Infinity;
 
-	const isSilent = ({id, silenceMilliseconds}: LinkedHost) => {
+	const isSilent = ({id, silenceMilliseconds}: EntryHostStatus) => {
 		const isRequestingHost = now() - (requestedAt.get(id) ?? -Infinity) < REQUESTING_HOST_EXPIRY_MILLISECONDS;
 		return Math.min(silenceMilliseconds, now() - processResumedAt) > (isRequestingHost ? SILENT_REQUESTING_HOST_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS);
 	};
 
-	const markAbsent = ({id, silenceMilliseconds}: LinkedHost) => {
+	const markAbsent = ({id, silenceMilliseconds}: EntryHostStatus) => {
 		const known = absent.get(id);
 		if (known === undefined) {
 			absent.set(id, {since: now() - silenceMilliseconds, share: options.getHostShare()});
@@ -124,7 +124,7 @@
 		}
 	};
 
-	const checkHost = (host: LinkedHost) => {
+	const checkHost = (host: EntryHostStatus) => {
 		const known = absent.get(host.id);
 		if (!host.isReady) {
 			absent.delete(host.id);
@@ -155,7 +155,7 @@
 
 	const checkHosts = () => {
 		// After a pause of the process this check runs before the messages that arrived meanwhile are read.
-		processResumedAt = now() - checkedAt > ABSENCE_CHECK_INTERVAL_MILLISECONDS + PAUSE_MILLISECONDS ? now() : processResumedAt;
+		processResumedAt = now() - checkedAt > ABSENCE_CHECK_INTERVAL_MILLISECONDS + MIN_PAUSE_MILLISECONDS ? now() : processResumedAt;
 		checkedAt = now();
 		for (const host of options.listHosts()) {
 			checkHost(host);
--- a/packages/wagtailroute-fleet/src/allotment-enforcer.ts
+++ b/packages/wagtailroute-fleet/src/allotment-enforcer.ts
@@ -21,11 +21,11 @@
 	/**
 	Deducts a slot request from its organisation's allotment; returns a refusal when the allotment is used up.
 	*/
-	readonly admit: (ask: dispatch.SlotRequest) => SlotDecision | undefined;
+	readonly admit: (request: dispatch.SlotRequest) => SlotDecision | undefined;
 	/**
 	Refunds the token of a slot request that was granted no slot.
 	*/
-	readonly refund: (ask: dispatch.SlotRequest) => void;
+	readonly refund: (request: dispatch.SlotRequest) => void;
 	/**
 	Records all requests that other dispatchers admitted for an entry host in the last window, before it requests slots here for the first time.
 	*/
@@ -93,13 +93,13 @@
 		setOrganisations(organisations = []) {
 			limiter.setAllotments(organisations.map(({name, ratePerSecond, burst}) => ({organisation: name, ratePerSecond, burst})), now());
 		},
-		admit(ask) {
-			options.absences?.recordSlotRequest(ask.host);
-			if (ask.organisation === undefined) {
+		admit(request) {
+			options.absences?.recordSlotRequest(request.host);
+			if (request.organisation === undefined) {
 				return undefined;
 			}
 
-			const admission = limiter.admit(ask.organisation, ask.service, now());
+			const admission = limiter.admit(request.organisation, request.service, now());
 			if (admission.kind === 'admitted') {
 				if (admission.isReportUrgent) {
 					sendReport();
@@ -110,7 +110,7 @@
 				return undefined;
 			}
 
-			logRefusal(ask, admission);
+			logRefusal(request, admission);
 			return {kind: 'refuse', reason: 'allotment', retryAfterMilliseconds: admission.retryAfterMilliseconds};
 		},
 		refund({organisation, service}) {
@@ -134,7 +134,7 @@
 Creates the log of refusals. An organisation that sends too much is refused hundreds of times a second: each refusal is counted in the metrics, but only one per
 interval is logged, with the number of refusals since the previous line.
 */
-function createRefusalLog(context: FleetContext): (ask: dispatch.SlotRequest, refusal: Refusal) => void {
+function createRefusalLog(context: FleetContext): (request: dispatch.SlotRequest, refusal: Refusal) => void {
 	const log = context.logs('allotment');
 	const labels = new Set<string>();
 	const lastLines = new Map<core.Organisation, {readonly loggedAt: number; refusals: number}>();
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -204,7 +204,7 @@
 Weight of the link's utilisation relative to the processor's. A large body occupies the link until it is transferred, while the processor turns to
 the next request after a millisecond: with 0.4 of a link used by uploads of 0.2 s to 1 s each, half of all requests wait behind one.
 */
-export const LINK_LOAD_FACTOR = 4;
+export const LINK_LOAD_WEIGHT = 4;
 
 /**
 Milliseconds in which the number of entry hosts that the directory names shrinks to half, when fewer are needed.
@@ -372,12 +372,12 @@
 /**
 Interval in milliseconds of the timer whose delay is measured.
 */
-export const PAUSE_CHECK_MILLISECONDS = 1000;
+export const PAUSE_CHECK_INTERVAL_MILLISECONDS = 1000;
 
 /**
 Delay in milliseconds from which on a late timer is logged: a leader that is delayed by this time misses a heartbeat.
 */
-export const PAUSE_MILLISECONDS = 200;
+export const MIN_PAUSE_MILLISECONDS = 200;
 
 /**
 Longest time in milliseconds without a message from this host on a link to a dispatcher that it recently sent slot requests to; checked every 0.35 s.
--- a/packages/wagtailroute-fleet/src/control.ts
+++ b/packages/wagtailroute-fleet/src/control.ts
@@ -8,7 +8,7 @@
 import * as link from 'wagtailroute-link';
 import * as results from 'ts-results-es';
 import * as utils from 'wagtailroute-utils';
-import {type LinkedHost, startAbsenceTracker} from './absences.ts';
+import {type EntryHostStatus, startAbsenceTracker} from './absences.ts';
 import {startAllotmentEnforcer} from './allotment-enforcer.ts';
 import {startControlLinks} from './control-links.ts';
 import {createSlotRequestMethods} from './slot-request-methods.ts';
@@ -23,7 +23,7 @@
 import {startDirectory} from './directory.ts';
 import {countAddresses} from './directory-table.ts';
 import {sendUpdates, startHostDispatcher} from './host-dispatcher.ts';
-import {createHostCount} from './host-count.ts';
+import {createEntryHostCount} from './host-count.ts';
 import {createEntryHosts, describeEntryHost, type EntryHost} from './entry-hosts.ts';
 import type {FleetContext} from './context.ts';
 import {createInstanceStore} from './instance-store.ts';
@@ -93,7 +93,7 @@
 		},
 		store: createInstanceStore(settings.dataFolder, context.logs('instances')),
 	});
-	const hostCount = createHostCount(context.now, () => countAddresses(directory.getTable()));
+	const hostCount = createEntryHostCount(context.now, () => countAddresses(directory.getTable()));
 	// After a restart of the whole fleet no entry host is known yet: the hosts that request slots count as all of them.
 	const requestShare = createRequestShare(hostCount.get, 1);
 	const absences = startAbsenceTracker(context, {
@@ -317,7 +317,7 @@
 	};
 }
 
-function toHeardHost({id, state, link: hostLink}: EntryHost): LinkedHost {
+function toHeardHost({id, state, link: hostLink}: EntryHost): EntryHostStatus {
 	return {id, isReady: state.isReady, silenceMilliseconds: hostLink.getSilence()};
 }
 
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -31,7 +31,7 @@
 	lookUpAddresses,
 } from './directory-table.ts';
 import {sendUpdates, startHostDispatcher} from './host-dispatcher.ts';
-import {createHostCount} from './host-count.ts';
+import {createEntryHostCount} from './host-count.ts';
 import {createFleetView} from './fleet-view.ts';
 import {startLoadMeter} from './load.ts';
 import {createMessageOrder} from './message-order.ts';
@@ -126,7 +126,7 @@
 		directory = Object.keys(table.addresses).length > 0 ? table : directory;
 	};
 
-	const hostCount = createHostCount(context.now, () => countAddresses(directory));
+	const hostCount = createEntryHostCount(context.now, () => countAddresses(directory));
 	const requestShare = createRequestShare(hostCount.get, ASSUMED_ENTRY_HOSTS);
 	const allotting = startAllotmentEnforcer(context, {
 		settings: settings.allotments,
--- a/packages/wagtailroute-fleet/src/host-count.ts
+++ b/packages/wagtailroute-fleet/src/host-count.ts
@@ -9,7 +9,7 @@
 /**
 Number of entry hosts, as far as known.
 */
-export type HostCount = {
+export type EntryHostCount = {
 	/**
 	Records a number that another host reported.
 
@@ -28,7 +28,7 @@
 @param now Monotonic time in milliseconds.
 @param countOwn Returns the number of entry hosts that this host knows at present.
 */
-export function createHostCount(now: () => number, countOwn: () => number): HostCount {
+export function createEntryHostCount(now: () => number, countOwn: () => number): EntryHostCount {
 	/**
 	When each number was last reported.
 	*/
--- a/packages/wagtailroute-fleet/src/load.ts
+++ b/packages/wagtailroute-fleet/src/load.ts
@@ -3,7 +3,7 @@
 */
 import type * as utils from 'wagtailroute-utils';
 import {
-	LINK_LOAD_FACTOR,
+	LINK_LOAD_WEIGHT,
 	LOAD_DECREASE_WEIGHT,
 	LOAD_INTERVAL_MILLISECONDS,
 	MILLISECONDS_PER_SECOND,
@@ -53,7 +53,7 @@
 		const milliseconds = Math.max(1, next.at - last.at);
 		const loopLoad = (next.busy - last.busy) / milliseconds;
 		const linkLoad = (next.bytes - last.bytes) * MILLISECONDS_PER_SECOND / milliseconds / options.linkBytesPerSecond;
-		const current = Math.max(loopLoad, linkLoad * LINK_LOAD_FACTOR);
+		const current = Math.max(loopLoad, linkLoad * LINK_LOAD_WEIGHT);
 		// An increase counts at once: callers keep the directory's answer for seconds.
 		load = current > load ? current : (load * (1 - LOAD_DECREASE_WEIGHT)) + (current * LOAD_DECREASE_WEIGHT);
 		last = next;
