--- a/packages/wagtailroute-host/src/retrying.ts
+++ b/packages/wagtailroute-host/src/retrying.ts
@@ -21,11 +21,11 @@
 	let budget = retries.createRetryBudget(now());
 	return {
 		countRequest() {
-			budget = retries.countRequest(budget, {retryRatio, now: now()});
+			budget = retries.creditRequest(budget, {retryRatio, now: now()});
 		},
-		hasBudget: () => retries.hasRetry(budget),
+		hasBudget: () => retries.hasRetryToken(budget),
 		spend() {
-			budget = retries.takeRetry(budget);
+			budget = retries.spendRetryToken(budget);
 		},
 		getUsualMilliseconds,
 	};
--- a/packages/wagtailroute-lab/src/sending.ts
+++ b/packages/wagtailroute-lab/src/sending.ts
@@ -310,13 +310,13 @@
 			isShedPromise: true,
 			sent: wasSent ? 'some' : 'none',
 			attempts: this.#count,
-			attemptsMost: route.attempts,
+			maxAttempts: route.attempts,
 			earlierOutcome: this.#outcome,
 			remainingMilliseconds: this.#getRemaining(),
 			usualMilliseconds: port.retry.getUsualMilliseconds(),
 			hasBudget: true,
-			isResendOfTier: false,
-			canSendAgain: end !== 'deadline',
+			isTierRetry: false,
+			canResend: end !== 'deadline',
 		}, random);
 	}
 }
--- a/packages/wagtailroute-proxy/src/answers.ts
+++ b/packages/wagtailroute-proxy/src/answers.ts
@@ -29,7 +29,7 @@
 @param random Uniform in [0, 1); spreads `Retry-After`.
 */
 export function createProblem(failure: RequestFailure, random: () => number): Problem {
-	const meaning = retries.getRequestFailure(failure.kind);
+	const meaning = retries.getFailureDefinition(failure.kind);
 	const body = JSON.stringify({
 		type: `urn:wagtailroute:problem:${failure.kind}`,
 		title: meaning.title,
--- a/packages/wagtailroute-proxy/src/exchange.ts
+++ b/packages/wagtailroute-proxy/src/exchange.ts
@@ -109,7 +109,7 @@
 	and whose second could not be sent would be reported as not run, be resent by its caller and possibly run twice.
 	*/
 	#correctOutcome(failure: OptionalFailure): OptionalFailure {
-		const isReportedNotRun = failure !== undefined && retries.getRequestFailure(failure.kind).outcome === 'not-run';
+		const isReportedNotRun = failure !== undefined && retries.getFailureDefinition(failure.kind).outcome === 'not-run';
 		return isReportedNotRun && this.#sender.outcome !== 'not-run'
 			? failures.createRequestFailure('upstream-lost', `An earlier attempt was sent. ${failure.message}`)
 			: failure;
@@ -241,7 +241,7 @@
 
 	#finish(failure: OptionalFailure): void {
 		const {response, match, request, organisation, ports: {dialect, recordRequest, now, random}} = this.#context;
-		const failureMeaning = failure === undefined ? undefined : retries.getRequestFailure(failure.kind);
+		const failureMeaning = failure === undefined ? undefined : retries.getFailureDefinition(failure.kind);
 		if (failure !== undefined) {
 			answers.answerFailure(response, () => dialect.createProblem(failure, random));
 		}
--- a/packages/wagtailroute-proxy/src/request-sender.ts
+++ b/packages/wagtailroute-proxy/src/request-sender.ts
@@ -368,13 +368,13 @@
 			isShedPromise: dialect.isShedPromise,
 			sent: result.kind === 'not-sent' ? 'none' : 'some',
 			attempts: Math.max(1, this.#attemptCount),
-			attemptsMost: service.limits.attempts ?? retries.MAX_ATTEMPTS,
+			maxAttempts: service.limits.attempts ?? retries.MAX_ATTEMPTS,
 			earlierOutcome: this.outcome,
 			remainingMilliseconds: this.#getRemainingMilliseconds(),
 			usualMilliseconds: service.retry.getUsualMilliseconds(),
 			hasBudget: service.retry.hasBudget(),
-			isResendOfTier: request.tierRetry !== undefined,
-			canSendAgain: isAnswerable && !isExpired && bodies.isReplayable(this.#body!),
+			isTierRetry: request.tierRetry !== undefined,
+			canResend: isAnswerable && !isExpired && bodies.isReplayable(this.#body!),
 		}, random);
 		if (decision.kind === 'retry') {
 			service.retry.spend();
--- a/packages/wagtailroute-retries/src/bench/amplification.bench.ts
+++ b/packages/wagtailroute-retries/src/bench/amplification.bench.ts
@@ -1,17 +1,18 @@
 /**
-Load amplification and success rate of retries, by the share of sends that fail. Simulated time, seeded.
+Load amplification and success rate of retry policies by the rate of failing attempts. Deterministic: seeded, in simulated
+time.
 */
 import * as utils from 'wagtailroute-utils';
 import * as retries from '../index.ts';
 
 /**
-One row: a policy at a failure rate.
+Result of one policy at one failure rate.
 */
 export type AmplificationRow = {
 	readonly policy: 'none' | 'three-sends' | 'budget' | 'budget-two-tiers' | 'three-sends-two-tiers';
 	readonly failureRate: number;
 	/**
-	Sends to the backend servers over requests of callers.
+	Attempts at the backend servers divided by requests of callers.
 	*/
 	readonly amplification: number;
 	readonly successRate: number;
@@ -24,11 +25,11 @@
 const RETRY_RATIO = 0.1;
 const FAILURE_RATES = [0.01, 0.1, 0.5, 1];
 const SEED = 11;
-// A retry ratio of a tenth, and what time adds for a service with few requests.
+// 1 + the retry ratio, with a margin for the retries that are earned by time.
 const MAX_AMPLIFICATION = 1.101;
 
 /**
-Runs every policy at every failure rate.
+Measures every policy at every failure rate.
 */
 export function benchAmplification(): AmplificationRow[] {
 	const policies: readonly Policy[] = ['none', 'three-sends', 'budget', 'three-sends-two-tiers', 'budget-two-tiers'];
@@ -58,27 +59,27 @@
 
 const TIERS: Readonly<Record<Policy, (next: Send, random: utils.Random) => Send>> = {
 	none: next => next,
-	'three-sends': createPlainTier,
+	'three-sends': createThreeSendsTier,
 	budget: createBudgetTier,
-	'three-sends-two-tiers': next => createPlainTier(createPlainTier(next)),
+	'three-sends-two-tiers': next => createThreeSendsTier(createThreeSendsTier(next)),
 	'budget-two-tiers': (next, random) => createBudgetTier(createBudgetTier(next, random), random),
 };
 
-function createPlainTier(next: Send): Send {
+function createThreeSendsTier(next: Send): Send {
 	return now => next(now, false) || next(now, true) || next(now, true);
 }
 
 function createBudgetTier(next: Send, random: utils.Random): Send {
 	let budget = retries.createRetryBudget(0);
 	return (now, isResend) => {
-		budget = isResend ? budget : retries.countRequest(budget, {retryRatio: RETRY_RATIO, now});
+		budget = isResend ? budget : retries.creditRequest(budget, {retryRatio: RETRY_RATIO, now});
 		for (let attempts = 1; ; attempts++) {
 			if (next(now, isResend || attempts > 1)) {
 				return true;
 			}
 
 			const decision = retries.decideRetry({
-				attemptsMost: retries.MAX_ATTEMPTS,
+				maxAttempts: retries.MAX_ATTEMPTS,
 				requestClass: 'read',
 				isKeyed: false,
 				failure: 'upstream-lost',
@@ -87,15 +88,15 @@
 				earlierOutcome: 'not-run',
 				remainingMilliseconds: 1000,
 				usualMilliseconds: 10,
-				hasBudget: retries.hasRetry(budget),
-				isResendOfTier: isResend,
-				canSendAgain: true,
+				hasBudget: retries.hasRetryToken(budget),
+				isTierRetry: isResend,
+				canResend: true,
 			}, random);
 			if (decision.kind === 'give-up') {
 				return false;
 			}
 
-			budget = retries.takeRetry(budget);
+			budget = retries.spendRetryToken(budget);
 		}
 	};
 }
@@ -111,8 +112,9 @@
 	const rows = benchAmplification();
 	const getRow = (policy: Policy, failureRate: number) =>
 		rows.find(row => row.policy === policy && row.failureRate === failureRate)!;
-	const chosen = rows.filter(row => row.policy === 'budget');
-	const isHelping = getRow('budget', 0.1).successRate > 1 - (0.2 * (1 - getRow('none', 0.1).successRate));
+	const budgetRows = rows.filter(row => row.policy === 'budget');
+	// Retries must save four fifths of the failures when a tenth of the attempts fail.
+	const isEffective = getRow('budget', 0.1).successRate > 1 - (0.2 * (1 - getRow('none', 0.1).successRate));
 	return {
 		title: 'Load amplification and success of retries',
 		rows: rows.map(row => ({
@@ -122,10 +124,10 @@
 			'requests answered': Number(row.successRate.toFixed(4)),
 		})),
 		broken: [
-			...chosen.filter(row => row.amplification > MAX_AMPLIFICATION)
-				.map(row => `${row.amplification.toFixed(4)} sends a request at ${row.failureRate} failing, the bound is ${MAX_AMPLIFICATION}.`),
-			...isHelping ? [] : ['Retries at 0.1 failing save less than four fifths of the failures.'],
-			...getRow('three-sends', 1).amplification > 2 ? [] : ['The policy without a budget amplifies no more: the load does not show the fault.'],
+			...budgetRows.filter(row => row.amplification > MAX_AMPLIFICATION)
+				.map(row => `The policy with a budget makes ${row.amplification.toFixed(4)} attempts per request at a failure rate of ${row.failureRate}, the bound is ${MAX_AMPLIFICATION}.`),
+			...isEffective ? [] : ['Retries save less than four fifths of the failures at a failure rate of 0.1.'],
+			...getRow('three-sends', 1).amplification > 2 ? [] : ['Three attempts without a budget amplify the load by no more than 2: the bench does not reproduce the retry storm.'],
 		],
 	};
 }
--- a/packages/wagtailroute-retries/src/budget.ts
+++ b/packages/wagtailroute-retries/src/budget.ts
@@ -1,18 +1,18 @@
 /**
-Retry budget of one service on one host: a token bucket filled by requests.
+Retry budget of one service on one host: a token bucket that is filled by requests.
 
-What goes wrong without it: upstreams fail under load, every failed request is sent again, and the added load keeps them
-failing. One would notice sends growing as a multiple of requests. Here each request adds `retryRatio` of a retry, so that
-sends stay within 1 + `retryRatio` times the requests however many fail. A service with few requests saves up by time.
+It prevents retry storms: when upstreams fail under load and every failed request is sent again, the added load keeps them
+failing, and attempts grow to a multiple of the requests. Each request adds `retryRatio` tokens, which limits attempts to
+1 + `retryRatio` times the requests however many fail. A service with few requests also earns tokens by time.
 */
-import {BUDGET_WINDOW_REQUESTS, FLOOR_RETRIES_PER_SECOND, MIN_BUDGET_CAPACITY} from './constants.ts';
+import {BUDGET_WINDOW_REQUESTS, MIN_RETRIES_PER_SECOND, MIN_BUDGET_CAPACITY} from './constants.ts';
 
 /**
-A budget. Immutable.
+State of a budget. Immutable.
 */
 export type RetryBudget = {
 	/**
-	Retries that may be made now; a whole one is needed.
+	Retries that are available now; a retry needs a whole token.
 	*/
 	readonly tokens: number;
 	/**
@@ -31,30 +31,30 @@
 }
 
 /**
-Adds what a new request of a caller allows. Resends are not counted: they would pay for further ones.
+Adds the tokens that a new request of a caller earns. Must not be called for retries: they would earn further retries.
 */
-export function countRequest(budget: RetryBudget, {retryRatio, now}: {
+export function creditRequest(budget: RetryBudget, {retryRatio, now}: {
 	readonly retryRatio: number;
 	readonly now: number;
 }): RetryBudget {
 	const elapsed = Math.max(0, now - budget.filledAt);
-	const saved = elapsed * FLOOR_RETRIES_PER_SECOND / MILLISECONDS_PER_SECOND;
-	// A ratio of 0 turns retries off, the saved ones too.
-	const earned = retryRatio > 0 ? Math.max(retryRatio, saved) : 0;
+	const earnedByTime = elapsed * MIN_RETRIES_PER_SECOND / MILLISECONDS_PER_SECOND;
+	// A ratio of 0 turns retries off, including those earned by time.
+	const earned = retryRatio > 0 ? Math.max(retryRatio, earnedByTime) : 0;
 	const capacity = Math.max(MIN_BUDGET_CAPACITY, retryRatio * BUDGET_WINDOW_REQUESTS);
 	return {tokens: Math.min(capacity, budget.tokens + earned), filledAt: Math.max(budget.filledAt, now)};
 }
 
 /**
-Says whether a retry or a hedge may be made.
+Returns whether the budget allows a retry or a hedge.
 */
-export function hasRetry(budget: RetryBudget): boolean {
+export function hasRetryToken(budget: RetryBudget): boolean {
 	return budget.tokens >= 1;
 }
 
 /**
-Takes one retry.
+Removes the token of one retry or hedge.
 */
-export function takeRetry(budget: RetryBudget): RetryBudget {
+export function spendRetryToken(budget: RetryBudget): RetryBudget {
 	return {...budget, tokens: budget.tokens - 1};
 }
--- a/packages/wagtailroute-retries/src/constants.ts
+++ b/packages/wagtailroute-retries/src/constants.ts
@@ -3,57 +3,57 @@
 */
 
 /**
-Names the tier's own send on a request that it sends again: `Wagtailroute-Retry: 1` for the first resend. A tier that gets
-it does not retry on its own.
+Request header that marks a retry and holds its number: `Wagtailroute-Retry: 1` for the first one. A tier that receives
+it does not retry on its own, so that retries of several tiers do not multiply.
 */
 export const RETRY_HEADER = 'wagtailroute-retry';
 
 /**
-Sends of one request at most, the first one and hedges included.
+Maximum attempts of one request, including the first one and hedges.
 */
 export const MAX_ATTEMPTS = 3;
 
 /**
-Retries per second that a service may save up for however few its requests are.
+Rate at which a service earns retries however few requests it receives.
 */
-export const FLOOR_RETRIES_PER_SECOND = 0.1;
+export const MIN_RETRIES_PER_SECOND = 0.1;
 
 /**
-Requests whose share of retries may be saved up.
+Number of requests whose retries the budget can hold: its capacity is this times the retry ratio.
 */
 export const BUDGET_WINDOW_REQUESTS = 100;
 
 /**
-Retries that may be saved up at least.
+Minimum capacity of the budget, in retries.
 */
 export const MIN_BUDGET_CAPACITY = 1;
 
 /**
-Upper bound of the delay before the first retry, in ms; it doubles for each further one.
+Upper bound of the delay before the first retry; it doubles with each further retry.
 */
 export const BASE_BACKOFF_MILLISECONDS = 10;
 
 /**
-Upper bound of any delay before a retry, in ms.
+Upper bound of the delay before any retry.
 */
 export const MAX_BACKOFF_MILLISECONDS = 250;
 
 /**
-Least advice in `Retry-After`, in seconds.
+Minimum value of `Retry-After`.
 */
 export const MIN_RETRY_AFTER_SECONDS = 1;
 
 /**
-Most advice in `Retry-After`, in seconds.
+Maximum value of `Retry-After`, including the random spread.
 */
 export const MAX_RETRY_AFTER_SECONDS = 30;
 
 /**
-Quantile of a service's latency after which a read is hedged.
+A read is hedged when it takes longer than this quantile of its service's latency.
 */
 export const HEDGE_QUANTILE = 0.95;
 
 /**
-Samples before the quantile is trusted.
+Minimum number of samples for an estimate of a quantile.
 */
 export const MIN_QUANTILE_SAMPLES = 50;
--- a/packages/wagtailroute-retries/src/decisions.ts
+++ b/packages/wagtailroute-retries/src/decisions.ts
@@ -1,5 +1,5 @@
 /**
-Whether a failed request is sent to another upstream, and what its caller is told when not.
+Decides whether a failed attempt is retried at another upstream, and the delays of retries by the proxy and by callers.
 */
 import type * as core from 'wagtailroute-core';
 import {
@@ -10,63 +10,63 @@
 } from './constants.ts';
 import {
 	type BytesSent,
-	getRequestFailure,
-	getSendOutcome,
+	getFailureDefinition,
+	getAttemptOutcome,
 	mergeOutcomes,
 	type RequestFailureKind,
 } from './request-failures.ts';
 
 /**
-What is known when a send has failed.
+What is known about a request when one of its attempts has failed.
 */
-export type FailedSend = {
+export type FailedAttempt = {
 	readonly requestClass: core.RequestClass;
 	/**
-	Whether the request holds the record of an idempotency key.
+	Whether the request holds the claim of an idempotency key.
 	*/
 	readonly isKeyed: boolean;
 	readonly failure: RequestFailureKind;
 	/**
-	Bytes of the request handed to the upstream's connection in this send.
+	Whether bytes of the request were written to the upstream's connection in this attempt.
 	*/
 	readonly sent: BytesSent;
 	/**
-	Sends made, this one included.
+	Attempts made, including this one.
 	*/
 	readonly attempts: number;
 	/**
-	Sends of one request at most.
+	Maximum attempts of one request.
 	*/
-	readonly attemptsMost: number;
+	readonly maxAttempts: number;
 	/**
-	Upstreams promise that a request they shed never runs.
+	Whether upstreams guarantee that a request they shed never runs. False when absent.
 	*/
 	readonly isShedPromise?: boolean;
 	/**
-	Merged outcome of the sends before this one, `not-run` when there were none.
+	Merged outcome of the attempts before this one; `not-run` when there were none.
 	*/
 	readonly earlierOutcome: core.Outcome;
 	/**
-	Time left to the caller's deadline, in ms.
+	Time until the caller's deadline.
 	*/
 	readonly remainingMilliseconds: number;
 	/**
-	Time that an answer usually takes, in ms.
+	Usual latency of an answer.
 	*/
 	readonly usualMilliseconds: number;
 	readonly hasBudget: boolean;
 	/**
-	Whether the request came marked as a resend by another tier.
+	Whether the request arrived as a retry made by another tier.
 	*/
-	readonly isResendOfTier: boolean;
+	readonly isTierRetry: boolean;
 	/**
-	Whether the body is still at hand, whole, and any claim may still be used.
+	Whether the whole body is still buffered and any idempotency claim is still valid.
 	*/
-	readonly canSendAgain: boolean;
+	readonly canResend: boolean;
 };
 
 /**
-Why a request is not sent again.
+Why a request is not retried.
 */
 export type GiveUpReason =
 	| 'not-retriable'
@@ -78,55 +78,56 @@
 	| 'budget';
 
 /**
-The decision. `outcome` is that of all sends so far; on `retry` it is carried on as `earlierOutcome`.
+The decision. `outcome` is the merged outcome of all attempts so far; after a `retry` it is the `earlierOutcome` of the
+next attempt.
 */
 export type RetryDecision =
 	| {readonly kind: 'retry'; readonly delayMilliseconds: number; readonly outcome: core.Outcome}
 	| {readonly kind: 'give-up'; readonly reason: GiveUpReason; readonly outcome: core.Outcome};
 
-type Check = readonly [reason: GiveUpReason, applies: (send: FailedSend, delay: number) => boolean];
+type GiveUpRule = readonly [reason: GiveUpReason, applies: (attempt: FailedAttempt, delay: number) => boolean];
 
-// In the order in which they are named to operators: what must not be sent again comes before what may not.
-const CHECKS: readonly Check[] = [
-	['not-retriable', ({failure}) => !getRequestFailure(failure).isRetriable],
-	['may-have-run', send => !IS_SAFE[send.requestClass](send)],
-	['cannot-send-again', ({canSendAgain}) => !canSendAgain],
-	['attempts-used', ({attempts, attemptsMost}) => attempts >= attemptsMost],
-	['tier-retries', ({isResendOfTier}) => isResendOfTier],
+// The first rule that applies gives the reason shown to operators. Rules of safety come before limits.
+const GIVE_UP_RULES: readonly GiveUpRule[] = [
+	['not-retriable', ({failure}) => !getFailureDefinition(failure).isRetriable],
+	['may-have-run', attempt => !IS_SAFE_TO_RETRY[attempt.requestClass](attempt)],
+	['cannot-send-again', ({canResend}) => !canResend],
+	['attempts-used', ({attempts, maxAttempts}) => attempts >= maxAttempts],
+	['tier-retries', ({isTierRetry}) => isTierRetry],
 	['deadline', ({remainingMilliseconds, usualMilliseconds}, delay) => remainingMilliseconds < delay + usualMilliseconds],
 	['budget', ({hasBudget}) => !hasBudget],
 ];
 
-// A non-idempotent request without a key is not sent a second time when the upstream says that it did not run it, unless
-// upstreams promise that: no record would stop it from running twice. With no byte sent the next send is the first.
-const IS_SAFE: Readonly<Record<core.RequestClass, (send: FailedSend) => boolean>> = {
+// A non-idempotent request without a key is not retried after an upstream reports that it did not run it, unless upstreams
+// guarantee this: no idempotency record would prevent a second execution. When no byte was sent, the retry is safe.
+const IS_SAFE_TO_RETRY: Readonly<Record<core.RequestClass, (attempt: FailedAttempt) => boolean>> = {
 	read: () => true,
 	idempotent: () => true,
-	'non-idempotent': isSurelyNotRun,
-	upload: isSurelyNotRun,
+	'non-idempotent': isNonIdempotentRetrySafe,
+	upload: isNonIdempotentRetrySafe,
 };
 
-function isSurelyNotRun({failure, sent, isKeyed, isShedPromise = false, earlierOutcome}: FailedSend): boolean {
+function isNonIdempotentRetrySafe({failure, sent, isKeyed, isShedPromise = false, earlierOutcome}: FailedAttempt): boolean {
 	return earlierOutcome === 'not-run'
-		&& getSendOutcome(failure, sent) === 'not-run'
+		&& getAttemptOutcome(failure, sent) === 'not-run'
 		&& (isKeyed || isShedPromise || sent === 'none');
 }
 
 /**
-Decides what follows a failed send.
+Decides whether a failed attempt is retried, and after which delay.
 */
-export function decideRetry(send: FailedSend, random: () => number): RetryDecision {
-	const outcome = mergeOutcomes(send.earlierOutcome, getSendOutcome(send.failure, send.sent));
-	const delayMilliseconds = getBackoff(send.attempts, random);
-	const check = CHECKS.find(([, applies]) => applies(send, delayMilliseconds));
-	return check === undefined
+export function decideRetry(attempt: FailedAttempt, random: () => number): RetryDecision {
+	const outcome = mergeOutcomes(attempt.earlierOutcome, getAttemptOutcome(attempt.failure, attempt.sent));
+	const delayMilliseconds = getBackoff(attempt.attempts, random);
+	const rule = GIVE_UP_RULES.find(([, applies]) => applies(attempt, delayMilliseconds));
+	return rule === undefined
 		? {kind: 'retry', delayMilliseconds, outcome}
-		: {kind: 'give-up', reason: check[0], outcome};
+		: {kind: 'give-up', reason: rule[0], outcome};
 }
 
 /**
-Returns the delay before a retry in ms: uniform below a bound that doubles with each send, so that hosts which saw the
-same failure do not send again at the same moment.
+Returns the delay before a retry, in milliseconds: exponential backoff with full jitter, so that hosts which saw the same
+failure do not retry at the same moment.
 */
 export function getBackoff(attempts: number, random: () => number): number {
 	const bound = Math.min(MAX_BACKOFF_MILLISECONDS, BASE_BACKOFF_MILLISECONDS * (2 ** (attempts - 1)));
@@ -134,11 +135,12 @@
 }
 
 /**
-Returns the advice of `Retry-After` in whole seconds: when the cause may be over, spread so that callers do not come back
-together. `expectedMilliseconds` is when a resend may be served, 0 when nothing is known.
+Returns the value of `Retry-After` in whole seconds, with random spread so that callers do not all retry together.
+
+@param expectedMilliseconds Time after which a retry may be served; 0 when unknown.
 */
 export function getRetryAfterSeconds(expectedMilliseconds: number, random: () => number): number {
-	const expected = Math.ceil(expectedMilliseconds / 1000);
-	const least = Math.min(MAX_RETRY_AFTER_SECONDS / 2, Math.max(MIN_RETRY_AFTER_SECONDS, expected));
-	return least + Math.floor(random() * (least + 1));
+	const expectedSeconds = Math.ceil(expectedMilliseconds / 1000);
+	const minSeconds = Math.min(MAX_RETRY_AFTER_SECONDS / 2, Math.max(MIN_RETRY_AFTER_SECONDS, expectedSeconds));
+	return minSeconds + Math.floor(random() * (minSeconds + 1));
 }
--- a/packages/wagtailroute-retries/src/index.ts
+++ b/packages/wagtailroute-retries/src/index.ts
@@ -1,17 +1,17 @@
 /**
-Retries and hedges under a budget, and the outcome of every failure of a request.
+Retry decisions, retry budget, hedging of reads, and the table of request failures with their outcomes.
 */
 export {
-	countRequest,
+	creditRequest,
 	createRetryBudget,
-	hasRetry,
+	hasRetryToken,
 	type RetryBudget,
-	takeRetry,
+	spendRetryToken,
 } from './budget.ts';
 export {MAX_ATTEMPTS, RETRY_HEADER} from './constants.ts';
 export {
 	decideRetry,
-	type FailedSend,
+	type FailedAttempt,
 	getBackoff,
 	getRetryAfterSeconds,
 	type GiveUpReason,
@@ -26,11 +26,11 @@
 } from './hedging.ts';
 export {
 	type BytesSent,
-	getRequestFailure,
-	getSendOutcome,
+	getAttemptOutcome,
+	getFailureDefinition,
 	mergeOutcomes,
 	REQUEST_FAILURES,
-	type RequestFailureMeaning,
+	type RequestFailureDefinition,
 	type RequestFailureKind,
 	type RequestStage,
 } from './request-failures.ts';
