--- a/packages/wagtailroute-fleet/src/__tests__/unit/held-slots.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/held-slots.test.ts
@@ -16,7 +16,7 @@
 	const first = fixture.createFakeLink(() => undefined);
 	const second = fixture.createFakeLink(() => undefined);
 	const host = {id: 'c', address: {ip: '10.0.0.2', port: 1}};
-	const heldSlots = createHeldSlots(() => 500, {advertisements: {list: () => []}, recentUses: {collectUnreported: () => undefined}, countEntryHosts: () => 3});
+	const heldSlots = createHeldSlots(() => 500, {advertisements: {list: () => []}, recentUsage: {collectUnreported: () => undefined}, countEntryHosts: () => 3});
 	heldSlots.add({request: REQUEST, upstream: 'u', grantedAt: 100});
 	heldSlots.add({request: {...REQUEST, id: 'h:2', service: 'media'}, upstream: 'v', grantedAt: 100});
 	for (const link of [first, first, second]) {
--- a/packages/wagtailroute-fleet/src/dispatch-client.ts
+++ b/packages/wagtailroute-fleet/src/dispatch-client.ts
@@ -17,26 +17,26 @@
 } from './constants.ts';
 import {type Advertisements, type Closure, createAdvertisements} from './advertisements.ts';
 import {
-	type RouteReference,
-	createSlotRequestId,
 	createOrganisationNumbering,
 	createRouteNumbering,
-	getRouteParameters,
-	getSlotRequestNumber,
-	type NumberedOrganisation,
+	createSlotRequestId,
 	decodeAnswer,
-	type NumberedRoute,
 	type EncodedAdvertisements,
 	type EncodedAnswer,
+	type EncodedEnd,
 	type EncodedSlotRequest,
 	encodeSlotRequest,
-	type EncodedEnd,
+	getRouteParameters,
+	getSlotRequestNumber,
+	type NumberedOrganisation,
+	type NumberedRoute,
+	type RouteReference,
 } from './slot-request-encoding.ts';
 import type {FleetContext} from './context.ts';
 import type {LinkedHost} from './control-links.ts';
 import {createDispatcherFinder, type DispatcherFinder} from './dispatcher-finder.ts';
 import type {HostDispatcher} from './host-dispatcher.ts';
-import {type SlotAnswer, type SlotDecision, METHODS} from './messages.ts';
+import {METHODS, type SlotAnswer, type SlotDecision} from './messages.ts';
 import {createHeldSlots, type HeldSlot, type HeldSlots} from './held-slots.ts';
 import type {EntrySettings} from './settings.ts';
 import {createRecentUsage, type RecentUsage} from './recent-usage.ts';
@@ -154,10 +154,10 @@
 	readonly #pending = new Map<dispatch.SlotRequestId, PendingSlotRequest>();
 	readonly #heldSlots: HeldSlots;
 	readonly #advertisements: Advertisements;
-	readonly #recentUses: RecentUsage;
+	readonly #recentUsage: RecentUsage;
 	readonly #finder: DispatcherFinder;
-	readonly #routeNumbers = createRouteNumbering();
-	readonly #organisationNumbers = createOrganisationNumbering();
+	readonly #routeNumbering = createRouteNumbering();
+	readonly #organisationNumbering = createOrganisationNumbering();
 	readonly #lastRequestAt = new WeakMap<link.Link, number>();
 	#lastRequestNumber = 0;
 	#isProbing = false;
@@ -166,9 +166,9 @@
 		this.#context = context;
 		this.#options = options;
 		this.#advertisements = createAdvertisements(options.settings.hostId, context.now);
-		this.#recentUses = createRecentUsage(context.now, options.settings.allotments.windowMilliseconds);
+		this.#recentUsage = createRecentUsage(context.now, options.settings.allotments.windowMilliseconds);
 		this.#heldSlots = createHeldSlots(context.now, {
-			advertisements: this.#advertisements, recentUses: this.#recentUses, countEntryHosts: options.countEntryHosts,
+			advertisements: this.#advertisements, recentUsage: this.#recentUsage, countEntryHosts: options.countEntryHosts,
 		});
 		this.#finder = createDispatcherFinder(context, {
 			hostId: options.settings.hostId,
@@ -235,9 +235,9 @@
 
 	handleAnswer(requestNumber: number, answer: EncodedAnswer): void {
 		const pending = this.#pending.get(createSlotRequestId(this.#options.settings.hostId, requestNumber));
-		const restored = decodeAnswer(answer);
-		if (pending !== undefined && (restored.kind === 'grant' || restored.kind === 'refuse')) {
-			this.#settle(pending, restored);
+		const decoded = decodeAnswer(answer);
+		if (pending !== undefined && (decoded.kind === 'grant' || decoded.kind === 'refuse')) {
+			this.#settle(pending, decoded);
 		}
 	}
 
@@ -262,7 +262,7 @@
 
 	#registerRoute(dispatcherLink: link.Link, request: dispatch.SlotRequest): RouteReference {
 		const route = getRouteParameters(request);
-		const {number, isNew} = this.#routeNumbers.assign(dispatcherLink, route);
+		const {number, isNew} = this.#routeNumbering.assign(dispatcherLink, route);
 		if (isNew) {
 			dispatcherLink.notify(METHODS.route, [number, route] satisfies NumberedRoute);
 		}
@@ -271,7 +271,7 @@
 	}
 
 	#registerOrganisation(dispatcherLink: link.Link, organisation: core.Organisation): number {
-		const {number, isNew} = this.#organisationNumbers.assign(dispatcherLink, organisation);
+		const {number, isNew} = this.#organisationNumbering.assign(dispatcherLink, organisation);
 		if (isNew) {
 			dispatcherLink.notify(METHODS.organisation, [number, organisation] satisfies NumberedOrganisation);
 		}
@@ -396,7 +396,7 @@
 		this.#context.metrics.count('asks_own', {reason});
 		this.#context.logs('dispatch').warn('No other dispatcher is available; the host requests the slot from its own.', {id: request.id, service: request.service, reason});
 		this.#options.ownDispatcher.applyUpdates({service: request.service, updates: this.#advertisements.list(request.service)});
-		const uses = this.#recentUses.collectUnreported(this.#options.ownDispatcher);
+		const uses = this.#recentUsage.collectUnreported(this.#options.ownDispatcher);
 		if (uses !== undefined) {
 			this.#options.ownDispatcher.applyPastUsage(this.#options.settings.hostId, uses);
 		}
@@ -443,7 +443,7 @@
 	#recordUse({request, dispatcher}: HeldSlot): void {
 		const {service, organisation} = request;
 		if (organisation !== undefined && dispatch.isFirstAttempt(request)) {
-			this.#recentUses.record({service, organisation, admittedBy: dispatcher?.link ?? this.#options.ownDispatcher});
+			this.#recentUsage.record({service, organisation, admittedBy: dispatcher?.link ?? this.#options.ownDispatcher});
 		}
 	}
 
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -77,7 +77,7 @@
 		failureDomain: settings.failureDomain,
 		getControlHosts: () => controlLinks.getOpen(),
 		onGeneration({organisations}) {
-			allotting.setOrganisations(organisations);
+			allotmentEnforcer.setOrganisations(organisations);
 			reportState();
 			startupGate.check();
 		},
@@ -126,9 +126,9 @@
 		directory = Object.keys(table.addresses).length > 0 ? table : directory;
 	};
 
-	const hostCount = createHostCount(context.now, () => countAddresses(directory));
-	const requestShare = createRequestShare(hostCount.get, ASSUMED_ENTRY_HOSTS);
-	const allotting = startAllotmentEnforcer(context, {
+	const entryHostCount = createHostCount(context.now, () => countAddresses(directory));
+	const requestShare = createRequestShare(entryHostCount.get, ASSUMED_ENTRY_HOSTS);
+	const allotmentEnforcer = startAllotmentEnforcer(context, {
 		settings: settings.allotments,
 		requestShare,
 		isReceivingReports: false,
@@ -137,25 +137,25 @@
 			standbys.notifyAll(method, parameters);
 		},
 	});
-	const askers = createRequestingHosts();
+	const requestingHosts = createRequestingHosts();
 	const ownDispatcher = startHostDispatcher(context, {
 		settings: {...settings, budget: {...settings.budget, extra: STANDBY_EXTRA_RESENDS}},
-		allotting,
+		allotting: allotmentEnforcer,
 		requestShare,
 		isReceivingUpdates: false,
-		onEntryHostCount: hostCount.record,
+		onEntryHostCount: entryHostCount.record,
 		listCandidates: fleetView.listCandidates,
 		listStandbys: () => [],
 		notify(host, method, parameters) {
 			if (host !== settings.hostId) {
-				askers.find(host)?.notify(method, parameters);
+				requestingHosts.find(host)?.notify(method, parameters);
 			} else if (method === messages.METHODS.answer) {
 				dispatchClient.handleAnswer(...parameters as [number, EncodedAnswer]);
 			}
 		},
 		notifyControlHosts(method, parameters) {
 			// Without requesting hosts, what this host holds against an upstream may be a fault of its own network path.
-			if (askers.count() > 0) {
+			if (requestingHosts.count() > 0) {
 				controlLinks.notifyAll(method, parameters);
 			}
 		},
@@ -178,16 +178,16 @@
 			dispatchClient.handleAnswer(requestNumber, answer);
 		},
 		[messages.METHODS.updates]: ownDispatcher.applyUpdates,
-		[messages.METHODS.use]: allotting.applyReport,
+		[messages.METHODS.use]: allotmentEnforcer.applyReport,
 		[messages.METHODS.believe]: ownDispatcher.applyBelief,
 		[messages.METHODS.beliefNews]: ownDispatcher.applyBeliefs,
 		[messages.METHODS.standbys](hosts: readonly StandbyHost[]) {
 			standbys.setHosts(hosts);
 		},
 		[messages.METHODS.directory]: applyDirectory,
-		...createSlotRequestMethods(ownDispatcher, askers.findByLink),
+		...createSlotRequestMethods(ownDispatcher, requestingHosts.findByLink),
 		[messages.METHODS.hello]({id, failureDomain}: messages.Hello, from: link.Link) {
-			askers.add({id, failureDomain}, from);
+			requestingHosts.add({id, failureDomain}, from);
 			return {
 				failureDomain: settings.failureDomain, controls: [], standbys: [], directory: EMPTY_DIRECTORY_TABLE, version: 0,
 			} satisfies messages.Welcome;
@@ -209,7 +209,7 @@
 			applyDirectory(directoryTable);
 			// The state may have changed since the hello, so it is sent again.
 			control.link.notify(messages.METHODS.state, getState());
-			if (askers.count() > 0) {
+			if (requestingHosts.count() > 0) {
 				// This host has dispatched for others while the control host was away.
 				control.link.notify(messages.METHODS.beliefs, ownDispatcher.listBeliefs());
 				sendUpdates(control.link, ownDispatcher);
@@ -234,7 +234,7 @@
 	});
 	const dispatchClient = createDispatchClient(context, {
 		settings,
-		countEntryHosts: hostCount.get,
+		countEntryHosts: entryHostCount.get,
 		getControlHosts: controlLinks.getOpen,
 		standbys,
 		ownDispatcher,
@@ -247,7 +247,7 @@
 		order: createMessageOrder(context),
 		now: context.now,
 		onClose(closed) {
-			askers.remove(closed);
+			requestingHosts.remove(closed);
 		},
 		onDefect(error) {
 			log.error('A message from another host could not be handled.', {error: error.stack});
--- a/packages/wagtailroute-fleet/src/held-slots.ts
+++ b/packages/wagtailroute-fleet/src/held-slots.ts
@@ -53,7 +53,7 @@
 */
 export type HeldSlotsOptions = {
 	readonly advertisements: Pick<Advertisements, 'list'>;
-	readonly recentUses: Pick<RecentUsage, 'collectUnreported'>;
+	readonly recentUsage: Pick<RecentUsage, 'collectUnreported'>;
 	/**
 	Returns how many entry hosts serve callers, 0 when it is not known.
 	*/
@@ -65,7 +65,7 @@
 
 @param now Monotonic time in milliseconds.
 */
-export function createHeldSlots(now: () => number, {advertisements, recentUses, countEntryHosts}: HeldSlotsOptions): HeldSlots {
+export function createHeldSlots(now: () => number, {advertisements, recentUsage, countEntryHosts}: HeldSlotsOptions): HeldSlots {
 	const slots = new Map<dispatch.SlotRequestId, HeldSlot>();
 	const lastDispatcherLinks = new Map<core.ServiceName, link.Link>();
 
@@ -98,7 +98,7 @@
 			lastDispatcherLinks.set(service, dispatcher.link);
 			const held = slots.values().filter(({request}) => request.service === service).map(slot => toReport(slot)).toArray();
 			const updates = advertisements.list(service);
-			const uses = recentUses.collectUnreported(dispatcher.link);
+			const uses = recentUsage.collectUnreported(dispatcher.link);
 			dispatcher.link.notify(METHODS.hold, {
 				service,
 				places: held,
--- a/packages/wagtailroute-fleet/src/routing.ts
+++ b/packages/wagtailroute-fleet/src/routing.ts
@@ -57,7 +57,7 @@
 	const {fleetView} = options;
 	const chooseShare = generations.createShareChooser(context.random);
 	const usualTimes = createUsualTimes();
-	const callerTimes = createCallerDeadlines();
+	const callerDeadlines = createCallerDeadlines();
 
 	return ({host, path, method, timeoutMilliseconds, key}) => {
 		const generation = fleetView.getGeneration();
@@ -77,7 +77,7 @@
 
 		const service = fleetView.findService(chooseShare(route))!;
 		const routeContext: RouteContext = {
-			route, service, bodyBytes: generation.limits.bodyBytes, waitedMilliseconds: callerTimes.estimateWaited(route, timeoutMilliseconds), caller,
+			route, service, bodyBytes: generation.limits.bodyBytes, waitedMilliseconds: callerDeadlines.estimateWaited(route, timeoutMilliseconds), caller,
 		};
 		return {
 			match: {service: service.name, route: {class: route.class}},
