--- a/packages/wagtailroute-host/src/grants.ts
+++ b/packages/wagtailroute-host/src/grants.ts
@@ -85,13 +85,13 @@
 async function ask<Name extends records.CommandName>(
 	context: HostContext,
 	propose: typeof proposeCommand,
-	{name, payload}: {readonly name: Name; readonly payload: records.Commands[Name]},
-): Promise<records.Results[Name] | undefined> {
+	{name, payload}: {readonly name: Name; readonly payload: records.CommandPayloads[Name]},
+): Promise<records.CommandResults[Name] | undefined> {
 	const proposed = await propose(context, 'records', {name, stampedAt: 0, payload}, {
 		timeoutMilliseconds: GRANT_MILLISECONDS,
 		isRepeatable: true,
 	});
-	return proposed.isOk() ? proposed.value as records.Results[Name] : undefined;
+	return proposed.isOk() ? proposed.value as records.CommandResults[Name] : undefined;
 }
 
 function parseFloor(floor: catalogue.Entry['healthyFloor']): records.HealthyFloor {
--- a/packages/wagtailroute-host/src/guarding.ts
+++ b/packages/wagtailroute-host/src/guarding.ts
@@ -96,7 +96,7 @@
 			}
 		}
 
-		const payload: records.Commands['report-crash'] = {
+		const payload: records.CommandPayloads['report-crash'] = {
 			service, upstream: target.id, incarnation, inFlight,
 		};
 		await propose(context, 'records', {name: 'report-crash', stampedAt: 0, payload}, {
@@ -162,14 +162,14 @@
 	const attempt = crypto.randomUUID();
 	const askedAt = context.now();
 	const end = (ending: records.TrialEnding['ending']) => {
-		const payload: records.Commands['end-trial'] = {service, attempt, ending};
+		const payload: records.CommandPayloads['end-trial'] = {service, attempt, ending};
 		void propose(context, 'records', {name: 'end-trial', stampedAt: 0, payload}, {
 			timeoutMilliseconds: SETTLE_MILLISECONDS,
 			isRepeatable: true,
 		});
 	};
 
-	const payload: records.Commands['request-trial'] = {...request, attempt};
+	const payload: records.CommandPayloads['request-trial'] = {...request, attempt};
 	const proposed = await propose(context, 'records', {name: 'request-trial', stampedAt: 0, payload}, {
 		timeoutMilliseconds: Math.min(TRIAL_MILLISECONDS, request.budgetMilliseconds),
 		isRepeatable: true,
@@ -192,7 +192,7 @@
 	});
 }
 
-type TrialResult = records.Results['request-trial'];
+type TrialResult = records.CommandResults['request-trial'];
 
 type Granting<Kind extends TrialResult['kind']> = {
 	readonly result: Extract<TrialResult, {readonly kind: Kind}>;
--- a/packages/wagtailroute-host/src/lost-hosts.ts
+++ b/packages/wagtailroute-host/src/lost-hosts.ts
@@ -20,7 +20,7 @@
 Finds lost hosts; asked again and again by the leader.
 */
 export type LossWatch = {
-	readonly find: (members: ReadonlyMap<core.HostId, Member>, holders: readonly records.Holder[]) => readonly LossCommand[];
+	readonly find: (members: ReadonlyMap<core.HostId, Member>, holders: readonly records.RecordHolder[]) => readonly LossCommand[];
 };
 
 /**
@@ -59,7 +59,7 @@
 /**
 A host that the leader has not heard of says nothing: the leader itself may have just started.
 */
-function isLost(member: Member | undefined, holder: records.Holder): boolean {
+function isLost(member: Member | undefined, holder: records.RecordHolder): boolean {
 	return member !== undefined
 		&& (member.state === 'dead' || member.state === 'left' || member.boot !== holder.bootId);
 }
@@ -71,6 +71,6 @@
 	return member === undefined || member.state === 'left';
 }
 
-function getName({host, bootId}: records.Holder): string {
+function getName({host, bootId}: records.RecordHolder): string {
 	return JSON.stringify([host, bootId]);
 }
--- a/packages/wagtailroute-host/src/quarantine-news.ts
+++ b/packages/wagtailroute-host/src/quarantine-news.ts
@@ -11,7 +11,7 @@
 */
 export type SuspectNews = {
 	readonly fingerprint: string;
-	readonly standing: records.Standing;
+	readonly standing: records.QuarantineStatus;
 	/**
 	How long it holds, in milliseconds.
 	*/
--- a/packages/wagtailroute-host/src/sharing.ts
+++ b/packages/wagtailroute-host/src/sharing.ts
@@ -67,7 +67,7 @@
 type Question = {
 	readonly service: OpenService;
 	readonly limitName: records.LimitName;
-	readonly request: records.Commands['renew-shares']['requests'][number];
+	readonly request: records.CommandPayloads['renew-shares']['requests'][number];
 };
 
 const LIMIT_NAMES: readonly records.LimitName[] = ['concurrency', 'ratePerSecond'];
@@ -94,14 +94,14 @@
 
 		isAsking = true;
 		const askedAt = now();
-		const payload: records.Commands['renew-shares'] = {requests: questions.map(({request}) => request)};
+		const payload: records.CommandPayloads['renew-shares'] = {requests: questions.map(({request}) => request)};
 		// A question that was asked twice has two answers, of which the later one is used: nothing is exceeded.
 		const proposed = await propose(context, 'records', {name: 'renew-shares', stampedAt: 0, payload}, {
 			timeoutMilliseconds: SHARE_CALL_MILLISECONDS,
 			isRepeatable: true,
 		});
 		isAsking = false;
-		const shares = proposed.isOk() ? (proposed.value as records.Results['renew-shares']).shares : [];
+		const shares = proposed.isOk() ? (proposed.value as records.CommandResults['renew-shares']).shares : [];
 		for (const [index, question] of questions.entries()) {
 			take(question, shares[index], askedAt);
 		}
--- a/packages/wagtailroute-host/src/suspects.ts
+++ b/packages/wagtailroute-host/src/suspects.ts
@@ -40,7 +40,7 @@
 	readonly forget: (service: core.ServiceName) => void;
 };
 
-type Entry = {readonly standing: Exclude<records.Standing, 'cleared'>; readonly until: number};
+type Entry = {readonly standing: Exclude<records.QuarantineStatus, 'cleared'>; readonly until: number};
 
 type ServiceSuspects = {
 	version: number;
--- a/packages/wagtailroute-records/src/__tests__/unit/ejections.test.ts
+++ b/packages/wagtailroute-records/src/__tests__/unit/ejections.test.ts
@@ -178,7 +178,7 @@
 			let cell = records.createRecords();
 			let now = 0;
 			let clock = records.createGroupClock({groupTime: 0, now});
-			const apply = <Name extends records.CommandName>(name: Name, payload: records.Commands[Name]) =>
+			const apply = <Name extends records.CommandName>(name: Name, payload: records.CommandPayloads[Name]) =>
 				cell.apply({name, payload, stampedAt: clock.stamp(now)}).result;
 			const getUnion = () => new Set(tables.filter(({until}) => until > now).flatMap(({ejected}) => [...ejected]));
 			apply('open-service', {service: 's', origin: {kind: 'new'}});
--- a/packages/wagtailroute-records/src/__tests__/unit/fake-fleet.ts
+++ b/packages/wagtailroute-records/src/__tests__/unit/fake-fleet.ts
@@ -69,7 +69,7 @@
 	const cells = Array.from({length: CELLS}, () => createCell(0, time));
 	// The cell that the latest map names; hosts ask either.
 	let holder = 0;
-	const applyAt = <Name extends records.CommandName>(index: number, name: Name, payload: records.Commands[Name]) => {
+	const applyAt = <Name extends records.CommandName>(index: number, name: Name, payload: records.CommandPayloads[Name]) => {
 		const {machine, clock} = cells[index]!;
 		return machine.apply({name, payload, stampedAt: clock.stamp(time)});
 	};
--- a/packages/wagtailroute-records/src/__tests__/unit/quarantine.test.ts
+++ b/packages/wagtailroute-records/src/__tests__/unit/quarantine.test.ts
@@ -9,7 +9,7 @@
 	readonly crash: (upstream: string, fingerprints: readonly string[], incarnation?: string, at?: number) => void;
 	readonly ask: (fingerprint: string, upstream: string, attempt: string, at?: number) => string;
 	readonly end: (attempt: string, ending: records.TrialEnding['ending'], at?: number) => void;
-	readonly getStandings: () => Record<string, records.Standing>;
+	readonly getStandings: () => Record<string, records.QuarantineStatus>;
 };
 
 function open(completed: readonly string[] = []): Cell {
@@ -41,7 +41,7 @@
 	readonly title: string;
 	readonly completed?: readonly string[];
 	readonly play: (cell: Cell) => unknown;
-	readonly standings: Record<string, records.Standing>;
+	readonly standings: Record<string, records.QuarantineStatus>;
 	readonly played?: unknown;
 }> = [
 	{
--- a/packages/wagtailroute-records/src/__tests__/unit/records.test.ts
+++ b/packages/wagtailroute-records/src/__tests__/unit/records.test.ts
@@ -7,9 +7,9 @@
 
 type Send = <Name extends records.CommandName>(
 	name: Name,
-	payload: records.Commands[Name],
+	payload: records.CommandPayloads[Name],
 	stampedAt?: number,
-) => records.Results[Name];
+) => records.CommandResults[Name];
 
 const NAME = {service: 's', organisation: 'o', key: 'k'};
 const CLAIM: records.Claim = {
--- a/packages/wagtailroute-records/src/attempts.ts
+++ b/packages/wagtailroute-records/src/attempts.ts
@@ -71,20 +71,20 @@
 	'claim-answered': {
 		state: 'claiming',
 		handle: ({result}, elapsed) => result.kind === 'granted'
-			? stepGranted(result, elapsed)
-			: end(describeUngranted(result)),
+			? handleGranted(result, elapsed)
+			: endAttempt(createUngrantedEffect(result)),
 	},
 	'claim-failed': {
 		state: 'claiming',
-		handle: () => end(settle({kind: 'not-run'}), tell('not-run', 'claim-failed')),
+		handle: () => endAttempt(createSettleEffect({kind: 'not-run'}), createAnswerEffect('not-run', 'claim-failed')),
 	},
 	'answer-completed': {
 		state: 'sending',
-		handle: ({answer}) => end(settle({kind: 'ran', answer}), tell('ran', 'answer-relayed')),
+		handle: ({answer}) => endAttempt(createSettleEffect({kind: 'ran', answer}), createAnswerEffect('ran', 'answer-relayed')),
 	},
 	'upstream-failed': {
 		state: 'sending',
-		handle: ({wasRun}) => end(settle({kind: wasRun}), tell(wasRun, 'upstream-failed')),
+		handle: ({wasRun}) => endAttempt(createSettleEffect({kind: wasRun}), createAnswerEffect(wasRun, 'upstream-failed')),
 	},
 };
 
@@ -101,50 +101,50 @@
 	return handler.handle(event, now - askedAt);
 };
 
-function stepGranted({token, validityMilliseconds}: Granted, elapsed: number): AttemptTransition {
+function handleGranted({token, validityMilliseconds}: Granted, elapsed: number): AttemptTransition {
 	return elapsed < validityMilliseconds
 		? {state: {kind: 'sending'}, effects: [{kind: 'send', token}]}
-		: end(settle({kind: 'not-run'}), tell('not-run', 'claim-too-late'));
+		: endAttempt(createSettleEffect({kind: 'not-run'}), createAnswerEffect('not-run', 'claim-too-late'));
 }
 
 type Granted = Extract<ClaimResult, {kind: 'granted'}>;
 type Ungranted = Exclude<ClaimResult, {kind: 'granted'}>;
 
-function describeUngranted(result: Ungranted): AttemptEffect {
+function createUngrantedEffect(result: Ungranted): AttemptEffect {
 	if (result.kind === 'ran') {
 		return result.answer === undefined
-			? tell('ran', 'answer-not-kept')
-			: {...tell('ran', 'stored-answer'), answer: result.answer};
+			? createAnswerEffect('ran', 'answer-not-kept')
+			: {...createAnswerEffect('ran', 'stored-answer'), answer: result.answer};
 	}
 
-	const [outcome, reason] = UNGRANTED[result.kind];
-	return tell(outcome, reason);
+	const [outcome, reason] = UNGRANTED_ANSWERS[result.kind];
+	return createAnswerEffect(outcome, reason);
 }
 
 // A running execution is `unknown` to the caller that sends again: it may run to its end.
-const UNGRANTED: Readonly<Record<Exclude<Ungranted['kind'], 'ran'>, readonly [core.Outcome, AttemptReason]>> = {
+const UNGRANTED_ANSWERS: Readonly<Record<Exclude<Ungranted['kind'], 'ran'>, readonly [core.Outcome, AttemptReason]>> = {
 	running: ['unknown', 'already-running'],
 	unknown: ['unknown', 'earlier-unknown'],
 	mismatch: ['not-run', 'key-mismatch'],
 	refused: ['not-run', 'claim-refused'],
 };
 
-function tell(outcome: core.Outcome, reason: AttemptReason): Extract<AttemptEffect, {kind: 'tell'}> {
+function createAnswerEffect(outcome: core.Outcome, reason: AttemptReason): Extract<AttemptEffect, {kind: 'tell'}> {
 	return {kind: 'tell', outcome, reason};
 }
 
-function settle(ending: Settlement['ending']): AttemptEffect {
+function createSettleEffect(ending: Settlement['ending']): AttemptEffect {
 	return {kind: 'settle', ending};
 }
 
-function end(...effects: AttemptEffect[]): AttemptTransition {
+function endAttempt(...effects: AttemptEffect[]): AttemptTransition {
 	return {state: {kind: 'ended'}, effects};
 }
 
 /**
 Status codes with which an attempt that was not relayed is answered. A stored answer has its own.
 */
-export const ATTEMPT_STATUS: Readonly<Record<Exclude<AttemptReason, 'answer-relayed' | 'stored-answer'>, number>> = {
+export const ATTEMPT_STATUS_CODES: Readonly<Record<Exclude<AttemptReason, 'answer-relayed' | 'stored-answer'>, number>> = {
 	'answer-not-kept': 409,
 	'already-running': 409,
 	'earlier-unknown': 409,
--- a/packages/wagtailroute-records/src/bench/crashes.bench.ts
+++ b/packages/wagtailroute-records/src/bench/crashes.bench.ts
@@ -92,7 +92,7 @@
 	const cell = records.createRecords();
 	const upstreams: Upstream[] = Array.from({length: UPSTREAMS}, () => ({life: 0, upAt: 0, running: []}));
 	const completed = Array.from({length: HOSTS}, () => new Set<string>());
-	const known = new Map<string, records.Standing>();
+	const known = new Map<string, records.QuarantineStatus>();
 	const agenda = new Map<number, Array<() => void>>();
 	const lost = new Map<string, number>();
 	const wrong: string[] = [];
@@ -105,7 +105,7 @@
 		agenda.set(at, [...agenda.get(at) ?? [], action]);
 	};
 
-	const apply = <Name extends records.CommandName>(name: Name, payload: records.Commands[Name]) => {
+	const apply = <Name extends records.CommandName>(name: Name, payload: records.CommandPayloads[Name]) => {
 		const {result, notices} = cell.apply({name, payload, stampedAt: now});
 		for (const notice of notices) {
 			utils.invariant(notice.kind === 'fingerprint', 'nothing is ejected here');
--- a/packages/wagtailroute-records/src/claims.ts
+++ b/packages/wagtailroute-records/src/claims.ts
@@ -2,17 +2,17 @@
 Claims and settlements of idempotency keys: what hosts say to the cell about an execution, and what they are told.
 */
 import {
-	MAX_ANSWER_LENGTH,
-	MAX_ANSWERS_LENGTH,
+	MAX_ANSWER_CHARACTERS,
+	MAX_TOTAL_ANSWER_CHARACTERS,
 	MAX_RECORDS,
 	MAX_RECORDS_PER_ORGANISATION,
-	RETENTION_MILLISECONDS,
+	RECORD_RETENTION_MILLISECONDS,
 } from './constants.ts';
 
 /**
 The execution that a key names. A stored answer is only ever given for the same service, organisation, key and digest.
 */
-export type RecordName = {
+export type RecordId = {
 	readonly service: string;
 	readonly organisation: string;
 	readonly key: string;
@@ -21,7 +21,7 @@
 /**
 Asks to run. `attempt` is unique over the fleet and over time; asking again with the same attempt gives the same grant.
 */
-export type Claim = RecordName & {
+export type Claim = RecordId & {
 	readonly digest: string;
 	readonly attempt: string;
 	readonly host: string;
@@ -45,7 +45,7 @@
 How an attempt ended. `ran` is said only after the whole answer; `not-run` only when the attempt has sent nothing that a
 backend server may have run, and never will.
 */
-export type Settlement = RecordName & {
+export type Settlement = RecordId & {
 	readonly attempt: string;
 	readonly ending:
 		| {readonly kind: 'ran'; readonly answer?: StoredAnswer}
@@ -72,14 +72,14 @@
 /**
 Answer to a settlement. `stale`: the record is held by another attempt, or no longer held.
 */
-export type SettleResult =
+export type SettlementResult =
 	| {readonly kind: 'settled'; readonly isAnswerKept: boolean}
 	| {readonly kind: 'stale'};
 
 /**
 One record.
 */
-export type IdempotencyRecord = RecordName & {
+export type IdempotencyRecord = RecordId & {
 	readonly digest: string;
 	readonly attempt: string;
 	readonly host: string;
@@ -108,9 +108,9 @@
 Bounds used where the settings give none.
 */
 export const DEFAULT_IDEMPOTENCY_BOUNDS: IdempotencyBounds = {
-	retentionMilliseconds: RETENTION_MILLISECONDS,
+	retentionMilliseconds: RECORD_RETENTION_MILLISECONDS,
 	maxRecords: MAX_RECORDS,
 	maxRecordsPerOrganisation: MAX_RECORDS_PER_ORGANISATION,
-	maxAnswerLength: MAX_ANSWER_LENGTH,
-	maxAnswersLength: MAX_ANSWERS_LENGTH,
+	maxAnswerLength: MAX_ANSWER_CHARACTERS,
+	maxAnswersLength: MAX_TOTAL_ANSWER_CHARACTERS,
 };
--- a/packages/wagtailroute-records/src/commands.ts
+++ b/packages/wagtailroute-records/src/commands.ts
@@ -6,7 +6,7 @@
 	ClaimResult,
 	IdempotencyRecord,
 	Settlement,
-	SettleResult,
+	SettlementResult,
 } from './claims.ts';
 import type {
 	EjectionNotice,
@@ -61,25 +61,25 @@
 	| {readonly kind: 'lost'}
 	| {readonly kind: 'adopted'; readonly exported: ServiceExport};
 
-type InService<Payload> = Payload & {readonly service: string};
+type WithService<Payload> = Payload & {readonly service: string};
 
 /**
 Payload of each command.
 */
-export type Commands = {
+export type CommandPayloads = {
 	'open-service': {readonly service: string; readonly origin: ServiceOrigin};
 	'close-service': {readonly service: string};
 	claim: Claim;
 	settle: Settlement;
 	'lose-host': {readonly host: string; readonly bootId: string};
 	'forget-host': {readonly host: string};
-	'report-upstreams': InService<UpstreamView>;
-	'request-ejection': InService<EjectionRequest>;
+	'report-upstreams': WithService<UpstreamView>;
+	'request-ejection': WithService<EjectionRequest>;
 	readmit: {readonly service: string; readonly upstream: string; readonly epoch: number};
-	'renew-shares': {readonly requests: ReadonlyArray<InService<ShareRequest> & {readonly limitName: LimitName}>};
-	'report-crash': InService<CrashReport>;
-	'request-trial': InService<TrialRequest>;
-	'end-trial': InService<TrialEnding>;
+	'renew-shares': {readonly requests: ReadonlyArray<WithService<ShareRequest> & {readonly limitName: LimitName}>};
+	'report-crash': WithService<CrashReport>;
+	'request-trial': WithService<TrialRequest>;
+	'end-trial': WithService<TrialEnding>;
 	'release-fingerprint': {readonly service: string; readonly fingerprint: string};
 	tick: Readonly<Record<never, never>>;
 };
@@ -97,11 +97,11 @@
 /**
 Result of each command.
 */
-export type Results = {
+export type CommandResults = {
 	'open-service': Done | {readonly kind: 'already-open'};
 	'close-service': NotHeld | {readonly kind: 'closed'; readonly exported: ServiceExport};
 	claim: ClaimResult;
-	settle: SettleResult;
+	settle: SettlementResult;
 	'lose-host': {readonly kind: 'done'; readonly unknown: number};
 	'forget-host': Done;
 	'report-upstreams': Done | NotHeld;
@@ -118,7 +118,7 @@
 /**
 Name of a command.
 */
-export type CommandName = keyof Commands;
+export type CommandName = keyof CommandPayloads;
 
 /**
 A command as it stands in the log.
@@ -130,7 +130,7 @@
 		Group time that the leader stamped, in ms.
 		*/
 		readonly stampedAt: number;
-		readonly payload: Commands[Key];
+		readonly payload: CommandPayloads[Key];
 	};
 }[Name];
 
--- a/packages/wagtailroute-records/src/ejections.ts
+++ b/packages/wagtailroute-records/src/ejections.ts
@@ -7,7 +7,7 @@
 ejected until every host that missed the readmission has let its lease run out.
 */
 import {getEjectionAllowance, getRequiredHealthy} from './allowance.ts';
-import {ABSENT_MILLISECONDS, EJECTION_LINGER_MILLISECONDS, VIEW_MILLISECONDS} from './constants.ts';
+import {ABSENT_EJECTION_EXPIRY_MILLISECONDS, EJECTION_LINGER_MILLISECONDS, UPSTREAM_VIEW_EXPIRY_MILLISECONDS} from './constants.ts';
 import {
 	getAgreedUpstreams,
 	getStrictestFloor,
@@ -103,25 +103,25 @@
 /**
 Takes a host's view, and readmits what the floor needs.
 */
-export function reportUpstreams(state: EjectionState, view: UpstreamView, time: number): EjectionChange {
+export function applyUpstreamView(state: EjectionState, view: UpstreamView, time: number): EjectionChange {
 	const {host, serving, draining, healthyFloor} = view;
-	const fresh = state.views.filter(other => other.host !== host && other.reportedAt + VIEW_MILLISECONDS > time);
+	const fresh = state.views.filter(other => other.host !== host && other.reportedAt + UPSTREAM_VIEW_EXPIRY_MILLISECONDS > time);
 	const reported: ReportedView = {
 		host, serving, draining, healthyFloor, reportedAt: time,
 	};
 	const updated = {...expireEjections(state, time), views: [...fresh, reported]};
-	return restoreFloor(markAbsent(updated, time), time);
+	return restoreFloor(updateAbsences(updated, time), time);
 }
 
 /**
 Grants an ejection where the floor allows it. Asking again for an ejected upstream gives the same grant.
 */
-export function requestEjection(
+export function applyEjectionRequest(
 	before: EjectionState,
 	request: EjectionRequest,
 	time: number,
 ): EjectionChange & {readonly result: EjectionResult} {
-	const {state, notices} = reportUpstreams(before, request, time);
+	const {state, notices} = applyUpstreamView(before, request, time);
 	const {upstream, badness} = request;
 	const known = state.ejected.find(ejection => ejection.upstream === upstream);
 	if (known !== undefined) {
@@ -191,15 +191,15 @@
 
 // An upstream that leaves while ejected frees no place: it counts neither as serving nor as ejected, and is still ejected
 // when it comes back. Otherwise a sick upstream would return by announcing itself anew.
-function markAbsent(state: EjectionState, time: number): EjectionState {
+function updateAbsences(state: EjectionState, time: number): EjectionState {
 	const {serving} = getAgreedUpstreams(state.views);
 	const ejected = state.ejected
-		.map(ejection => markEjection(ejection, serving.has(ejection.upstream), time))
-		.filter(({absentSince}) => absentSince === undefined || absentSince + ABSENT_MILLISECONDS > time);
+		.map(ejection => updateAbsence(ejection, serving.has(ejection.upstream), time))
+		.filter(({absentSince}) => absentSince === undefined || absentSince + ABSENT_EJECTION_EXPIRY_MILLISECONDS > time);
 	return {...state, ejected};
 }
 
-function markEjection({absentSince, ...ejection}: Ejection, isServing: boolean, time: number): Ejection {
+function updateAbsence({absentSince, ...ejection}: Ejection, isServing: boolean, time: number): Ejection {
 	return isServing ? ejection : {...ejection, absentSince: absentSince ?? time};
 }
 
@@ -254,7 +254,7 @@
 /**
 Moves all times of the state, when a cell with another group time takes over the service.
 */
-export function shiftEjections(state: EjectionState, shift: number): EjectionState {
+export function shiftEjectionTimes(state: EjectionState, shift: number): EjectionState {
 	return {
 		...state,
 		settlingUntil: state.settlingUntil + shift,
--- a/packages/wagtailroute-records/src/fingerprints.ts
+++ b/packages/wagtailroute-records/src/fingerprints.ts
@@ -62,7 +62,7 @@
 /**
 Where a fingerprint stands.
 */
-export type Standing = 'suspect' | 'cleared' | 'quarantined';
+export type QuarantineStatus = 'suspect' | 'cleared' | 'quarantined';
 
 /**
 A trial that is under way.
@@ -78,7 +78,7 @@
 */
 export type FingerprintEntry = {
 	readonly fingerprint: string;
-	readonly standing: Standing;
+	readonly standing: QuarantineStatus;
 	/**
 	The crashes that it is tied to.
 	*/
@@ -106,7 +106,7 @@
 */
 export type QuarantineNotice = {
 	readonly fingerprint: string;
-	readonly standing: Standing;
+	readonly standing: QuarantineStatus;
 	readonly version: number;
 };
 
--- a/packages/wagtailroute-records/src/handlers.ts
+++ b/packages/wagtailroute-records/src/handlers.ts
@@ -3,15 +3,15 @@
 */
 import type {
 	CommandName,
-	Commands,
+	CommandPayloads,
 	LimitName,
 	Notice,
-	Results,
+	CommandResults,
 	ServiceOrigin,
 	ServiceState,
 } from './commands.ts';
 import {DEFAULT_IDEMPOTENCY_BOUNDS, type IdempotencyBounds} from './claims.ts';
-import {EJECTION_LINGER_MILLISECONDS, RETENTION_MILLISECONDS, SHARE_LINGER_MILLISECONDS} from './constants.ts';
+import {EJECTION_LINGER_MILLISECONDS, RECORD_RETENTION_MILLISECONDS, SHARE_EXPIRY_MILLISECONDS} from './constants.ts';
 import * as ejections from './ejections.ts';
 import type {QuarantineChange} from './fingerprints.ts';
 import type {IdempotencyTable} from './idempotency.ts';
@@ -35,14 +35,14 @@
 */
 export const DEFAULT_RECORDS_BOUNDS: RecordsBounds = {
 	idempotency: DEFAULT_IDEMPOTENCY_BOUNDS,
-	lostMilliseconds: RETENTION_MILLISECONDS,
+	lostMilliseconds: RECORD_RETENTION_MILLISECONDS,
 };
 
 /**
 What a command did.
 */
-export type Applied<Name extends CommandName> = {
-	readonly result: Results[Name];
+export type ApplyResult<Name extends CommandName> = {
+	readonly result: CommandResults[Name];
 	readonly notices: readonly Notice[];
 };
 
@@ -59,7 +59,7 @@
 /**
 Applies one kind of command.
 */
-export type Handler<Name extends CommandName> = (tables: Tables, payload: Commands[Name]) => Applied<Name>;
+export type Handler<Name extends CommandName> = (tables: Tables, payload: CommandPayloads[Name]) => ApplyResult<Name>;
 
 const DONE = {result: {kind: 'done'}, notices: []} as const;
 const NOT_HELD = {result: {kind: 'not-held'}, notices: []} as const;
@@ -97,14 +97,14 @@
 	},
 	settle: (tables, settlement) => ({result: tables.idempotency.settle(settlement, tables.groupTime), notices: []}),
 	'lose-host'(tables, {host, bootId}) {
-		const unknown = tables.idempotency.loseHost(host, bootId, tables.groupTime);
+		const unknown = tables.idempotency.handleHostLost(host, bootId, tables.groupTime);
 		return {result: {kind: 'done', unknown}, notices: []};
 	},
 	'forget-host'(tables, {host}) {
 		for (const [service, state] of tables.services) {
 			const remaining = {
-				concurrency: shares.forgetHost(state.shares.concurrency, host),
-				ratePerSecond: shares.forgetHost(state.shares.ratePerSecond, host),
+				concurrency: shares.removeHost(state.shares.concurrency, host),
+				ratePerSecond: shares.removeHost(state.shares.ratePerSecond, host),
 			};
 			tables.services.set(service, {...state, shares: remaining});
 		}
@@ -112,16 +112,16 @@
 		return DONE;
 	},
 	'report-upstreams': (tables, {service, ...view}) => updateService(tables, service, state => {
-		const change = ejections.reportUpstreams(state.ejections, view, tables.groupTime);
-		return {...describeEjections(service, change), result: {kind: 'done'}};
+		const change = ejections.applyUpstreamView(state.ejections, view, tables.groupTime);
+		return {...wrapEjectionChange(service, change), result: {kind: 'done'}};
 	}),
 	'request-ejection': (tables, {service, ...request}) => updateService(tables, service, state => {
-		const {result, ...change} = ejections.requestEjection(state.ejections, request, tables.groupTime);
-		return {...describeEjections(service, change), result};
+		const {result, ...change} = ejections.applyEjectionRequest(state.ejections, request, tables.groupTime);
+		return {...wrapEjectionChange(service, change), result};
 	}),
 	readmit: (tables, {service, ...readmission}) => updateService(tables, service, state => {
 		const change = ejections.readmit(state.ejections, readmission, tables.groupTime);
-		return {...describeEjections(service, change), result: {kind: 'done'}};
+		return {...wrapEjectionChange(service, change), result: {kind: 'done'}};
 	}),
 	'renew-shares'(tables, {requests}) {
 		const granted = requests.map(({service, limitName, ...request}) =>
@@ -129,20 +129,20 @@
 		return {result: {kind: 'shares', shares: granted}, notices: []};
 	},
 	'report-crash': (tables, {service, ...report}) => updateService(tables, service, state => {
-		const change = quarantine.reportCrash(state.quarantine, report, tables.groupTime);
-		return {...describeQuarantine(service, change), result: {kind: 'done', version: change.state.version}};
+		const change = quarantine.applyCrashReport(state.quarantine, report, tables.groupTime);
+		return {...wrapQuarantineChange(service, change), result: {kind: 'done', version: change.state.version}};
 	}),
 	'request-trial': (tables, {service, ...request}) => updateService(tables, service, state => {
-		const {state: updated, result} = quarantine.requestTrial(state.quarantine, request, tables.groupTime);
+		const {state: updated, result} = quarantine.applyTrialRequest(state.quarantine, request, tables.groupTime);
 		return {changes: {quarantine: updated}, notices: [], result};
 	}),
 	'end-trial': (tables, {service, ...ending}) => updateService(tables, service, state => {
-		const change = quarantine.endTrial(state.quarantine, ending, tables.groupTime);
-		return {...describeQuarantine(service, change), result: {kind: 'done'}};
+		const change = quarantine.applyTrialEnding(state.quarantine, ending, tables.groupTime);
+		return {...wrapQuarantineChange(service, change), result: {kind: 'done'}};
 	}),
 	'release-fingerprint': (tables, {service, fingerprint}) => updateService(tables, service, state => {
 		const change = quarantine.releaseFingerprint(state.quarantine, fingerprint, tables.groupTime);
-		return {...describeQuarantine(service, change), result: {kind: 'done'}};
+		return {...wrapQuarantineChange(service, change), result: {kind: 'done'}};
 	}),
 	tick(tables) {
 		for (const [service, state] of tables.services) {
@@ -178,14 +178,14 @@
 	return {result, notices};
 }
 
-function describeEjections(service: string, {state, notices}: ejections.EjectionChange) {
+function wrapEjectionChange(service: string, {state, notices}: ejections.EjectionChange) {
 	return {
 		changes: {ejections: state},
 		notices: notices.map((change): Notice => ({kind: 'ejection', service, change})),
 	};
 }
 
-function describeQuarantine(service: string, {state, notices}: QuarantineChange) {
+function wrapQuarantineChange(service: string, {state, notices}: QuarantineChange) {
 	return {
 		changes: {quarantine: state},
 		notices: notices.map((change): Notice => ({kind: 'fingerprint', service, change})),
@@ -210,13 +210,13 @@
 		const {groupTime, records, state} = origin.exported;
 		const shift = time - groupTime;
 		tables.idempotency.addRecords(records.map(record => ({...record, until: record.until + shift})));
-		tables.services.set(service, shiftService(state, shift));
+		tables.services.set(service, shiftServiceTimes(state, shift));
 		return;
 	}
 
 	// After a loss hosts may still act on the lost cell's grants until their leases end, and records may be missing.
 	const isLost = origin.kind === 'lost';
-	const shareState = shares.createShareState(isLost ? time + SHARE_LINGER_MILLISECONDS : 0);
+	const shareState = shares.createShareState(isLost ? time + SHARE_EXPIRY_MILLISECONDS : 0);
 	tables.services.set(service, {
 		ejections: ejections.createEjectionState(isLost ? time + EJECTION_LINGER_MILLISECONDS : 0),
 		shares: {concurrency: shareState, ratePerSecond: shareState},
@@ -226,14 +226,14 @@
 }
 
 // Each cell has its own group time: times that move with a service keep what was left of them.
-function shiftService(state: ServiceState, shift: number): ServiceState {
+function shiftServiceTimes(state: ServiceState, shift: number): ServiceState {
 	return {
-		ejections: ejections.shiftEjections(state.ejections, shift),
+		ejections: ejections.shiftEjectionTimes(state.ejections, shift),
 		shares: {
-			concurrency: shares.shiftShares(state.shares.concurrency, shift),
-			ratePerSecond: shares.shiftShares(state.shares.ratePerSecond, shift),
+			concurrency: shares.shiftShareTimes(state.shares.concurrency, shift),
+			ratePerSecond: shares.shiftShareTimes(state.shares.ratePerSecond, shift),
 		},
-		quarantine: quarantine.shiftQuarantine(state.quarantine, shift),
+		quarantine: quarantine.shiftQuarantineTimes(state.quarantine, shift),
 		claimsUnknownUntil: state.claimsUnknownUntil + shift,
 	};
 }
--- a/packages/wagtailroute-records/src/idempotency.ts
+++ b/packages/wagtailroute-records/src/idempotency.ts
@@ -13,12 +13,12 @@
 	ClaimResult,
 	IdempotencyBounds,
 	IdempotencyRecord,
-	RecordName,
+	RecordId,
 	Settlement,
-	SettleResult,
+	SettlementResult,
 	StoredAnswer,
 } from './claims.ts';
-import {ABANDONED_MILLISECONDS, CLAIM_GRACE_MILLISECONDS, CLAIM_VALIDITY_MILLISECONDS} from './constants.ts';
+import {ABANDONED_ATTEMPT_EXPIRY_MILLISECONDS, CLAIM_GRACE_MILLISECONDS, CLAIM_VALIDITY_MILLISECONDS} from './constants.ts';
 
 /**
 The table as plain JSON, in its own order.
@@ -38,19 +38,19 @@
 	`isLost`: records may be missing, so a key without one is answered `unknown`.
 	*/
 	readonly claim: (claim: Claim, time: number, isLost: boolean) => ClaimResult;
-	readonly settle: (settlement: Settlement, time: number) => SettleResult;
-	readonly loseHost: (host: string, bootId: string, time: number) => number;
+	readonly settle: (settlement: Settlement, time: number) => SettlementResult;
+	readonly handleHostLost: (host: string, bootId: string, time: number) => number;
 	readonly expire: (time: number) => void;
 	readonly removeService: (service: string) => readonly IdempotencyRecord[];
 	readonly addRecords: (records: readonly IdempotencyRecord[]) => void;
 	readonly takeSnapshot: () => IdempotencySnapshot;
-	readonly getHolders: () => readonly Holder[];
+	readonly getHolders: () => readonly RecordHolder[];
 };
 
 /**
 One process of a host.
 */
-export type Holder = {readonly host: string; readonly bootId: string};
+export type RecordHolder = {readonly host: string; readonly bootId: string};
 
 type Tables = {
 	readonly bounds: IdempotencyBounds;
@@ -59,10 +59,10 @@
 	readonly running: Map<string, IdempotencyRecord>;
 	readonly settled: Map<string, IdempotencyRecord>;
 	readonly abandoned: Map<string, number>;
-	readonly counts: Map<string, number>;
+	readonly countsByOrganisation: Map<string, number>;
 	answersLength: number;
 	// No running record is past its budget before this: most commands need not look at them.
-	earliestOverdue: number;
+	earliestExpiry: number;
 };
 
 /**
@@ -75,9 +75,9 @@
 		running: new Map(),
 		settled: new Map(),
 		abandoned: new Map(snapshot?.abandoned),
-		counts: new Map(),
+		countsByOrganisation: new Map(),
 		answersLength: 0,
-		earliestOverdue: Infinity,
+		earliestExpiry: Infinity,
 	};
 	addRecords(tables, snapshot?.running ?? []);
 	addRecords(tables, snapshot?.settled ?? []);
@@ -86,7 +86,7 @@
 			? {kind: 'unknown'}
 			: applyClaim(tables, claim, time),
 		settle: (settlement, time) => applySettlement(tables, settlement, time),
-		loseHost: (host, bootId, time) => loseHost(tables, {host, bootId}, time),
+		handleHostLost: (host, bootId, time) => handleHostLost(tables, {host, bootId}, time),
 		expire(time) {
 			expire(tables, time);
 		},
@@ -107,10 +107,10 @@
 function applyClaim(tables: Tables, claim: Claim, time: number): ClaimResult {
 	const known = getRecord(tables, claim);
 	if (known !== undefined) {
-		return describeRecord(known, claim);
+		return getClaimResult(known, claim);
 	}
 
-	const reason = getRefusal(tables, claim);
+	const reason = findRefusal(tables, claim);
 	if (reason !== undefined) {
 		return {kind: 'refused', reason};
 	}
@@ -124,12 +124,12 @@
 	return createGrant(token);
 }
 
-function getRecord(tables: Tables, record: RecordName): IdempotencyRecord | undefined {
-	const name = getName(record);
+function getRecord(tables: Tables, record: RecordId): IdempotencyRecord | undefined {
+	const name = encodeRecordId(record);
 	return tables.running.get(name) ?? tables.settled.get(name);
 }
 
-function describeRecord(record: IdempotencyRecord, claim: Claim): ClaimResult {
+function getClaimResult(record: IdempotencyRecord, claim: Claim): ClaimResult {
 	if (record.digest !== claim.digest) {
 		return {kind: 'mismatch'};
 	}
@@ -146,8 +146,8 @@
 	return {kind: 'granted', token, validityMilliseconds: CLAIM_VALIDITY_MILLISECONDS};
 }
 
-function getRefusal(tables: Tables, claim: Claim): ClaimRefusal | undefined {
-	const {bounds, running, settled, counts} = tables;
+function findRefusal(tables: Tables, claim: Claim): ClaimRefusal | undefined {
+	const {bounds, running, settled, countsByOrganisation: counts} = tables;
 	// A claim can arrive after its host gave it up: granting it then would block the key until it became `unknown`.
 	if (tables.abandoned.has(claim.attempt)) {
 		return 'abandoned';
@@ -158,14 +158,14 @@
 		return 'records-full';
 	}
 
-	const count = counts.get(getOrganisationName(claim)) ?? 0;
+	const count = counts.get(encodeOrganisation(claim)) ?? 0;
 	return count >= bounds.maxRecordsPerOrganisation ? 'organisation-full' : undefined;
 }
 
-function applySettlement(tables: Tables, settlement: Settlement, time: number): SettleResult {
+function applySettlement(tables: Tables, settlement: Settlement, time: number): SettlementResult {
 	const record = getRecord(tables, settlement);
 	if (record?.attempt !== settlement.attempt) {
-		rememberAbandoned(tables, settlement, time);
+		recordAbandoned(tables, settlement, time);
 		return {kind: 'stale'};
 	}
 
@@ -177,11 +177,11 @@
 	removeRecord(tables, record);
 	const {ending} = settlement;
 	if (ending.kind === 'not-run') {
-		rememberAbandoned(tables, settlement, time);
+		recordAbandoned(tables, settlement, time);
 		return {kind: 'settled', isAnswerKept: false};
 	}
 
-	const answer = ending.kind === 'ran' ? getKeptAnswer(tables, ending.answer) : undefined;
+	const answer = ending.kind === 'ran' ? getStorableAnswer(tables, ending.answer) : undefined;
 	const until = time + tables.bounds.retentionMilliseconds;
 	addRecords(tables, [{
 		...record, state: ending.kind, answer, until,
@@ -190,32 +190,32 @@
 }
 
 // Keeps a claim that is still under way from being granted after its attempt ended.
-function rememberAbandoned(tables: Tables, {attempt, ending}: Settlement, time: number): void {
+function recordAbandoned(tables: Tables, {attempt, ending}: Settlement, time: number): void {
 	if (ending.kind !== 'not-run') {
 		return;
 	}
 
 	tables.abandoned.delete(attempt);
-	tables.abandoned.set(attempt, time + ABANDONED_MILLISECONDS);
+	tables.abandoned.set(attempt, time + ABANDONED_ATTEMPT_EXPIRY_MILLISECONDS);
 }
 
 // An answer beyond the bounds is dropped, never the fact that the request ran.
-function getKeptAnswer(tables: Tables, answer: StoredAnswer | undefined): StoredAnswer | undefined {
-	const length = getLength(answer);
+function getStorableAnswer(tables: Tables, answer: StoredAnswer | undefined): StoredAnswer | undefined {
+	const length = getAnswerLength(answer);
 	const fits = length <= tables.bounds.maxAnswerLength
 		&& tables.answersLength + length <= tables.bounds.maxAnswersLength;
 	return fits ? answer : undefined;
 }
 
 // The host may have sent before it was lost, and may still send within its claim: never claimable again.
-function loseHost(tables: Tables, lost: {host: string; bootId: string}, time: number): number {
+function handleHostLost(tables: Tables, lost: {host: string; bootId: string}, time: number): number {
 	const held = tables.running.values().filter(({host, bootId}) => host === lost.host && bootId === lost.bootId).toArray();
-	makeUnknown(tables, held, time);
+	markUnknown(tables, held, time);
 	return held.length;
 }
 
-function getHolders(tables: Tables): readonly Holder[] {
-	const holders = new Map<string, Holder>();
+function getHolders(tables: Tables): readonly RecordHolder[] {
+	const holders = new Map<string, RecordHolder>();
 	for (const {host, bootId} of tables.running.values()) {
 		holders.set(JSON.stringify([host, bootId]), {host, bootId});
 	}
@@ -223,7 +223,7 @@
 	return holders.values().toArray();
 }
 
-function makeUnknown(tables: Tables, records: readonly IdempotencyRecord[], time: number): void {
+function markUnknown(tables: Tables, records: readonly IdempotencyRecord[], time: number): void {
 	const until = time + tables.bounds.retentionMilliseconds;
 	for (const record of records) {
 		removeRecord(tables, record);
@@ -232,9 +232,9 @@
 }
 
 function expire(tables: Tables, time: number): void {
-	if (tables.earliestOverdue <= time) {
-		makeUnknown(tables, tables.running.values().filter(({until}) => until <= time).toArray(), time);
-		tables.earliestOverdue = getEarliest(tables.running.values());
+	if (tables.earliestExpiry <= time) {
+		markUnknown(tables, tables.running.values().filter(({until}) => until <= time).toArray(), time);
+		tables.earliestExpiry = getEarliestExpiry(tables.running.values());
 	}
 
 	for (const record of tables.settled.values()) {
@@ -254,7 +254,7 @@
 	}
 }
 
-function getEarliest(records: Iterable<IdempotencyRecord>): number {
+function getEarliestExpiry(records: Iterable<IdempotencyRecord>): number {
 	let earliest = Infinity;
 	for (const {until} of records) {
 		earliest = Math.min(earliest, until);
@@ -274,42 +274,42 @@
 
 function addRecords(tables: Tables, records: readonly IdempotencyRecord[]): void {
 	for (const record of records) {
-		const name = getName(record);
-		const organisation = getOrganisationName(record);
+		const name = encodeRecordId(record);
+		const organisation = encodeOrganisation(record);
 		const isRunning = record.state === 'running';
 		(isRunning ? tables.running : tables.settled).set(name, record);
-		tables.earliestOverdue = isRunning ? Math.min(tables.earliestOverdue, record.until) : tables.earliestOverdue;
-		tables.counts.set(organisation, (tables.counts.get(organisation) ?? 0) + 1);
-		tables.answersLength += getLength(record.answer);
+		tables.earliestExpiry = isRunning ? Math.min(tables.earliestExpiry, record.until) : tables.earliestExpiry;
+		tables.countsByOrganisation.set(organisation, (tables.countsByOrganisation.get(organisation) ?? 0) + 1);
+		tables.answersLength += getAnswerLength(record.answer);
 		tables.nextToken = Math.max(tables.nextToken, record.token + 1);
 	}
 }
 
 function removeRecord(tables: Tables, record: IdempotencyRecord): void {
-	const name = getName(record);
-	const organisation = getOrganisationName(record);
+	const name = encodeRecordId(record);
+	const organisation = encodeOrganisation(record);
 	tables.running.delete(name);
 	tables.settled.delete(name);
-	const count = (tables.counts.get(organisation) ?? 0) - 1;
+	const count = (tables.countsByOrganisation.get(organisation) ?? 0) - 1;
 	if (count > 0) {
-		tables.counts.set(organisation, count);
+		tables.countsByOrganisation.set(organisation, count);
 	} else {
-		tables.counts.delete(organisation);
+		tables.countsByOrganisation.delete(organisation);
 	}
 
-	tables.answersLength -= getLength(record.answer);
+	tables.answersLength -= getAnswerLength(record.answer);
 }
 
-function getLength(answer: StoredAnswer | undefined): number {
+function getAnswerLength(answer: StoredAnswer | undefined): number {
 	const headers = answer?.headers ?? [];
 	const headersLength = headers.reduce((total, [name, value]) => total + name.length + value.length, 0);
 	return headersLength + (answer?.body.length ?? 0);
 }
 
-function getName({service, organisation, key}: RecordName): string {
+function encodeRecordId({service, organisation, key}: RecordId): string {
 	return JSON.stringify([service, organisation, key]);
 }
 
-function getOrganisationName({service, organisation}: RecordName): string {
+function encodeOrganisation({service, organisation}: RecordId): string {
 	return JSON.stringify([service, organisation]);
 }
--- a/packages/wagtailroute-records/src/index.ts
+++ b/packages/wagtailroute-records/src/index.ts
@@ -2,7 +2,7 @@
 Records of a cell: idempotency keys, ejection grants, shares of limits and quarantine, as one replicated state machine.
 */
 export {
-	ATTEMPT_STATUS,
+	ATTEMPT_STATUS_CODES,
 	type AttemptEffect,
 	type AttemptEvent,
 	type AttemptReason,
@@ -19,10 +19,10 @@
 export type {
 	Command,
 	CommandName,
-	Commands,
+	CommandPayloads,
 	LimitName,
 	Notice,
-	Results,
+	CommandResults,
 	ServiceExport,
 	ServiceOrigin,
 	ServiceState,
@@ -32,7 +32,7 @@
 	EJECTION_LEASE_MILLISECONDS,
 	MAX_STAMP_STEP_MILLISECONDS,
 	SHARE_LEASE_MILLISECONDS,
-	VIEW_MILLISECONDS,
+	UPSTREAM_VIEW_EXPIRY_MILLISECONDS,
 } from './constants.ts';
 export {getFingerprint, getRequestDigest, type RequestIdentity} from './digests.ts';
 export type {
@@ -51,9 +51,9 @@
 	DEFAULT_IDEMPOTENCY_BOUNDS,
 	type IdempotencyBounds,
 	type IdempotencyRecord,
-	type RecordName,
+	type RecordId,
 	type Settlement,
-	type SettleResult,
+	type SettlementResult,
 	type StoredAnswer,
 } from './claims.ts';
 export {divideMaxMin} from './max-min.ts';
@@ -62,14 +62,14 @@
 	FingerprintEntry,
 	QuarantineNotice,
 	QuarantineState,
-	Standing,
+	QuarantineStatus,
 	TrialEnding,
 	TrialRequest,
 	TrialResult,
 } from './fingerprints.ts';
-export {type Applied, DEFAULT_RECORDS_BOUNDS, type RecordsBounds} from './handlers.ts';
+export {type ApplyResult, DEFAULT_RECORDS_BOUNDS, type RecordsBounds} from './handlers.ts';
 export {createRecords, type Records, type RecordsSnapshot} from './records.ts';
-export type {Holder} from './idempotency.ts';
+export type {RecordHolder} from './idempotency.ts';
 export {
 	getInitialSafePart,
 	getOutstanding,
--- a/packages/wagtailroute-records/src/quarantine.ts
+++ b/packages/wagtailroute-records/src/quarantine.ts
@@ -10,10 +10,10 @@
 */
 import {
 	CLAIM_VALIDITY_MILLISECONDS,
-	CRASH_MILLISECONDS,
-	MAX_FINGERPRINTS,
-	QUARANTINE_MILLISECONDS,
-	SUSPICION_MILLISECONDS,
+	CRASH_EXPIRY_MILLISECONDS,
+	MAX_FINGERPRINTS_PER_SERVICE,
+	QUARANTINE_DURATION_MILLISECONDS,
+	FINGERPRINT_EXPIRY_MILLISECONDS,
 	TRIAL_GRACE_MILLISECONDS,
 } from './constants.ts';
 import type {
@@ -39,7 +39,7 @@
 /**
 Takes a crash: ties it to what was in flight, and to the suspect that was on trial there.
 */
-export function reportCrash(before: QuarantineState, report: CrashReport, time: number): QuarantineChange {
+export function applyCrashReport(before: QuarantineState, report: CrashReport, time: number): QuarantineChange {
 	const state = expireQuarantine(before, time);
 	const name = JSON.stringify([report.upstream, report.incarnation]);
 	// A late report of a crash that is known says nothing about who is on trial at the upstream's next life.
@@ -51,11 +51,11 @@
 	]);
 	const others = state.crashes.filter(crash => crash.name !== name);
 	let change: QuarantineChange = {
-		state: {...state, crashes: [...others, {name, until: time + CRASH_MILLISECONDS}]},
+		state: {...state, crashes: [...others, {name, until: time + CRASH_EXPIRY_MILLISECONDS}]},
 		notices: [],
 	};
 	for (const fingerprint of tied) {
-		change = tieToCrash(change, fingerprint, {name, time});
+		change = attributeCrash(change, fingerprint, {name, time});
 	}
 
 	return change;
@@ -64,7 +64,7 @@
 /**
 Asks whether a suspect may run now.
 */
-export function requestTrial(
+export function applyTrialRequest(
 	before: QuarantineState,
 	request: TrialRequest,
 	time: number,
@@ -95,13 +95,13 @@
 	const tried: FingerprintEntry = {
 		...entry, until: Math.max(entry.until, until), trial: {attempt, upstream, until},
 	};
-	return {state: replaceEntry(state, tried), result: granted};
+	return {state: putEntry(state, tried), result: granted};
 }
 
 /**
 Ends a trial that the upstream survived. Completion clears the suspect.
 */
-export function endTrial(before: QuarantineState, {attempt, ending}: TrialEnding, time: number): QuarantineChange {
+export function applyTrialEnding(before: QuarantineState, {attempt, ending}: TrialEnding, time: number): QuarantineChange {
 	const state = expireQuarantine(before, time);
 	const entry = state.entries.find(({trial}) => trial?.attempt === attempt);
 	if (entry === undefined) {
@@ -109,10 +109,10 @@
 	}
 
 	const {trial: _ended, ...untried} = entry;
-	const cleared: FingerprintEntry = {...untried, standing: 'cleared', until: time + SUSPICION_MILLISECONDS};
+	const cleared: FingerprintEntry = {...untried, standing: 'cleared', until: time + FINGERPRINT_EXPIRY_MILLISECONDS};
 	return ending === 'completed'
-		? setStanding({state, notices: []}, cleared)
-		: {state: replaceEntry(state, untried), notices: []};
+		? setStatus({state, notices: []}, cleared)
+		: {state: putEntry(state, untried), notices: []};
 }
 
 /**
@@ -123,8 +123,8 @@
 	const entry = state.entries.find(known => known.fingerprint === fingerprint);
 	return entry === undefined
 		? {state, notices: []}
-		: setStanding({state, notices: []}, {
-			fingerprint, standing: 'cleared', crashes: [], until: time + SUSPICION_MILLISECONDS,
+		: setStatus({state, notices: []}, {
+			fingerprint, standing: 'cleared', crashes: [], until: time + FINGERPRINT_EXPIRY_MILLISECONDS,
 		});
 }
 
@@ -147,7 +147,7 @@
 /**
 Moves all times of the state, when a cell with another group time takes over the service.
 */
-export function shiftQuarantine(state: QuarantineState, shift: number): QuarantineState {
+export function shiftQuarantineTimes(state: QuarantineState, shift: number): QuarantineState {
 	return {
 		...state,
 		entries: state.entries.map(({trial, ...entry}) => ({
@@ -159,7 +159,7 @@
 	};
 }
 
-function tieToCrash(
+function attributeCrash(
 	change: QuarantineChange,
 	fingerprint: string,
 	{name, time}: {readonly name: string; readonly time: number},
@@ -171,28 +171,28 @@
 
 	const crashes = [...known?.crashes ?? [], name];
 	const isQuarantined = crashes.length >= CRASHES_TO_QUARANTINE;
-	return setStanding(change, {
+	return setStatus(change, {
 		fingerprint,
 		standing: isQuarantined ? 'quarantined' : 'suspect',
 		crashes,
-		until: time + (isQuarantined ? QUARANTINE_MILLISECONDS : SUSPICION_MILLISECONDS),
+		until: time + (isQuarantined ? QUARANTINE_DURATION_MILLISECONDS : FINGERPRINT_EXPIRY_MILLISECONDS),
 	});
 }
 
-function setStanding({state, notices}: QuarantineChange, entry: FingerprintEntry): QuarantineChange {
+function setStatus({state, notices}: QuarantineChange, entry: FingerprintEntry): QuarantineChange {
 	const version = state.version + 1;
 	const {fingerprint, standing} = entry;
 	return {
-		state: {...replaceEntry(state, entry), version},
+		state: {...putEntry(state, entry), version},
 		notices: [...notices, {fingerprint, standing, version}],
 	};
 }
 
 // The table is bounded: callers choose what requests look like. A cleared entry goes first, then the oldest suspect; a
 // quarantined one stays, and when all are quarantined the newcomer is dropped.
-function replaceEntry(state: QuarantineState, entry: FingerprintEntry): QuarantineState {
+function putEntry(state: QuarantineState, entry: FingerprintEntry): QuarantineState {
 	const others = state.entries.filter(({fingerprint}) => fingerprint !== entry.fingerprint);
-	if (others.length < MAX_FINGERPRINTS) {
+	if (others.length < MAX_FINGERPRINTS_PER_SERVICE) {
 		return {...state, entries: [...others, entry]};
 	}
 
--- a/packages/wagtailroute-records/src/records.ts
+++ b/packages/wagtailroute-records/src/records.ts
@@ -8,18 +8,18 @@
 import type {
 	Command,
 	CommandName,
-	Commands,
+	CommandPayloads,
 	ServiceState,
 } from './commands.ts';
 import {
-	type Applied,
+	type ApplyResult,
 	DEFAULT_RECORDS_BOUNDS,
 	type Handler,
 	HANDLERS,
 	type RecordsBounds,
 	type Tables,
 } from './handlers.ts';
-import {createIdempotencyTable, type Holder, type IdempotencySnapshot} from './idempotency.ts';
+import {createIdempotencyTable, type RecordHolder, type IdempotencySnapshot} from './idempotency.ts';
 
 /**
 The whole state as plain JSON.
@@ -34,7 +34,7 @@
 The state machine. Commands go through the log; queries read what this member has applied.
 */
 export type Records = {
-	readonly apply: <Name extends CommandName>(command: Command<Name>) => Applied<Name>;
+	readonly apply: <Name extends CommandName>(command: Command<Name>) => ApplyResult<Name>;
 	readonly takeSnapshot: () => RecordsSnapshot;
 	readonly restoreSnapshot: (snapshot: RecordsSnapshot) => void;
 	readonly getGroupTime: () => number;
@@ -43,7 +43,7 @@
 	/**
 	The hosts, by process, that hold running records.
 	*/
-	readonly getHolders: () => readonly Holder[];
+	readonly getHolders: () => readonly RecordHolder[];
 };
 
 /**
--- a/packages/wagtailroute-records/src/shares.ts
+++ b/packages/wagtailroute-records/src/shares.ts
@@ -7,7 +7,7 @@
 counts as its larger predecessor until the host confirms it or the lease of the predecessor ends, since the answer that
 carried it may be lost.
 */
-import {SAFE_FRACTION, SHARE_LINGER_MILLISECONDS} from './constants.ts';
+import {SAFE_FRACTION, SHARE_EXPIRY_MILLISECONDS} from './constants.ts';
 import {divideMaxMin} from './max-min.ts';
 
 /**
@@ -118,7 +118,7 @@
 	const sequence = before.sequence + 1;
 	const grants = before.grants.filter(({host, sequence: earlier, until}) =>
 		until > time && (host !== asked.host || earlier >= asked.holds));
-	const request = {...asked, limit: getLeastLimit(grants, asked)};
+	const request = {...asked, limit: getMinLimit(grants, asked)};
 	const safeParts = renewSafePart(before.safeParts, request, {sequence, round});
 	const safe = safeParts.find(({host}) => host === request.host)?.amount ?? 0;
 	const isSettling = time < before.settlingUntil;
@@ -129,7 +129,7 @@
 		amount,
 		demand: Math.max(0, request.demand - safe),
 		limit: asked.limit,
-		until: time + SHARE_LINGER_MILLISECONDS,
+		until: time + SHARE_EXPIRY_MILLISECONDS,
 	};
 	return {
 		state: {
@@ -143,7 +143,7 @@
 Takes back what a host holds for good. Only for a host that has left the fleet: one that is merely out of reach goes on
 using its safe part.
 */
-export function forgetHost(state: ShareState, host: string): ShareState {
+export function removeHost(state: ShareState, host: string): ShareState {
 	return {
 		...state,
 		grants: state.grants.filter(grant => grant.host !== host),
@@ -157,13 +157,13 @@
 export function getOutstanding(state: ShareState, time: number): number {
 	const safe = state.safeParts.reduce((total, {counted}) => total + counted, 0);
 	const largest = getLargestGrants(state.grants.filter(({until}) => until > time));
-	return safe + getTotal(largest);
+	return safe + sumValues(largest);
 }
 
 /**
 Moves all times of the state, when a cell with another group time takes over the service.
 */
-export function shiftShares(state: ShareState, shift: number): ShareState {
+export function shiftShareTimes(state: ShareState, shift: number): ShareState {
 	return {
 		...state,
 		settlingUntil: state.settlingUntil + shift,
@@ -172,7 +172,7 @@
 }
 
 // A host whose catalogue lags may hold a higher limit than the one in force: the least that live hosts asked by last holds.
-function getLeastLimit(grants: readonly Grant[], {host, limit}: ShareRequest): number {
+function getMinLimit(grants: readonly Grant[], {host, limit}: ShareRequest): number {
 	const latest = new Map(grants.map(grant => [grant.host, grant.limit]));
 	latest.set(host, limit);
 	return Math.min(...latest.values());
@@ -187,7 +187,7 @@
 	const others = safeParts.filter(part => part.host !== host);
 	const own = safeParts.find(part => part.host === host);
 	const pool = limit * SAFE_FRACTION;
-	const left = pool - getSum(others.map(({counted}) => counted));
+	const left = pool - sum(others.map(({counted}) => counted));
 	const equal = Math.min(pool / Math.max(1, carriers), left);
 	const amount = Math.max(0, round(equal));
 	// The host has the earlier, larger part until it confirms the grant that made it smaller.
@@ -206,13 +206,13 @@
 ): number {
 	const own = safeParts.find(part => part.host === host);
 	const safe = own?.amount ?? 0;
-	const counted = getSum(safeParts.map(part => part.counted));
+	const counted = sum(safeParts.map(part => part.counted));
 	const pool = Math.max(0, limit - Math.max(limit * SAFE_FRACTION, counted));
 	const others = grants.filter(grant => grant.host !== host);
 	const latest = new Map(others.map(grant => [grant.host, grant.demand]));
 	const wanted = Math.max(0, demand - safe);
 	const [fair = 0] = divideMaxMin(pool, [wanted, ...latest.values()]);
-	const available = pool - getTotal(getLargestGrants(others));
+	const available = pool - sumValues(getLargestGrants(others));
 	const held = getLargestGrants(grants).get(host) ?? 0;
 	// Requests in flight cannot be given back: what they use stays theirs until they end.
 	const pinned = Math.min(held, inUse - safe);
@@ -229,10 +229,10 @@
 	return largest;
 }
 
-function getTotal(amounts: ReadonlyMap<string, number>): number {
-	return getSum(amounts.values().toArray());
+function sumValues(amounts: ReadonlyMap<string, number>): number {
+	return sum(amounts.values().toArray());
 }
 
-function getSum(amounts: readonly number[]): number {
+function sum(amounts: readonly number[]): number {
 	return amounts.reduce((total, amount) => total + amount, 0);
 }
--- a/scripts/capacity/records-page.ts
+++ b/scripts/capacity/records-page.ts
@@ -31,7 +31,7 @@
 export function writeRecords(facts: Facts): string {
 	const recordBytes = getRows(facts, 'records-claims')?.at(-1)?.['snapshot bytes a record'];
 	const each = typeof recordBytes === 'number' ? recordBytes : undefined;
-	const retention = recordTimes.RETENTION_MILLISECONDS / SECOND;
+	const retention = recordTimes.RECORD_RETENTION_MILLISECONDS / SECOND;
 	const held = FLEET_CLAIMS * retention;
 	const most = recordTimes.MAX_RECORDS;
 	const snapshot = multiply(most, each);
--- a/scripts/capacity/shape.ts
+++ b/scripts/capacity/shape.ts
@@ -45,7 +45,7 @@
 */
 export const ENVELOPE_BYTES = 60;
 
-const NAME: records.RecordName = {
+const NAME: records.RecordId = {
 	service: 'service-1234', organisation: 'organisation-123456', key: '6f1c2e0a-7d0b-4a55-9f1e-2b8f0c3d4e5f',
 };
 const ATTEMPT = 'b0a4c1d2-3e4f-4a5b-8c6d-7e8f9a0b1c2d';
