--- a/packages/wagtailroute-fleet/src/index.ts
+++ b/packages/wagtailroute-fleet/src/index.ts
@@ -5,21 +5,21 @@
 export {type Control, startControl} from './control.ts';
 export {
 	ADDRESS_TTL_SECONDS,
-	MIN_DIRECTORY_ADDRESSES as ADDRESSES_LEAST,
+	MIN_DIRECTORY_ADDRESSES,
 	STANDBY_EXTRA_RESENDS,
 	STANDBYS_MOST,
-	STANDBYS_PER_SERVICE as STANDBYS_TOLD,
+	STANDBYS_PER_SERVICE,
 	UPSTREAM_CONNECT_MILLISECONDS,
 } from './constants.ts';
 export {type Absences, startAbsences} from './absences.ts';
 export {type Allotting, startAllotting} from './allotting.ts';
 export {createAskers} from './askers.ts';
-export {createSlotRequestMethods as createAskMethods} from './slot-request-methods.ts';
-export type {EncodedAnswer as ShortAnswer} from './slot-request-encoding.ts';
+export {createSlotRequestMethods} from './slot-request-methods.ts';
+export type {EncodedAnswer} from './slot-request-encoding.ts';
 export {type Asking, createAsking} from './asking.ts';
 export type {OpenControl} from './control-links.ts';
 export {orderDispatchers} from './dispatch-order.ts';
-export {type HostDispatcher as Dispatching, startHostDispatcher as startDispatching} from './host-dispatcher.ts';
+export {type HostDispatcher, startHostDispatcher} from './host-dispatcher.ts';
 export {type Belief, METHODS, type ServiceUpdates} from './messages.ts';
 export {createRequestShare, type RequestShare} from './request-share.ts';
 export {createRouter, type Router} from './routing.ts';
--- a/packages/wagtailroute-lab/src/fleet.ts
+++ b/packages/wagtailroute-lab/src/fleet.ts
@@ -96,13 +96,13 @@
 	readonly endpoint: Endpoint;
 	readonly allotting: fleet.Allotting;
 	readonly askers: ReturnType<typeof fleet.createAskers>;
-	readonly dispatching: fleet.Dispatching;
+	readonly dispatching: fleet.HostDispatcher;
 };
 
 type Entry = EntryHost & {
 	readonly endpoint: Endpoint;
 	readonly askers: ReturnType<typeof fleet.createAskers>;
-	readonly own: fleet.Dispatching;
+	readonly own: fleet.HostDispatcher;
 	readonly asking: fleet.Asking;
 	readonly controls: fleet.OpenControl[];
 	readonly standbys: fleet.OpenControl[];
@@ -151,7 +151,7 @@
 
 	find({failureDomain, entry}: Arrival): EntryHost | undefined {
 		const near = this.#entries.filter(host => host.failureDomain === failureDomain && host.endpoint.state === 'up');
-		return near[Math.floor(entry * Math.min(fleet.ADDRESSES_LEAST, near.length))];
+		return near[Math.floor(entry * Math.min(fleet.MIN_DIRECTORY_ADDRESSES, near.length))];
 	}
 
 	refresh(service: core.ServiceName): void {
@@ -226,7 +226,7 @@
 		const {scenario} = this.#plan;
 		this.#controls = Array.from({length: scenario.controlHosts}, (_, index) => this.#createControl(index));
 		this.#entries = scenario.failureDomains.flatMap(failureDomain =>
-			Array.from({length: Math.min(scenario.entryHostsPerDomain, fleet.ADDRESSES_LEAST)}, (_, index) => this.#createEntry(failureDomain, index)));
+			Array.from({length: Math.min(scenario.entryHostsPerDomain, fleet.MIN_DIRECTORY_ADDRESSES)}, (_, index) => this.#createEntry(failureDomain, index)));
 		for (const entry of this.#entries) {
 			for (const control of this.#controls) {
 				this.#connect(entry, control);
@@ -341,14 +341,14 @@
 			requestShare,
 			isTold: true,
 			extra: scenario.budget.extra,
-			listStandbys: service => fleet.orderDispatchers(service, this.#listStandbys(), host => host).slice(0, fleet.STANDBYS_TOLD),
+			listStandbys: service => fleet.orderDispatchers(service, this.#listStandbys(), host => host).slice(0, fleet.STANDBYS_PER_SERVICE),
 			tellControls: message => {
 				this.#tellControls(id, message);
 			},
 			getState: () => endpoint.state,
 		});
 		register(methods, {
-			...fleet.createAskMethods(dispatching, askers.findByLink),
+			...fleet.createSlotRequestMethods(dispatching, askers.findByLink),
 			[fleet.METHODS.probe]: () => ({}),
 			...Object.fromEntries(Object.entries(MESSAGE_HANDLERS).map(([method, handle]): [string, link.LinkMethod] => [method, (parameters: never, over) => {
 				handle({dispatching, allotting}, parameters, over);
@@ -414,10 +414,10 @@
 		/**
 		Takes what is for this host itself.
 		*/
-		readonly onAnswer?: (parameters: [number, fleet.ShortAnswer]) => void;
-	}): fleet.Dispatching {
+		readonly onAnswer?: (parameters: [number, fleet.EncodedAnswer]) => void;
+	}): fleet.HostDispatcher {
 		const {clock, random, scenario, variant, listCandidates, onSuspended} = this.#plan;
-		return fleet.startDispatching(createContext(clock, random, onSuspended), {
+		return fleet.startHostDispatcher(createContext(clock, random, onSuspended), {
 			settings: {budget: {...scenario.budget, extra}, floor: scenario.floor, policy: variant.policy},
 			allotting,
 			requestShare,
@@ -427,7 +427,7 @@
 			notify(host, method, parameters) {
 				const over = askers.find(host);
 				if (over === undefined && method === fleet.METHODS.answer) {
-					onAnswer?.(parameters as [number, fleet.ShortAnswer]);
+					onAnswer?.(parameters as [number, fleet.EncodedAnswer]);
 				} else if (getState() === 'up') {
 					over?.notify(method, parameters);
 				}
@@ -498,14 +498,14 @@
 			getLinkDelay: () => 0,
 		});
 		register(methods, {
-			[fleet.METHODS.answer]([ask, answer]: [number, fleet.ShortAnswer]) {
+			[fleet.METHODS.answer]([ask, answer]: [number, fleet.EncodedAnswer]) {
 				asking.hearAnswer(ask, answer);
 			},
 			[fleet.METHODS.believe]: own.applyBelief,
 			[fleet.METHODS.updates]: own.applyUpdates,
 			[fleet.METHODS.use]: allotting.hearUse,
 			[fleet.METHODS.beliefNews]: own.applyBeliefs,
-			...fleet.createAskMethods(own, askers.findByLink),
+			...fleet.createSlotRequestMethods(own, askers.findByLink),
 		});
 		const {promise, resolve} = Promise.withResolvers<'left'>();
 		const entry: Entry = {
