--- a/packages/wagtailroute-dispatch/src/choosing.ts
+++ b/packages/wagtailroute-dispatch/src/choosing.ts
@@ -1,11 +1,11 @@
 /**
-The choice of an upstream for one ask.
+Choice of an upstream for a slot request.
 
-Each request goes where the least is to be lost, be it time or the request. Only to an upstream that is suspended, requests that may be
-repeated go first: so the end of a bad spell is found by a request that can be sent again, wherever there are such requests.
+A request goes to the upstream with the lowest cost: expected delay, crossing of failure domains, doubt and risk. To suspended upstreams idempotent
+requests go first, where there are any: they find the end of a failure period and can be sent again when it has not ended.
 */
 import * as core from 'wagtailroute-core';
-import type {Ask} from './asks.ts';
+import type {SlotRequest} from './slot-requests.ts';
 import type {Policy} from './policy.ts';
 import {
 	getBackoff,
@@ -13,8 +13,8 @@
 	getRisk,
 	getSlowness,
 	hasCapacity,
-	isPathBad,
-	isQuiet,
+	isIdle,
+	isPathSuspect,
 	isServing,
 	isSuspended,
 	type Upstream,
@@ -29,30 +29,30 @@
 };
 
 /**
-What a choice may know.
+State on which the choice depends.
 */
-export type ChoiceCircumstances = {
+export type ChoiceContext = {
 	readonly now: number;
 	/**
 	Uniform in [0, 1).
 	*/
 	readonly random: () => number;
 	/**
-	Milliseconds that the ask has waited.
+	Milliseconds that the request has been queued here.
 	*/
-	readonly waitedMilliseconds: number;
+	readonly queuedMilliseconds: number;
 	/**
-	All upstreams of the service, free or not.
+	All upstreams of the service, with or without a free slot.
 	*/
-	readonly known: ReadonlyMap<core.UpstreamId, Upstream>;
+	readonly allUpstreams: ReadonlyMap<core.UpstreamId, Upstream>;
 	/**
-	Upstreams that get nothing are missed: requests fail, and none may be repeated.
+	Whether idle upstreams are tried sooner, since requests fail and no idempotent ones came recently.
 	*/
-	readonly isMissed: boolean;
+	readonly needsIdleUpstreams: boolean;
 	readonly policy: Policy;
 };
 
-const DOMAIN_WAITS = {
+const DOMAIN_WAIT_FIELDS = {
 	read: 'domainWaitMilliseconds',
 	idempotent: 'domainWaitMilliseconds',
 	'non-idempotent': 'unrepeatableDomainWaitMilliseconds',
@@ -60,20 +60,21 @@
 } as const satisfies Record<core.RequestClass, keyof Policy>;
 
 /**
-Chooses an upstream with nothing serious against it, or none.
+Returns the available upstream with the lowest cost; undefined when there is none, or when the request should wait for a slot in its own failure
+domain.
 
-@param upstreams Those with a free slot that are not suspended.
+@param upstreams Upstreams that are not suspended and have a free slot.
 */
-export function choose(upstreams: Iterable<Upstream>, ask: Ask, circumstances: ChoiceCircumstances): Choice | undefined {
-	const {now, random, isMissed} = circumstances;
+export function choose(upstreams: Iterable<Upstream>, request: SlotRequest, context: ChoiceContext): Choice | undefined {
+	const {now, random, needsIdleUpstreams} = context;
 	let best: Upstream | undefined;
 	let bestCost = Infinity;
 	for (const upstream of upstreams) {
-		if (!isOpen(upstream, ask, now)) {
+		if (!isAvailable(upstream, request, now)) {
 			continue;
 		}
 
-		const cost = getCost(upstream, ask, {now, isMissed}) + (random() * upstream.policy.spreadCost);
+		const cost = getCost(upstream, request, {now, needsIdleUpstreams}) + (random() * upstream.policy.spreadCost);
 		if (!(cost < bestCost)) {
 			continue;
 		}
@@ -82,79 +83,78 @@
 		bestCost = cost;
 	}
 
-	const isAbroad = best !== undefined && best.candidate.failureDomain !== ask.failureDomain;
-	const findsOut = best !== undefined && (isMissed || core.isIdempotent(ask.requestClass)) && isRested(best, now);
-	return best === undefined || (isAbroad && !findsOut && waitsForHome(ask, circumstances)) ? undefined : {upstream: best, isTrial: false};
+	const isCrossing = best !== undefined && best.candidate.failureDomain !== request.failureDomain;
+	const isExploring = best !== undefined && (needsIdleUpstreams || core.isIdempotent(request.requestClass)) && isRested(best, now);
+	return best === undefined || (isCrossing && !isExploring && isWaitingForOwnDomain(request, context)) ? undefined : {upstream: best, isTrial: false};
 }
 
 /**
-Says whether an ask waits for a slot of its own failure domain. Under load a slot comes free there within milliseconds; taking the first
-one anywhere, nearly half of all requests would cross, and each leaves its slot at home to another that crosses.
+Returns whether a request should wait for a slot in its own failure domain. Under load one becomes free there within milliseconds. If each request
+took the first free slot of any domain, nearly half of all requests would cross, each leaving a slot in its own domain to another that crosses.
 */
-function waitsForHome(ask: Ask, {now, waitedMilliseconds, known, policy}: ChoiceCircumstances): boolean {
-	const left = policy[DOMAIN_WAITS[ask.requestClass]] - waitedMilliseconds;
-	return !ask.isResend
-		&& left > 0
-		&& known.values().some(upstream => upstream.candidate.failureDomain === ask.failureDomain
+function isWaitingForOwnDomain(request: SlotRequest, {now, queuedMilliseconds, allUpstreams, policy}: ChoiceContext): boolean {
+	const remainingWait = policy[DOMAIN_WAIT_FIELDS[request.requestClass]] - queuedMilliseconds;
+	return !request.isResend
+		&& remainingWait > 0
+		&& allUpstreams.values().some(upstream => upstream.candidate.failureDomain === request.failureDomain
 			&& !isSuspended(upstream, now)
-			&& (upstream.rateLimit?.getDelay(now) ?? 0) < left
-			&& isSuitable(upstream, ask, now)
-			// Where the request is likely to be lost, it had better cross.
-			&& getRisk(upstream, now) * policy.riskCost < getCrossingCost(ask, policy));
+			&& (upstream.rateLimit?.getDelay(now) ?? 0) < remainingWait
+			&& isEligible(upstream, request, now)
+			// Crossing is better than an upstream at which the request is likely to fail.
+			&& getRisk(upstream, now) * policy.riskCost < getCrossingCost(request, policy));
 }
 
-function getCrossingCost({requestClass}: Ask, {uploadDomainCost, domainCost}: Policy): number {
+function getCrossingCost({requestClass}: SlotRequest, {uploadDomainCost, domainCost}: Policy): number {
 	return requestClass === 'upload' ? uploadDomainCost : domainCost;
 }
 
 /**
-What a trial may know.
+State on which the choice of a trial depends.
 */
-export type TrialCircumstances = {
+export type TrialContext = {
 	readonly now: number;
 	/**
-	Requests that may be repeated came lately.
+	Whether idempotent requests came recently.
 	*/
-	readonly hasRepeatable: boolean;
+	readonly hasRecentIdempotent: boolean;
 	/**
-	No upstream in use has a free slot.
+	Whether no upstream that is not suspended has a free slot.
 	*/
 	readonly isFull: boolean;
 	/**
-	Upstreams that get nothing are missed: requests fail, and none may be repeated.
+	Whether idle upstreams are tried sooner, since requests fail and no idempotent ones came recently.
 	*/
-	readonly isMissed: boolean;
+	readonly needsIdleUpstreams: boolean;
 };
 
 /**
-Chooses a suspended upstream whose trial is due, or none: for an ask that would wait behind others.
+Returns the suspended upstream whose trial has been due for longest, or undefined. A trial uses a request that would otherwise wait in the queue.
 
-@param upstreams Suspended ones.
+@param upstreams Suspended upstreams.
 */
-export function chooseTrial(upstreams: Iterable<Upstream>, ask: Ask, circumstances: TrialCircumstances): Choice | undefined {
-	const {now} = circumstances;
+export function chooseTrial(upstreams: Iterable<Upstream>, request: SlotRequest, context: TrialContext): Choice | undefined {
+	const {now} = context;
 	let trial: Upstream | undefined;
-	let trialAt = now;
+	let earliestDueAt = now;
 	for (const upstream of upstreams) {
-		const at = getTrialTime(upstream, ask, circumstances);
-		const isNext = at <= trialAt && isOpen(upstream, ask, now) && isTriable(upstream, ask);
+		const at = getTrialDueAt(upstream, request, context);
+		const isNext = at <= earliestDueAt && isAvailable(upstream, request, now) && isTrialAllowed(upstream, request);
 		trial = isNext ? upstream : trial;
-		trialAt = isNext ? at : trialAt;
+		earliestDueAt = isNext ? at : earliestDueAt;
 	}
 
 	return trial && {upstream: trial, isTrial: true};
 }
 
 /**
-Chooses the suspended upstream with the least against it: for a request that would else be refused, when so many are
-suspended that the service is below its floor.
+Returns the suspended upstream with the least doubt, or undefined. It serves a request that would otherwise be refused.
 */
-export function chooseReserve(upstreams: Iterable<Upstream>, ask: Ask, now: number): Choice | undefined {
+export function chooseFallback(upstreams: Iterable<Upstream>, request: SlotRequest, now: number): Choice | undefined {
 	let best: Upstream | undefined;
 	let bestDoubt = Infinity;
 	for (const upstream of upstreams) {
 		const doubt = getDoubt(upstream, now);
-		if (!(doubt < bestDoubt && isSuspended(upstream, now) && isOpen(upstream, ask, now))) {
+		if (!(doubt < bestDoubt && isSuspended(upstream, now) && isAvailable(upstream, request, now))) {
 			continue;
 		}
 
@@ -166,69 +166,70 @@
 }
 
 /**
-Says whether an upstream could take the ask now if nothing spoke against it but doubt.
+Returns whether an upstream can take the request now, whether or not it is suspended.
 */
-function isOpen(upstream: Upstream, ask: Ask, now: number): boolean {
+function isAvailable(upstream: Upstream, request: SlotRequest, now: number): boolean {
 	return hasCapacity(upstream, now)
 		&& upstream.closedUntil <= now
-		&& isSuitable(upstream, ask, now);
+		&& isEligible(upstream, request, now);
 }
 
 /**
-The same once it has a free slot.
+Returns whether an upstream can take the request as soon as it has capacity.
 */
-function isSuitable(upstream: Upstream, ask: Ask, now: number): boolean {
+function isEligible(upstream: Upstream, request: SlotRequest, now: number): boolean {
 	const {candidate} = upstream;
 	return isServing(upstream)
 		&& candidate.slots > 0
-		&& !ask.excluded.includes(candidate.upstream)
-		&& getBackoff(upstream, ask.host, now) === 0
-		&& !isPathBad(upstream, ask.host, now);
+		&& !request.excluded.includes(candidate.upstream)
+		&& getBackoff(upstream, request.host, now) === 0
+		&& !isPathSuspect(upstream, request.host, now);
 }
 
 /**
-One trial at a time, and none by a request that has failed already.
+Returns whether the request may be a trial: one trial at a time, none of a silent upstream, and none with a resend, which has failed already.
 */
-function isTriable({candidate, places}: Upstream, ask: Ask): boolean {
-	return !ask.isResend && !candidate.isSilent && places.size === 0;
+function isTrialAllowed({candidate, heldSlots}: Upstream, request: SlotRequest): boolean {
+	return !request.isResend && !candidate.isSilent && heldSlots.size === 0;
 }
 
 /**
-One success is no proof yet: where requests that may be repeated come at all, further trials are left to them. Where none come and no upstream in use has a
-free slot, nothing is waited for: half of a small pool may be suspended for seconds after its spells have passed, and everybody waits for the other half. A
-trial may cost one request; the wait makes all of them late. The same where requests fail although there are free slots: spells end while the upstreams that
-take their place fall ill.
+Returns the time from which the request may be a trial of the upstream.
+
+One success does not prove that a failure period has ended, so further trials are left to idempotent requests where there are any. Where there are
+none and no upstream has a free slot, non-idempotent requests are not delayed: half of a small pool may stay suspended for seconds after its failure
+periods have ended, while all requests wait for the other half. A trial may lose one request; the delay makes all of them late. The same applies when
+requests fail although slots are free: suspended upstreams recover while those that replace them fail.
 */
-function getTrialTime(upstream: Upstream, ask: Ask, {hasRepeatable, isFull, isMissed}: TrialCircumstances): number {
-	const {candidate, trialAt, provenAt, failedAt, policy} = upstream;
-	const isHopeful = provenAt > failedAt && !hasRepeatable;
-	const isPressed = isFull && !hasRepeatable;
-	const extra = isHopeful || isPressed || core.isIdempotent(ask.requestClass) ? 0 : policy.unrepeatableTrialMilliseconds;
-	const usual = trialAt + extra + (candidate.failureDomain === ask.failureDomain ? 0 : policy.domainTrialMilliseconds);
-	return isMissed ? Math.min(usual, Math.max(trialAt, failedAt + getShortfallWait(upstream))) : usual;
+function getTrialDueAt(upstream: Upstream, request: SlotRequest, {hasRecentIdempotent, isFull, needsIdleUpstreams}: TrialContext): number {
+	const {candidate, nextTrialAt, lastSuccessAt, lastFailureAt, policy} = upstream;
+	const isLikelyRecovered = lastSuccessAt > lastFailureAt && !hasRecentIdempotent;
+	const isOutOfSlots = isFull && !hasRecentIdempotent;
+	const extra = isLikelyRecovered || isOutOfSlots || core.isIdempotent(request.requestClass) ? 0 : policy.unrepeatableTrialMilliseconds;
+	const dueAt = nextTrialAt + extra + (candidate.failureDomain === request.failureDomain ? 0 : policy.domainTrialMilliseconds);
+	return needsIdleUpstreams ? Math.min(dueAt, Math.max(nextTrialAt, lastFailureAt + getShortfallTrialDelay(upstream))) : dueAt;
 }
 
-function getShortfallWait({failedTrials, policy}: Upstream): number {
+function getShortfallTrialDelay({failedTrials, policy}: Upstream): number {
 	return Math.min(policy.shortfallTrialMostMilliseconds, policy.shortfallTrialLeastMilliseconds * (2 ** failedTrials));
 }
 
 /**
-Weighs what may be lost at an upstream against what it takes longer elsewhere. The risk tells by the ages of the requests under way there,
-long before the first of them ends.
+Returns the cost of an upstream for a request. The risk rises with the ages of the requests in progress there, long before the first of them ends.
 */
-function getCost(upstream: Upstream, ask: Ask, {now, isMissed}: Pick<ChoiceCircumstances, 'now' | 'isMissed'>): number {
-	const {candidate, places, policy} = upstream;
-	const load = (places.size + 1) / candidate.slots;
+function getCost(upstream: Upstream, request: SlotRequest, {now, needsIdleUpstreams}: Pick<ChoiceContext, 'now' | 'needsIdleUpstreams'>): number {
+	const {candidate, heldSlots, policy} = upstream;
+	const load = (heldSlots.size + 1) / candidate.slots;
 	return (getSlowness(upstream, now) * (1 + load))
-		+ (candidate.failureDomain === ask.failureDomain ? 0 : getCrossingCost(ask, policy))
+		+ (candidate.failureDomain === request.failureDomain ? 0 : getCrossingCost(request, policy))
 		+ (getDoubt(upstream, now) * policy.doubtCost)
 		+ (getRisk(upstream, now) * policy.riskCost)
-		- (isRested(upstream, now) ? getRestGain(upstream, ask, {now, isMissed}) : 0);
+		- (isRested(upstream, now) ? getRestGain(upstream, request, {now, needsIdleUpstreams}) : 0);
 }
 
-function getRestGain(upstream: Upstream, {requestClass}: Ask, {now, isMissed}: Pick<ChoiceCircumstances, 'now' | 'isMissed'>): number {
+function getRestGain(upstream: Upstream, {requestClass}: SlotRequest, {now, needsIdleUpstreams}: Pick<ChoiceContext, 'now' | 'needsIdleUpstreams'>): number {
 	const {restGain, repeatableRestGain, shortfallRestGain} = upstream.policy;
-	if (isMissed && now - upstream.failedAt >= getShortfallWait(upstream)) {
+	if (needsIdleUpstreams && now - upstream.lastFailureAt >= getShortfallTrialDelay(upstream)) {
 		return shortfallRestGain;
 	}
 
@@ -236,9 +237,9 @@
 }
 
 /**
-With little traffic, those proved last would get all of it, and the others, quiet for ever longer, nothing: they would be missing when one of
-the few fails.
+Returns whether an upstream has had no request for a while. With little traffic, the upstreams with the latest successes would otherwise get all
+requests, and the others none: they would be unavailable as replacements when one of the few fails.
 */
 function isRested(upstream: Upstream, now: number): boolean {
-	return isQuiet(upstream, upstream.policy.restMilliseconds, now);
+	return isIdle(upstream, upstream.policy.restMilliseconds, now);
 }
--- a/packages/wagtailroute-dispatch/src/dispatcher.ts
+++ b/packages/wagtailroute-dispatch/src/dispatcher.ts
@@ -1,11 +1,11 @@
 /**
-Gives out the slots of backend servers, one request at a time, for all hosts that ask.
+Dispatcher: grants the slots of backend servers to requests, one at a time, for all entry hosts that ask it.
 
-A host that carries a few requests a second can neither find the free slot among hundreds nor tell a sick upstream from a
-well one. Here all requests of a service come together: each gets a slot that is free, waits for the next one, or is
-refused at once when none can come in time; and what becomes of one request is known before the next one is placed.
+An entry host with a few requests per second can neither find the free slot among hundreds nor distinguish a failing upstream from a healthy one. Here
+all requests of a service come together: each is granted a free slot, is queued for the next one, or is refused at once when none can become free in
+time. The ending of one request is known before the next one is placed.
 
-It holds no promise of its own: lost, it is replaced by another host's, which is told what is under way.
+A dispatcher keeps no durable state. When it fails, another host's dispatcher replaces it, to which the entry hosts report the requests in progress.
 */
 import * as core from 'wagtailroute-core';
 import {
@@ -15,26 +15,26 @@
 	recordAdvertisement,
 } from './advertisements.ts';
 import {
-	type Ask,
-	type AskId,
 	type Candidate,
 	type Effect,
 	type Ending,
-	type HeldPlace,
+	type HeldSlotReport,
 	type RefusalReason,
+	type SlotRequest,
+	type SlotRequestId,
 	type UpstreamUpdate,
-} from './asks.ts';
+} from './slot-requests.ts';
 import {createBudget} from './budget.ts';
 import {
+	type Choice,
+	type ChoiceContext,
 	choose,
-	chooseReserve,
+	chooseFallback,
 	chooseTrial,
-	type Choice,
-	type ChoiceCircumstances,
 } from './choosing.ts';
 import {
-	ABANDONED_MILLISECONDS,
-	LOOKED_AT_MOST,
+	HELD_SLOT_GRACE_MILLISECONDS,
+	MAX_QUEUE_SCAN,
 } from './constants.ts';
 import type {Dispatcher, DispatcherSettings, UpstreamReport} from './dispatcher-types.ts';
 import {type IdleUpstream, listIdleUpstreams} from './idle-upstreams.ts';
@@ -42,40 +42,40 @@
 import {createShortfall} from './shortfall.ts';
 import {ServiceRateLimits} from './service-rate-limits.ts';
 import {
-	countUntil,
+	countQueuedUntil,
 	countUsableSlots,
+	createTrialContext,
 	getBackoffDelay,
-	getTrialCircumstances,
-	getTurn,
-	getUsual,
-	hasUsableSlot,
+	getQueueKey,
+	getUsualMilliseconds,
+	hasUsableUpstream,
 	isBelowFloor,
-	isMissed,
+	isDeadlineUnreachable,
 	isObjectiveMissed,
-	isTooLate,
-	learnUsual,
-	listDueTrials,
-	listFree,
+	listFreeUpstreams,
+	listTrialUpstreams,
+	needsIdleUpstreams,
+	type QueuedRequest,
+	recordUsualMilliseconds,
 	type Service,
-	type Waiting,
 } from './services.ts';
 import {
-	createHeldPlace,
+	applyEnding,
+	applyReportedDoubt,
+	createHeldSlot,
 	createUpstream,
-	fadeDoubt,
+	decayDoubt,
 	getDoubt,
 	hasCapacity,
+	type HeldSlot,
 	isSuspended,
 	listBackoffs,
-	type Place,
-	takeBelief,
+	recordResponseTime,
 	type Upstream,
-	weighEnding,
-	weighTime,
 } from './upstreams.ts';
 
 /**
-Creates a dispatcher that knows no upstream.
+Creates a dispatcher without services or upstreams.
 */
 export function createDispatcher(settings: DispatcherSettings): Dispatcher {
 	return new SlotDispatcher(settings);
@@ -84,67 +84,70 @@
 class SlotDispatcher implements Dispatcher {
 	readonly #settings: DispatcherSettings;
 	readonly #services = new Map<core.ServiceName, Service>();
-	readonly #places = new Map<AskId, Place>();
-	readonly #waiting = new Map<AskId, Service>();
+	readonly #heldSlots = new Map<SlotRequestId, HeldSlot>();
+	/**
+	Services of the queued requests, by id of the request.
+	*/
+	readonly #servicesByQueuedId = new Map<SlotRequestId, Service>();
 
 	constructor(settings: DispatcherSettings) {
 		this.#settings = settings;
 	}
 
-	ask(ask: Ask, now: number): readonly Effect[] {
-		const service = this.#getService(ask.service);
-		service.rateLimits.recordAsk(now);
-		if (ask.isMove) {
-			return [this.#moveOrRefuse(service, ask, now)];
+	requestSlot(request: SlotRequest, now: number): readonly Effect[] {
+		const service = this.#getService(request.service);
+		service.rateLimits.recordRequest(now);
+		if (request.isMove) {
+			return [this.#moveOrRefuse(service, request, now)];
 		}
 
-		if (ask.isResend) {
-			if (!service.budget.takeResend(now)) {
-				return [refuse(ask, 'budget', service.policy.retryAfterLeastMilliseconds)];
+		if (request.isResend) {
+			if (!service.budget.consumeResend(now)) {
+				return [refuse(request, 'budget', service.policy.retryAfterLeastMilliseconds)];
 			}
-		} else if (ask.isAgain !== true) {
-			// Counted at each dispatcher that its host turned to, one request would earn several resends.
+		} else if (request.isAgain !== true) {
+			// Counted at each dispatcher that its entry host turned to, one request would earn several resends.
 			service.budget.countRequest(now);
-			service.shortfall.recordAsk(now);
+			service.shortfall.recordRequest(now);
 		}
 
-		service.repeatableAt = core.isIdempotent(ask.requestClass) ? now : service.repeatableAt;
-		const waiting = this.#addWaiting(service, ask, now);
-		const effects = this.#serveWaiting(service, now);
-		return this.#waiting.has(ask.id) ? [...effects, ...this.#waitOrRefuse(service, waiting, now)] : effects;
+		service.lastIdempotentAt = core.isIdempotent(request.requestClass) ? now : service.lastIdempotentAt;
+		const queued = this.#enqueue(service, request, now);
+		const effects = this.#serveQueue(service, now);
+		return this.#servicesByQueuedId.has(request.id) ? [...effects, ...this.#waitOrRefuse(service, queued, now)] : effects;
 	}
 
-	cancel(id: AskId): Ask | undefined {
-		const service = this.#waiting.get(id);
-		return service && this.#removeWaiting(service, id);
+	cancel(id: SlotRequestId): SlotRequest | undefined {
+		const service = this.#servicesByQueuedId.get(id);
+		return service && this.#dequeue(service, id);
 	}
 
-	findGranted(id: AskId): Ask | undefined {
-		return this.#places.get(id)?.ask;
+	findGrantedRequest(id: SlotRequestId): SlotRequest | undefined {
+		return this.#heldSlots.get(id)?.request;
 	}
 
-	end(id: AskId, {ending, milliseconds}: {readonly ending: Ending; readonly milliseconds: number}, now: number): readonly Effect[] {
-		const place = this.#places.get(id);
-		if (place === undefined) {
+	end(id: SlotRequestId, {ending, milliseconds}: {readonly ending: Ending; readonly milliseconds: number}, now: number): readonly Effect[] {
+		const heldSlot = this.#heldSlots.get(id);
+		if (heldSlot === undefined) {
 			return [];
 		}
 
-		const service = this.#getService(place.service);
-		const upstream = service.upstreams.get(place.upstream);
-		this.#free(place);
+		const service = this.#getService(heldSlot.service);
+		const upstream = service.upstreams.get(heldSlot.upstream);
+		this.#releaseSlot(heldSlot);
 		const effects: Effect[] = [];
 		if (upstream !== undefined) {
 			const wasSuspended = isSuspended(upstream, now);
-			weighEnding(upstream, place, ending, now);
-			// Trials that find the spell still there must not be what keeps upstreams tried.
-			if (FAILURES.has(ending) && !place.isTrial) {
+			applyEnding(upstream, heldSlot, ending, now);
+			// Failed trials must not count as a shortfall: they would cause more trials.
+			if (FAILURE_ENDINGS.has(ending) && !heldSlot.isTrial) {
 				service.shortfall.recordFailure(now);
 			}
 
 			if (ending === 'success') {
-				weighTime(upstream, place, milliseconds, now);
-				learnUsual(service, place.route, milliseconds);
-				effects.push(...this.#liftRateLimit(service, upstream, place));
+				recordResponseTime(upstream, heldSlot, milliseconds, now);
+				recordUsualMilliseconds(service, heldSlot.route, milliseconds);
+				effects.push(...this.#liftRateLimit(service, upstream, heldSlot));
 			} else if (ending === 'unused') {
 				service.rateLimits.consume(upstream, -1, now);
 			}
@@ -153,7 +156,7 @@
 				effects.push({
 					kind: 'believe',
 					service: service.name,
-					upstream: place.upstream,
+					upstream: heldSlot.upstream,
 					doubt: upstream.doubt,
 					isSuspended: !wasSuspended,
 					cause: ending,
@@ -161,20 +164,20 @@
 			}
 		}
 
-		return [...effects, ...this.#serveWaiting(service, now)];
+		return [...effects, ...this.#serveQueue(service, now)];
 	}
 
-	recordAdvertisements(id: AskId, advertisements: readonly core.Advertisement[], now: number): readonly Effect[] {
-		const place = this.#places.get(id);
-		const service = place && this.#services.get(place.service);
-		const upstream = place && service?.upstreams.get(place.upstream);
-		if (place === undefined || service === undefined || upstream === undefined) {
+	recordAdvertisements(id: SlotRequestId, advertisements: readonly core.Advertisement[], now: number): readonly Effect[] {
+		const heldSlot = this.#heldSlots.get(id);
+		const service = heldSlot && this.#services.get(heldSlot.service);
+		const upstream = heldSlot && service?.upstreams.get(heldSlot.upstream);
+		if (heldSlot === undefined || service === undefined || upstream === undefined) {
 			return [];
 		}
 
-		const source = {upstream, host: place.host};
+		const source = {upstream, host: heldSlot.host};
 		const effects = advertisements.flatMap(advertisement => recordAdvertisement(service, source, advertisement, now));
-		return [...effects, ...this.#refuseStranded(service, advertisements, now)];
+		return [...effects, ...this.#refuseUnservable(service, advertisements, now)];
 	}
 
 	applyUpdates(name: core.ServiceName, updates: readonly UpstreamUpdate[], now: number): readonly Effect[] {
@@ -186,7 +189,7 @@
 			}
 		}
 
-		return this.#refuseStranded(service, updates, now);
+		return this.#refuseUnservable(service, updates, now);
 	}
 
 	isSharingRateLimits(service: core.ServiceName, now: number): boolean {
@@ -201,51 +204,51 @@
 		return collectUpdates(this.#services.values(), service => listUpdates(service, now));
 	}
 
-	hold(host: core.HostId, service: core.ServiceName, held: readonly HeldPlace[], now: number): void {
-		for (const place of this.#places.values().filter(present => present.host === host && present.service === service)) {
-			this.#free(place);
+	replaceHeldSlots(host: core.HostId, service: core.ServiceName, reports: readonly HeldSlotReport[], now: number): void {
+		for (const heldSlot of this.#heldSlots.values().filter(other => other.host === host && other.service === service)) {
+			this.#releaseSlot(heldSlot);
 		}
 
-		const present = this.#getService(service);
-		for (const item of held) {
-			const upstream = present.upstreams.get(item.upstream);
-			const place = createHeldPlace(item, present.usual.get(item.route) ?? (item.ageMilliseconds + item.remainingMilliseconds), now);
-			this.#places.set(place.id, place);
-			upstream?.places.set(place.id, place);
+		const knownService = this.#getService(service);
+		for (const report of reports) {
+			const upstream = knownService.upstreams.get(report.upstream);
+			const heldSlot = createHeldSlot(report, knownService.usualMillisecondsByRoute.get(report.route) ?? (report.ageMilliseconds + report.remainingMilliseconds), now);
+			this.#heldSlots.set(heldSlot.id, heldSlot);
+			upstream?.heldSlots.set(heldSlot.id, heldSlot);
 		}
 	}
 
 	setCandidates(name: core.ServiceName, candidates: readonly Candidate[], now: number): readonly Effect[] {
 		const service = this.#getService(name);
-		const named = new Set(candidates.map(candidate => candidate.upstream));
+		const candidateIds = new Set(candidates.map(candidate => candidate.upstream));
 		for (const [id, upstream] of service.upstreams) {
-			// Its places stay counted in the table of places, so that their ends are known when they come.
-			if (!named.has(id) && upstream.places.size === 0) {
+			// Its held slots are kept, so that the endings of their requests are still recorded.
+			if (!candidateIds.has(id) && upstream.heldSlots.size === 0) {
 				service.rateLimits.remove(upstream);
 				service.upstreams.delete(id);
-			} else if (!named.has(id)) {
+			} else if (!candidateIds.has(id)) {
 				upstream.candidate = {...upstream.candidate, isDraining: true};
 			}
 		}
 
 		for (const candidate of candidates) {
-			const present = service.upstreams.get(candidate.upstream);
-			if (present === undefined) {
+			const existing = service.upstreams.get(candidate.upstream);
+			if (existing === undefined) {
 				service.upstreams.set(candidate.upstream, createUpstream(candidate, service.policy, now));
 			} else {
-				// A heartbeat that is newer than the answer of another instance says that the address is its own again.
-				present.isMisdirected &&= core.formatAddress(present.candidate.address) === core.formatAddress(candidate.address);
-				present.candidate = candidate;
+				// A heartbeat with a new address, after the answer of another instance, means that the upstream has an address of its own again.
+				existing.isMisdirected &&= core.formatAddress(existing.candidate.address) === core.formatAddress(candidate.address);
+				existing.candidate = candidate;
 			}
 		}
 
-		return this.#serveWaiting(service, now);
+		return this.#serveQueue(service, now);
 	}
 
 	setDoubt(service: core.ServiceName, upstream: core.UpstreamId, doubt: number, now: number): void {
 		const known = this.#services.get(service)?.upstreams.get(upstream);
 		if (known !== undefined) {
-			takeBelief(known, doubt, now);
+			applyReportedDoubt(known, doubt, now);
 		}
 	}
 
@@ -256,29 +259,29 @@
 		now: number,
 	): void {
 		const known = this.#services.get(service)?.upstreams.get(upstream);
-		const left = known === undefined ? 0 : fadeDoubt(known.policy, doubt, ageMilliseconds);
-		if (known !== undefined && left > getDoubt(known, now)) {
-			takeBelief(known, left, now);
+		const remainingDoubt = known === undefined ? 0 : decayDoubt(known.policy, doubt, ageMilliseconds);
+		if (known !== undefined && remainingDoubt > getDoubt(known, now)) {
+			applyReportedDoubt(known, remainingDoubt, now);
 		}
 	}
 
 	tick(now: number): readonly Effect[] {
-		for (const place of this.#places.values().filter(present => present.deadlineAt + ABANDONED_MILLISECONDS < now)) {
-			this.#free(place);
+		for (const heldSlot of this.#heldSlots.values().filter(other => other.deadlineAt + HELD_SLOT_GRACE_MILLISECONDS < now)) {
+			this.#releaseSlot(heldSlot);
 		}
 
-		return this.#services.values().flatMap(service => [...this.#serveWaiting(service, now), ...this.#refuseLate(service, now)]).toArray();
+		return this.#services.values().flatMap(service => [...this.#serveQueue(service, now), ...this.#refuseExpiring(service, now)]).toArray();
 	}
 
-	getWaiting(): number {
-		return this.#waiting.size;
+	countWaiting(): number {
+		return this.#servicesByQueuedId.size;
 	}
 
 	isBusy(): boolean {
-		return this.#waiting.size > 0 || this.#places.size > 0;
+		return this.#servicesByQueuedId.size > 0 || this.#heldSlots.size > 0;
 	}
 
-	knows(service: core.ServiceName): boolean {
+	hasUpstreams(service: core.ServiceName): boolean {
 		return (this.#services.get(service)?.upstreams.size ?? 0) > 0;
 	}
 
@@ -287,7 +290,7 @@
 		return upstreams.map(upstream => ({
 			upstream: upstream.candidate.upstream,
 			failureDomain: upstream.candidate.failureDomain,
-			taken: upstream.places.size,
+			taken: upstream.heldSlots.size,
 			slots: upstream.candidate.slots,
 			doubt: getDoubt(upstream, now),
 			isSuspended: isSuspended(upstream, now),
@@ -297,32 +300,36 @@
 		}));
 	}
 
-	listIdle(name: core.ServiceName, now: number): readonly IdleUpstream[] {
+	listIdleUpstreams(name: core.ServiceName, now: number): readonly IdleUpstream[] {
 		const service = this.#services.get(name);
 		return service === undefined ? [] : listIdleUpstreams(service, now);
 	}
 
 	/**
-	Under load a move would take a slot from who was sent nowhere yet, and throw away what was worked so far: it never waits, and costs
-	the budget nothing when it is refused.
+	Grants a free slot to a request that is in progress elsewhere, or refuses it. It is never queued: under load it would take a slot from a request
+	that was not sent yet, and discard the work done so far. A refusal uses none of the retry budget.
 	*/
-	#moveOrRefuse(service: Service, ask: Ask, now: number): Effect {
-		const choice = service.waiting.length > 0 ? undefined : choose(listFree(service, now), ask, this.#getCircumstances(service, {now, askedAt: now, isMissed: isMissed(service, now)}));
+	#moveOrRefuse(service: Service, request: SlotRequest, now: number): Effect {
+		const choice = service.queue.length > 0
+			? undefined
+			: choose(listFreeUpstreams(service, now), request, this.#createChoiceContext(service, {
+				now, queuedAt: now, needsIdleUpstreams: needsIdleUpstreams(service, now),
+			}));
 		if (choice === undefined) {
-			return refuse(ask, 'no-slot-in-time', service.policy.retryAfterLeastMilliseconds);
+			return refuse(request, 'no-slot-in-time', service.policy.retryAfterLeastMilliseconds);
 		}
 
-		return service.budget.takeResend(now)
-			? this.#grant(service, ask, choice, now)
-			: refuse(ask, 'budget', service.policy.retryAfterLeastMilliseconds);
+		return service.budget.consumeResend(now)
+			? this.#grant(service, request, choice, now)
+			: refuse(request, 'budget', service.policy.retryAfterLeastMilliseconds);
 	}
 
-	#getCircumstances(
+	#createChoiceContext(
 		{upstreams, policy}: Service,
-		{askedAt, now, ...known}: Pick<ChoiceCircumstances, 'now' | 'isMissed'> & {readonly askedAt: number},
-	): ChoiceCircumstances {
+		{queuedAt, now, ...known}: Pick<ChoiceContext, 'now' | 'needsIdleUpstreams'> & {readonly queuedAt: number},
+	): ChoiceContext {
 		return {
-			...known, now, random: this.#settings.random, waitedMilliseconds: now - askedAt, known: upstreams, policy,
+			...known, now, random: this.#settings.random, queuedMilliseconds: now - queuedAt, allUpstreams: upstreams, policy,
 		};
 	}
 
@@ -330,12 +337,12 @@
 		const service: Service = this.#services.get(name) ?? {
 			name,
 			upstreams: new Map(),
-			waiting: [],
-			usual: new Map(),
+			queue: [],
+			usualMillisecondsByRoute: new Map(),
 			policy: this.#settings.policy ?? DEFAULT_POLICY,
 			shortfall: createShortfall(),
 			budget: createBudget(this.#settings.budget, this.#settings.policy ?? DEFAULT_POLICY),
-			repeatableAt: -Infinity,
+			lastIdempotentAt: -Infinity,
 			unpublishedDraining: new Set(),
 			rateLimits: new ServiceRateLimits({getShare: this.#settings.getShare ?? (() => 1), random: this.#settings.random}),
 		};
@@ -343,163 +350,164 @@
 		return service;
 	}
 
-	#grant(service: Service, ask: Ask, {upstream, isTrial}: Choice, now: number): Effect {
-		const place: Place = {
-			id: ask.id,
-			host: ask.host,
+	#grant(service: Service, request: SlotRequest, {upstream, isTrial}: Choice, now: number): Effect {
+		const heldSlot: HeldSlot = {
+			id: request.id,
+			host: request.host,
 			service: service.name,
 			upstream: upstream.candidate.upstream,
-			route: ask.route,
-			ask,
-			startedAt: now,
-			deadlineAt: now + ask.remainingMilliseconds,
-			usualMilliseconds: getUsual(service, ask),
+			route: request.route,
+			request,
+			grantedAt: now,
+			deadlineAt: now + request.remainingMilliseconds,
+			usualMilliseconds: getUsualMilliseconds(service, request),
 			isTrial,
 		};
-		this.#places.set(place.id, place);
-		upstream.places.set(place.id, place);
-		upstream.startedAt = now;
+		this.#heldSlots.set(heldSlot.id, heldSlot);
+		upstream.heldSlots.set(heldSlot.id, heldSlot);
+		upstream.lastGrantedAt = now;
 		service.rateLimits.consume(upstream, 1, now);
 		return {
-			kind: 'grant', ask, upstream: place.upstream, address: upstream.candidate.address, isTrial,
+			kind: 'grant', request, upstream: heldSlot.upstream, address: upstream.candidate.address, isTrial,
 		};
 	}
 
-	#liftRateLimit({name, rateLimits}: Service, upstream: Upstream, place: Place): readonly Effect[] {
+	#liftRateLimit({name, rateLimits}: Service, upstream: Upstream, heldSlot: HeldSlot): readonly Effect[] {
 		const ratePerSecondBefore = upstream.rateLimit?.getRatePerSecond();
-		return rateLimits.lift(upstream, place.startedAt)
+		return rateLimits.lift(upstream, heldSlot.grantedAt)
 			? [{
-				kind: 'rate-limit', service: name, upstream: place.upstream, ratePerSecondBefore,
+				kind: 'rate-limit', service: name, upstream: heldSlot.upstream, ratePerSecondBefore,
 			}]
 			: [];
 	}
 
-	#free(place: Place): void {
-		this.#places.delete(place.id);
-		const upstreams = this.#services.get(place.service)?.upstreams;
-		const upstream = upstreams?.get(place.upstream);
-		upstream?.places.delete(place.id);
+	#releaseSlot(heldSlot: HeldSlot): void {
+		this.#heldSlots.delete(heldSlot.id);
+		const upstreams = this.#services.get(heldSlot.service)?.upstreams;
+		const upstream = upstreams?.get(heldSlot.upstream);
+		upstream?.heldSlots.delete(heldSlot.id);
 	}
 
-	#waitOrRefuse(service: Service, {ask, turn}: Waiting, now: number): readonly Effect[] {
-		const slots = countUsableSlots(service, ask, now);
-		const usual = getUsual(service, ask);
-		// Itself included.
-		const wait = slots === 0 ? getBackoffDelay(service, ask, now) : countUntil(service, turn) * usual / slots;
+	#waitOrRefuse(service: Service, {request, queueKey}: QueuedRequest, now: number): readonly Effect[] {
+		const slots = countUsableSlots(service, request, now);
+		const usual = getUsualMilliseconds(service, request);
+		// The count includes the request itself.
+		const wait = slots === 0 ? getBackoffDelay(service, request, now) : countQueuedUntil(service, queueKey) * usual / slots;
 		const {missedPart, objectivePart} = service.policy;
-		const counted = isObjectiveMissed(service, ask) ? missedPart : 1;
-		const isInObjective = ask.isResend || (wait + (usual * objectivePart)) * counted <= ask.objectiveMilliseconds;
-		if (isInObjective && wait + (usual * service.policy.worthwhilePart) <= ask.remainingMilliseconds) {
+		const objectiveWeight = isObjectiveMissed(service, request) ? missedPart : 1;
+		const isInObjective = request.isResend || (wait + (usual * objectivePart)) * objectiveWeight <= request.objectiveMilliseconds;
+		if (isInObjective && wait + (usual * service.policy.worthwhilePart) <= request.remainingMilliseconds) {
 			return [];
 		}
 
-		this.#removeWaiting(service, ask.id);
-		return this.#useReserveOrRefuse(service, ask, {now, wait, slots});
+		this.#dequeue(service, request.id);
+		return this.#useFallbackOrRefuse(service, request, {now, wait, slots});
 	}
 
 	/**
-	Ejecting must never leave less than the floor: below it, what is suspended is better than a refusal. For a first attempt that may be repeated it
-	always is: it finds out, and moves when it hangs.
+	Grants a slot of a suspended upstream, or refuses the request. Below the floor, a suspended upstream is better than a refusal. For a first attempt
+	of an idempotent request it always is: the request finds out the state of the upstream, and is moved if it hangs.
 	*/
-	#useReserveOrRefuse(
+	#useFallbackOrRefuse(
 		service: Service,
-		ask: Ask,
+		request: SlotRequest,
 		{now, wait, slots}: {readonly now: number; readonly wait: number; readonly slots: number},
 	): readonly Effect[] {
-		const mayFindOut = core.isIdempotent(ask.requestClass)
-			&& !ask.isResend
-			&& ask.remainingMilliseconds >= getUsual(service, ask) * service.policy.worthwhilePart;
-		const mayTry = mayFindOut || isBelowFloor(service, this.#settings.floor, now);
-		const choice = mayTry ? chooseReserve(service.upstreams.values(), ask, now) : undefined;
+		const mayExplore = core.isIdempotent(request.requestClass)
+			&& !request.isResend
+			&& request.remainingMilliseconds >= getUsualMilliseconds(service, request) * service.policy.worthwhilePart;
+		const mayUseSuspended = mayExplore || isBelowFloor(service, this.#settings.floor, now);
+		const choice = mayUseSuspended ? chooseFallback(service.upstreams.values(), request, now) : undefined;
 		if (choice !== undefined) {
-			return [this.#grant(service, ask, choice, now)];
+			return [this.#grant(service, request, choice, now)];
 		}
 
 		service.shortfall.recordFailure(now);
-		const advice = Number.isFinite(wait) ? wait : ask.remainingMilliseconds / 4;
-		const retryAfter = Math.max(service.policy.retryAfterLeastMilliseconds, Math.min(advice, ask.remainingMilliseconds / 3));
-		return [refuse(ask, slots === 0 ? 'no-upstream' : 'no-slot-in-time', retryAfter)];
+		const expectedWait = Number.isFinite(wait) ? wait : request.remainingMilliseconds / 4;
+		const retryAfter = Math.max(service.policy.retryAfterLeastMilliseconds, Math.min(expectedWait, request.remainingMilliseconds / 3));
+		return [refuse(request, slots === 0 ? 'no-upstream' : 'no-slot-in-time', retryAfter)];
 	}
 
-	#addWaiting(service: Service, ask: Ask, now: number): Waiting {
-		const waiting: Waiting = {
-			ask, turn: getTurn(service, ask, now), askedAt: now, deadlineAt: now + ask.remainingMilliseconds,
+	#enqueue(service: Service, request: SlotRequest, now: number): QueuedRequest {
+		const queued: QueuedRequest = {
+			request, queueKey: getQueueKey(service, request, now), queuedAt: now, deadlineAt: now + request.remainingMilliseconds,
 		};
-		service.waiting.splice(countUntil(service, waiting.turn), 0, waiting);
-		this.#waiting.set(ask.id, service);
-		return waiting;
+		service.queue.splice(countQueuedUntil(service, queued.queueKey), 0, queued);
+		this.#servicesByQueuedId.set(request.id, service);
+		return queued;
 	}
 
-	#removeWaiting(service: Service, id: AskId): Ask | undefined {
-		this.#waiting.delete(id);
-		const place = service.waiting.findIndex(waiting => waiting.ask.id === id);
-		return place === -1 ? undefined : service.waiting.splice(place, 1)[0]!.ask;
+	#dequeue(service: Service, id: SlotRequestId): SlotRequest | undefined {
+		this.#servicesByQueuedId.delete(id);
+		const index = service.queue.findIndex(queued => queued.request.id === id);
+		return index === -1 ? undefined : service.queue.splice(index, 1)[0]!.request;
 	}
 
 	/**
-	Grants what can be granted, by turn. A trial takes no slot from those who wait, so it comes first. Under overload no slot is free, and hundreds
-	wait: so the upstreams with a free slot are listed once, and only the first of those who wait are looked at.
+	Grants slots to queued requests in the order of the queue. Trials come first, since they take no slot that queued requests could use. Under
+	overload no slot is free and hundreds of requests are queued, so the upstreams with a free slot are listed once, and only the head of the queue is
+	examined.
 	*/
-	#serveWaiting(service: Service, now: number): readonly Effect[] {
+	#serveQueue(service: Service, now: number): readonly Effect[] {
 		const effects: Effect[] = [];
-		let free = listFree(service, now);
-		let dueTrials = listDueTrials(service, now);
-		const circumstances = {now, isMissed: isMissed(service, now)};
-		for (const waiting of service.waiting.slice(0, LOOKED_AT_MOST)) {
-			if (free.length === 0 && dueTrials.length === 0) {
+		let freeUpstreams = listFreeUpstreams(service, now);
+		let trialUpstreams = listTrialUpstreams(service, now);
+		const context = {now, needsIdleUpstreams: needsIdleUpstreams(service, now)};
+		for (const queued of service.queue.slice(0, MAX_QUEUE_SCAN)) {
+			if (freeUpstreams.length === 0 && trialUpstreams.length === 0) {
 				break;
 			}
 
-			const ask = {...waiting.ask, remainingMilliseconds: waiting.deadlineAt - now};
-			const choice = chooseTrial(dueTrials, ask, getTrialCircumstances(service, now, {...circumstances, isFull: free.length === 0}))
-				?? choose(free, ask, this.#getCircumstances(service, {...circumstances, askedAt: waiting.askedAt}));
+			const request = {...queued.request, remainingMilliseconds: queued.deadlineAt - now};
+			const choice = chooseTrial(trialUpstreams, request, createTrialContext(service, now, {...context, isFull: freeUpstreams.length === 0}))
+				?? choose(freeUpstreams, request, this.#createChoiceContext(service, {...context, queuedAt: queued.queuedAt}));
 			if (choice === undefined) {
 				continue;
 			}
 
-			this.#removeWaiting(service, ask.id);
-			effects.push(this.#grant(service, ask, choice, now));
-			free = free.filter(upstream => hasCapacity(upstream, now));
-			dueTrials = dueTrials.filter(upstream => hasCapacity(upstream, now));
+			this.#dequeue(service, request.id);
+			effects.push(this.#grant(service, request, choice, now));
+			freeUpstreams = freeUpstreams.filter(upstream => hasCapacity(upstream, now));
+			trialUpstreams = trialUpstreams.filter(upstream => hasCapacity(upstream, now));
 		}
 
 		return effects;
 	}
 
 	/**
-	Refuses the asks that nothing can take any more, since upstreams leave or their host backs off.
+	Refuses the queued requests for which no upstream is usable any more, after upstreams started to drain or asked their entry host to back off.
 	*/
-	#refuseStranded(service: Service, causes: ReadonlyArray<Pick<core.Advertisement, 'kind'>>, now: number): readonly Effect[] {
+	#refuseUnservable(service: Service, causes: ReadonlyArray<Pick<core.Advertisement, 'kind'>>, now: number): readonly Effect[] {
 		if (causes.every(({kind}) => kind === 'rate-limit')) {
 			return [];
 		}
 
-		return service.waiting
-			.filter(({ask}) => !hasUsableSlot(service, ask, now))
-			.flatMap(waiting => this.#waitOrRefuse(service, {...waiting, ask: {...waiting.ask, remainingMilliseconds: waiting.deadlineAt - now}}, now));
+		return service.queue
+			.filter(({request}) => !hasUsableUpstream(service, request, now))
+			.flatMap(queued => this.#waitOrRefuse(service, {...queued, request: {...queued.request, remainingMilliseconds: queued.deadlineAt - now}}, now));
 	}
 
 	/**
-	Refuses what can no longer be answered in time.
+	Refuses the queued requests that can no longer be answered before their deadline.
 	*/
-	#refuseLate(service: Service, now: number): readonly Effect[] {
-		const late = service.waiting.filter(waiting => isTooLate(service, waiting, now));
-		return late.flatMap(({ask, deadlineAt}) => {
-			this.#removeWaiting(service, ask.id);
-			const remaining = {...ask, remainingMilliseconds: deadlineAt - now};
-			return this.#useReserveOrRefuse(service, remaining, {now, wait: Infinity, slots: 1});
+	#refuseExpiring(service: Service, now: number): readonly Effect[] {
+		const expiring = service.queue.filter(queued => isDeadlineUnreachable(service, queued, now));
+		return expiring.flatMap(({request, deadlineAt}) => {
+			this.#dequeue(service, request.id);
+			const remainingRequest = {...request, remainingMilliseconds: deadlineAt - now};
+			return this.#useFallbackOrRefuse(service, remainingRequest, {now, wait: Infinity, slots: 1});
 		});
 	}
 }
 
 /**
-Endings of a request that something may have come of, so that its caller gets no answer or a bad one.
+Endings after which the request may have run and its caller gets no answer or an error.
 */
-const FAILURES: ReadonlySet<Ending> = new Set(['error', 'reset', 'timeout']);
+const FAILURE_ENDINGS: ReadonlySet<Ending> = new Set(['error', 'reset', 'timeout']);
 
-function refuse(ask: Ask, reason: RefusalReason, retryAfterMilliseconds: number): Effect {
+function refuse(request: SlotRequest, reason: RefusalReason, retryAfterMilliseconds: number): Effect {
 	return {
-		kind: 'refuse', ask, reason, retryAfterMilliseconds,
+		kind: 'refuse', request, reason, retryAfterMilliseconds,
 	};
 }
 
--- a/packages/wagtailroute-dispatch/src/upstreams.ts
+++ b/packages/wagtailroute-dispatch/src/upstreams.ts
@@ -1,115 +1,115 @@
 /**
-What a dispatcher knows of one upstream: its places taken, how slow it is, and how much speaks against it.
+State of one upstream at a dispatcher: the slots held, its slowness, the doubt against it, and the risk that follows from them.
 */
 import type * as core from 'wagtailroute-core';
 import type {
-	Ask,
 	BackoffUpdate,
 	Candidate,
 	Ending,
-	HeldPlace,
-} from './asks.ts';
+	HeldSlotReport,
+	SlotRequest,
+} from './slot-requests.ts';
 import {
-	LEAST_PRIOR,
+	MAX_PRIOR,
+	MAX_SLOWNESS,
 	MILLISECONDS_PER_SECOND,
-	MOST_PRIOR,
-	SLOWNESS_LEAST,
-	SLOWNESS_MOST,
+	MIN_PRIOR,
+	MIN_SLOWNESS,
 } from './constants.ts';
 import type {Policy} from './policy.ts';
 import type {UpstreamRateLimit} from './upstream-rate-limit.ts';
 
 /**
-A place that is taken.
+A slot that a granted request holds until its end.
 */
-export type Place = {
+export type HeldSlot = {
 	readonly id: string;
 	readonly host: core.HostId;
 	readonly service: core.ServiceName;
 	readonly upstream: core.UpstreamId;
 	readonly route: string;
 	/**
-	The ask that it was granted to; absent when a host told it.
+	The granted slot request; absent when the slot was reported by its entry host.
 	*/
-	readonly ask?: Ask;
-	readonly startedAt: number;
+	readonly request?: SlotRequest;
+	readonly grantedAt: number;
 	readonly deadlineAt: number;
 	readonly usualMilliseconds: number;
 	readonly isTrial: boolean;
 };
 
 /**
-An upstream, changed in place by the functions of this module only.
+An upstream. It is changed in place, only by the dispatcher and the functions of this package.
 */
 export type Upstream = {
 	readonly policy: Policy;
 	candidate: Candidate;
-	readonly places: Map<string, Place>;
+	readonly heldSlots: Map<string, HeldSlot>;
 	readonly createdAt: number;
 	/**
-	Time of the last request that was sent there.
+	Time of the last grant.
 	*/
-	startedAt: number;
+	lastGrantedAt: number;
 	/**
-	Read it by {@link getDoubt}: it fades.
+	Value at `doubtUpdatedAt`; {@link getDoubt} returns the present value, which decays.
 	*/
 	doubt: number;
-	doubtAt: number;
-	failedAt: number;
+	doubtUpdatedAt: number;
+	lastFailureAt: number;
 	slowness: number;
-	slownessAt: number;
-	provenAt: number;
+	slownessUpdatedAt: number;
+	lastSuccessAt: number;
 	/**
-	Nothing is sent before this time.
+	No request is granted before this time.
 	*/
 	closedUntil: number;
 	/**
 	Time of the next trial while suspended.
 	*/
-	trialAt: number;
+	nextTrialAt: number;
 	failedTrials: number;
 	/**
-	Hosts whose path here is at fault, with the time until which they send nothing.
+	Entry hosts whose network path to the upstream may be broken, with the time until which they send no requests.
 	*/
-	readonly badPaths: Map<core.HostId, number>;
+	readonly suspectPaths: Map<core.HostId, number>;
 	/**
-	Hosts that it asked to send nothing, with the time until which they do.
+	Entry hosts that the upstream asked to send no requests, with the time until which they comply.
 	*/
 	readonly backoffs: Map<core.HostId, number>;
 	/**
-	Another instance answered at its address.
+	Whether another instance answered at its address.
 	*/
 	isMisdirected: boolean;
 	/**
-	Its answers say so, whatever its heartbeats say.
+	Whether its answers announced draining; its heartbeats may not say so.
 	*/
 	isDraining: boolean;
 	/**
-	Absent when its answers advertise none.
+	Absent while its answers advertise none.
 	*/
 	rateLimit?: UpstreamRateLimit;
 };
 
 /**
-Creates the record of an upstream that nothing speaks against.
+Creates an upstream without any evidence against it.
 */
 export function createUpstream(candidate: Candidate, policy: Policy, now: number): Upstream {
 	return {
 		policy,
 		candidate,
-		places: new Map(),
+		heldSlots: new Map(),
 		createdAt: now,
-		startedAt: -Infinity,
+		lastGrantedAt: -Infinity,
 		doubt: 0,
-		doubtAt: now,
-		failedAt: -Infinity,
+		doubtUpdatedAt: now,
+		lastFailureAt: -Infinity,
 		slowness: candidate.warmAt > now ? policy.coldSlowness : 1,
-		slownessAt: now,
-		provenAt: -Infinity,
+		slownessUpdatedAt: now,
+		lastSuccessAt: -Infinity,
 		closedUntil: -Infinity,
-		trialAt: -Infinity,
+		nextTrialAt: -Infinity,
 		failedTrials: 0,
-		badPaths: new Map(),
+		suspectPaths: new Map(),
 		backoffs: new Map(),
 		isMisdirected: false,
 		isDraining: false,
@@ -117,102 +117,100 @@
 }
 
 /**
-Returns what speaks against it. Doubt fades unless the upstream is silent as well.
+Returns the doubt. It decays, unless the upstream's heartbeats are missing.
 */
 export function getDoubt(upstream: Upstream, now: number): number {
-	return upstream.candidate.isSilent ? upstream.doubt : fadeDoubt(upstream.policy, upstream.doubt, now - upstream.doubtAt);
+	return upstream.candidate.isSilent ? upstream.doubt : decayDoubt(upstream.policy, upstream.doubt, now - upstream.doubtUpdatedAt);
 }
 
 /**
-Returns what is left of doubt after a while.
+Returns what is left of a doubt after some milliseconds.
 */
-export function fadeDoubt({fadingDoubt}: Policy, doubt: number, milliseconds: number): number {
+export function decayDoubt({fadingDoubt}: Policy, doubt: number, milliseconds: number): number {
 	return Math.max(0, doubt - (milliseconds / MILLISECONDS_PER_SECOND * fadingDoubt));
 }
 
 /**
-Sets what speaks against it.
+Sets the doubt, limited to the bounds of the policy.
 */
 export function setDoubt(upstream: Upstream, doubt: number, now: number): void {
 	upstream.doubt = Math.min(upstream.policy.mostDoubt, Math.max(0, doubt));
-	upstream.doubtAt = now;
+	upstream.doubtUpdatedAt = now;
 }
 
 /**
-Takes another dispatcher's word of what speaks against it. That one goes on with trials, or has just done the last one: this one waits
-longest before its first. Without the wait, every host that dispatches alone would at once send a request there that may not be repeated.
+Sets the doubt to the value of another dispatcher, and the next trial to the latest time. The other dispatcher continues its trials or has just done
+the last one. Without the delay, every host that dispatches alone would immediately send a trial, which may be a non-idempotent request.
 */
-export function takeBelief(upstream: Upstream, doubt: number, now: number): void {
+export function applyReportedDoubt(upstream: Upstream, doubt: number, now: number): void {
 	setDoubt(upstream, doubt, now);
-	upstream.trialAt = now + upstream.policy.trialMostMilliseconds;
+	upstream.nextTrialAt = now + upstream.policy.trialMostMilliseconds;
 }
 
-/**
-Says whether a request more fits in.
-*/
-function hasFreeSlot({places, candidate}: Upstream): boolean {
-	return places.size < candidate.slots;
+function hasFreeSlot({heldSlots, candidate}: Upstream): boolean {
+	return heldSlots.size < candidate.slots;
 }
 
 /**
-Says whether another request may be sent now: a slot is free and the rate limit has a token.
+Returns whether another request may be sent now: a slot is free and the rate limit allows it.
 */
 export function hasCapacity(upstream: Upstream, now: number): boolean {
 	return hasFreeSlot(upstream) && upstream.rateLimit?.hasToken(now) !== false;
 }
 
 /**
-Returns the average number of slots that can be in use; a rate limit may leave some of them idle.
+Returns the average number of slots that can be in use. A rate limit may leave some of them unused.
 
-@param usualMilliseconds Duration of a request.
+@param usualMilliseconds Usual duration of a request.
 */
 export function countSlots({candidate, rateLimit}: Upstream, usualMilliseconds: number): number {
 	return Math.min(candidate.slots, rateLimit?.getConcurrency(usualMilliseconds) ?? Infinity);
 }
 
 /**
-Says whether it serves at all: it does not leave, and its address is its own.
+Returns whether the upstream is in service: it is not draining, and no other instance uses its address.
 */
 export function isServing({candidate, isMisdirected, isDraining}: Upstream): boolean {
 	return !candidate.isDraining && !isDraining && !isMisdirected;
 }
 
 /**
-Says whether it has had no request for a while.
+Returns whether the upstream holds no request and got none for more than some milliseconds.
 */
-export function isQuiet({places, startedAt, createdAt}: Upstream, milliseconds: number, now: number): boolean {
-	return places.size === 0 && now - Math.max(startedAt, createdAt) > milliseconds;
+export function isIdle({heldSlots, lastGrantedAt, createdAt}: Upstream, milliseconds: number, now: number): boolean {
+	return heldSlots.size === 0 && now - Math.max(lastGrantedAt, createdAt) > milliseconds;
 }
 
 /**
-Says whether it gets trials only.
+Returns whether the upstream gets trials only.
 */
 export function isSuspended(upstream: Upstream, now: number): boolean {
 	return getDoubt(upstream, now) >= upstream.policy.suspendedDoubt;
 }
 
 /**
-Returns how many times as long as usual its requests take. What was measured long ago counts for less.
+Returns the slowness: the response time as a multiple of the usual one. Older measurements have less weight.
 */
 export function getSlowness(upstream: Upstream, now: number): number {
-	const weight = Math.exp((upstream.slownessAt - now) / upstream.policy.slownessMilliseconds);
+	const weight = Math.exp((upstream.slownessUpdatedAt - now) / upstream.policy.slownessMilliseconds);
 	const measured = 1 + ((upstream.slowness - 1) * weight);
 	return now < upstream.candidate.warmAt ? Math.max(upstream.policy.coldSlowness, measured) : measured;
 }
 
 /**
-Returns the probability that the upstream is in a bad spell, 0 to 1: from what was seen of ended requests, the time since the last one that was
-served, and the age of each that is under way. A request that lasts twice as long as usual says more than one that has just begun, and
-several at once more than one. What began before a later one was served says nothing: its path may be at fault.
+Returns the risk, the probability that the upstream is in a failure period, 0 to 1. It follows from the doubt, the time since the last success, and
+the age of each request in progress. A request in progress for twice the usual time counts more than one that has just begun, and several count more
+than one. A request that became late before a later success doesn't count: its network path may be the cause.
 */
 export function getRisk(upstream: Upstream, now: number): number {
-	const {policy, provenAt, createdAt} = upstream;
-	const quiet = Math.min(1, policy.spellsPerSecond * (now - Math.max(provenAt, createdAt)) / MILLISECONDS_PER_SECOND);
-	const prior = Math.min(MOST_PRIOR, Math.max(LEAST_PRIOR, quiet));
+	const {policy, lastSuccessAt, createdAt} = upstream;
+	const idleRisk = Math.min(1, policy.spellsPerSecond * (now - Math.max(lastSuccessAt, createdAt)) / MILLISECONDS_PER_SECOND);
+	const prior = Math.min(MAX_PRIOR, Math.max(MIN_PRIOR, idleRisk));
 	let odds = prior / (1 - prior) * Math.exp(getDoubt(upstream, now));
-	for (const place of upstream.places.values()) {
-		const survival = 1 / (1 + (((now - place.startedAt) / place.usualMilliseconds) ** policy.survivalSteepness));
-		const isOvertaken = provenAt > place.startedAt + place.usualMilliseconds;
+	for (const heldSlot of upstream.heldSlots.values()) {
+		const survival = 1 / (1 + (((now - heldSlot.grantedAt) / heldSlot.usualMilliseconds) ** policy.survivalSteepness));
+		const isOvertaken = lastSuccessAt > heldSlot.grantedAt + heldSlot.usualMilliseconds;
+		// Ratio of the likelihoods that the request is still in progress, with and without a failure period.
 		odds *= isOvertaken ? 1 : (policy.harmedPart + ((1 - policy.harmedPart) * survival)) / survival;
 	}
 
@@ -220,22 +218,22 @@
 }
 
 /**
-Says whether a request lasts so long that its path may be at fault.
+Returns whether a request has been in progress for so long that its network path may be broken.
 */
-function isOverdue({policy}: Upstream, place: Place, now: number): boolean {
-	return now - place.startedAt > Math.max(policy.overdueMilliseconds, policy.overdueRatio * place.usualMilliseconds);
+function isOverdue({policy}: Upstream, heldSlot: HeldSlot, now: number): boolean {
+	return now - heldSlot.grantedAt > Math.max(policy.overdueMilliseconds, policy.overdueRatio * heldSlot.usualMilliseconds);
 }
 
 /**
-Says whether a request of this host hangs there, or lately hung.
+Returns whether the network path from an entry host may be broken: one of its requests is overdue, or was not answered a short time ago.
 */
-export function isPathBad(upstream: Upstream, host: core.HostId, now: number): boolean {
-	if ((upstream.badPaths.get(host) ?? -Infinity) > now) {
+export function isPathSuspect(upstream: Upstream, host: core.HostId, now: number): boolean {
+	if ((upstream.suspectPaths.get(host) ?? -Infinity) > now) {
 		return true;
 	}
 
-	for (const place of upstream.places.values()) {
-		if (place.host === host && isOverdue(upstream, place, now)) {
+	for (const heldSlot of upstream.heldSlots.values()) {
+		if (heldSlot.host === host && isOverdue(upstream, heldSlot, now)) {
 			return true;
 		}
 	}
@@ -244,7 +242,7 @@
 }
 
 /**
-Records until when a host sends nothing to the upstream. Returns whether the host sent until now.
+Records until when an entry host sends no requests to the upstream. Returns whether no backoff of the entry host was in force before.
 */
 export function recordBackoff({backoffs}: Upstream, host: core.HostId, until: number, now: number): boolean {
 	for (const [other, time] of backoffs) {
@@ -259,14 +257,14 @@
 }
 
 /**
-Returns the milliseconds for which a host sends nothing more to the upstream.
+Returns the milliseconds for which an entry host must send no more requests to the upstream; 0 without a backoff.
 */
 export function getBackoff({backoffs}: Upstream, host: core.HostId, now: number): number {
 	return Math.max(0, (backoffs.get(host) ?? now) - now);
 }
 
 /**
-Lists the hosts that send nothing, as updates.
+Lists the backoffs in force as updates for other dispatchers.
 */
 export function listBackoffs({backoffs, candidate: {upstream}}: Upstream, now: number): readonly BackoffUpdate[] {
 	return backoffs.entries().filter(([, until]) => until > now).map(([host, until]): BackoffUpdate => ({
@@ -275,87 +273,87 @@
 }
 
 /**
-What an ending does.
+What an ending says about its upstream.
 */
-type Consequence = {
+type Evidence = {
 	readonly doubt: number;
 	/**
-	It brings doubt no higher than this.
+	Upper bound of the doubt that this ending can bring the upstream to.
 	*/
-	readonly most?: number;
+	readonly maxDoubt?: number;
 	/**
-	The path between the host and the upstream may be at fault.
+	Whether the ending counts against the network path between the entry host and the upstream.
 	*/
-	readonly isOfPath?: boolean;
+	readonly isPathEvidence?: boolean;
 	readonly closedMilliseconds?: number;
 };
 
-const CONSEQUENCES: Readonly<Record<Ending, (policy: Policy) => Consequence>> = {
+const EVIDENCE_BY_ENDING: Readonly<Record<Ending, (policy: Policy) => Evidence>> = {
 	success: policy => ({doubt: -policy.successDoubt}),
 	error: policy => ({doubt: policy.errorDoubt}),
 	reset: policy => ({doubt: policy.resetDoubt}),
 	refused: policy => ({doubt: policy.refusedDoubt}),
-	unreachable: policy => ({doubt: policy.silenceDoubt, isOfPath: true}),
-	timeout: policy => ({doubt: policy.silenceDoubt, isOfPath: true}),
+	unreachable: policy => ({doubt: policy.silenceDoubt, isPathEvidence: true}),
+	timeout: policy => ({doubt: policy.silenceDoubt, isPathEvidence: true}),
 	overdue: policy => ({doubt: policy.overdueDoubt}),
-	shed: policy => ({doubt: policy.shedDoubt, most: policy.mostShedDoubt, closedMilliseconds: policy.shedMilliseconds}),
+	shed: policy => ({doubt: policy.shedDoubt, maxDoubt: policy.mostShedDoubt, closedMilliseconds: policy.shedMilliseconds}),
 	misdirected: policy => ({doubt: policy.mostDoubt}),
 	cancelled: () => ({doubt: 0}),
 	unused: () => ({doubt: 0}),
 };
 
 /**
-Takes the ending of a request as evidence.
+Applies the ending of a request to the doubt, the trials and the suspect paths of its upstream.
 */
-export function weighEnding(upstream: Upstream, place: Place, ending: Ending, now: number): void {
-	const {doubt, most = Infinity, isOfPath = false, closedMilliseconds = 0} = CONSEQUENCES[ending](upstream.policy);
+export function applyEnding(upstream: Upstream, heldSlot: HeldSlot, ending: Ending, now: number): void {
+	const {doubt, maxDoubt = Infinity, isPathEvidence = false, closedMilliseconds = 0} = EVIDENCE_BY_ENDING[ending](upstream.policy);
 	const wasSuspended = isSuspended(upstream, now);
 	const before = getDoubt(upstream, now);
-	const after = Math.min(most, before + doubt);
+	const after = Math.min(maxDoubt, before + doubt);
 	setDoubt(upstream, doubt > 0 ? Math.max(before, after) : after, now);
 	upstream.closedUntil = Math.max(upstream.closedUntil, now + closedMilliseconds);
 	upstream.isMisdirected ||= ending === 'misdirected';
-	if (isOfPath) {
-		upstream.badPaths.set(place.host, now + upstream.policy.pathMilliseconds);
+	if (isPathEvidence) {
+		upstream.suspectPaths.set(heldSlot.host, now + upstream.policy.pathMilliseconds);
 	}
 
 	if (ending === 'success') {
-		upstream.provenAt = now;
-		upstream.badPaths.delete(place.host);
-		upstream.trialAt = now;
+		upstream.lastSuccessAt = now;
+		upstream.suspectPaths.delete(heldSlot.host);
+		upstream.nextTrialAt = now;
 		upstream.failedTrials = 0;
 	} else if (doubt > 0) {
-		upstream.failedAt = now;
+		upstream.lastFailureAt = now;
 	}
 
 	if (doubt <= 0 || !isSuspended(upstream, now)) {
 		return;
 	}
 
-	upstream.failedTrials = wasSuspended && place.isTrial ? upstream.failedTrials + 1 : upstream.failedTrials;
-	upstream.trialAt = now + Math.min(upstream.policy.trialMostMilliseconds, upstream.policy.trialLeastMilliseconds * (2 ** upstream.failedTrials));
+	upstream.failedTrials = wasSuspended && heldSlot.isTrial ? upstream.failedTrials + 1 : upstream.failedTrials;
+	upstream.nextTrialAt = now + Math.min(upstream.policy.trialMostMilliseconds, upstream.policy.trialLeastMilliseconds * (2 ** upstream.failedTrials));
 }
 
 /**
-Takes the time of a request as a measurement of slowness.
+Updates the slowness with the response time of a request.
 */
-export function weighTime(upstream: Upstream, place: Place, milliseconds: number, now: number): void {
-	const relative = Math.min(SLOWNESS_MOST, Math.max(SLOWNESS_LEAST, milliseconds / place.usualMilliseconds));
-	upstream.slowness = (getSlowness(upstream, now) * (1 - upstream.policy.slownessShare)) + (relative * upstream.policy.slownessShare);
-	upstream.slownessAt = now;
+export function recordResponseTime(upstream: Upstream, heldSlot: HeldSlot, milliseconds: number, now: number): void {
+	const measuredSlowness = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, milliseconds / heldSlot.usualMilliseconds));
+	upstream.slowness = (getSlowness(upstream, now) * (1 - upstream.policy.slownessShare)) + (measuredSlowness * upstream.policy.slownessShare);
+	upstream.slownessUpdatedAt = now;
 }
 
 /**
-Creates the place that a host says it holds.
+Creates the slot that an entry host reports as held.
 */
-export function createHeldPlace(held: HeldPlace, usualMilliseconds: number, now: number): Place {
+export function createHeldSlot(held: HeldSlotReport, usualMilliseconds: number, now: number): HeldSlot {
 	return {
 		id: held.id,
 		host: held.host,
 		service: held.service,
 		upstream: held.upstream,
 		route: held.route,
-		startedAt: now - held.ageMilliseconds,
+		grantedAt: now - held.ageMilliseconds,
 		deadlineAt: now + held.remainingMilliseconds,
 		usualMilliseconds,
 		isTrial: false,
--- a/packages/wagtailroute-fleet/src/__tests__/unit/belief-store.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/belief-store.test.ts
@@ -65,6 +65,6 @@
 	dispatcher.mergeBeliefs([...BELIEFS, {service: 'archive', upstream: 'v', doubt: 3.2}], 1500);
 	t.deepEqual(dispatcher.listUpstreamReports('archive').map(({upstream, isSuspended}) => [upstream, isSuspended]), [['u', true], ['v', false]]);
 	t.like(dispatcher.requestSlot({
-		...fixture.ASK_DRAFT, id: 'front:1', host: 'front', failureDomain: 'x',
+		...fixture.SLOT_REQUEST_DRAFT, id: 'front:1', host: 'front', failureDomain: 'x',
 	}), {kind: 'grant', upstream: 'v'});
 });
--- a/packages/wagtailroute-fleet/src/absences.ts
+++ b/packages/wagtailroute-fleet/src/absences.ts
@@ -1,208 +1,209 @@
 /**
-The entry hosts that a control host no longer hears, and that may go on to serve callers.
+Tracks absent entry hosts: those from which this control host no longer receives messages, and that may still serve callers.
 
-They can be without power, or cut off from all control hosts while callers still reach them: from here this looks the same. Cut off, they dispatch among
-themselves and give out their share of every allotment. A host whose connection ends while it is heard has ended by itself, and counts no longer.
+They may have failed, or be cut off from all control hosts while callers still reach them; this control host cannot tell the difference. Entry hosts that are cut off
+dispatch among themselves and admit their share of every allotment. An entry host whose link closes without a preceding silence has stopped, and is not absent.
 */
 import type * as allotments from 'wagtailroute-allotments';
 import type * as core from 'wagtailroute-core';
 import type * as utils from 'wagtailroute-utils';
 import {
-	ABSENCE_LOOK_MILLISECONDS,
-	ABSENCE_MOST_MILLISECONDS,
-	ABSENCE_REPEAT_MILLISECONDS,
-	ABSENCE_SLICE_MILLISECONDS,
-	ASKER_MILLISECONDS,
-	PAUSE_MILLISECONDS,
-	SILENT_ASKER_MILLISECONDS,
+	ABSENCE_CHECK_INTERVAL_MILLISECONDS,
+	ABSENCE_GROUP_MILLISECONDS,
+	MAX_ABSENCE_MILLISECONDS,
+	MIN_ABSENCE_CHECK_MILLISECONDS,
+	MIN_PAUSE_MILLISECONDS,
+	REQUESTING_HOST_EXPIRY_MILLISECONDS,
 	SILENT_FAR_ENTRY_MILLISECONDS,
+	SILENT_REQUESTING_HOST_MILLISECONDS,
 } from './constants.ts';
 import type {FleetContext} from './context.ts';
 
 /**
-An entry host with a link here.
+State of an entry host with a link to this control host.
 */
-export type HeardHost = {
+export type EntryHostStatus = {
 	readonly id: core.HostId;
 	/**
-	It serves callers, as far as it has told.
+	It serves callers, according to its last message.
 	*/
 	readonly isReady: boolean;
 	/**
-	Milliseconds since it was last heard.
+	Milliseconds since the last message was received from it.
 	*/
-	readonly silence: number;
+	readonly silenceMilliseconds: number;
 };
 
 /**
-The absent hosts.
+Tracks absent entry hosts.
 */
-export type Absences = {
+export type AbsenceTracker = {
 	/**
-	A host has opened a link. A process that has started since the host was last heard has used nothing meanwhile.
+	Records that a host opened a link. If its process started after the host became absent, it has used nothing meanwhile and is no longer absent.
 	*/
 	readonly recordHello: (host: core.HostId, runningMilliseconds: number) => void;
 	/**
-	A host has asked this host's dispatcher.
+	Records that a host requested a slot from this control host's dispatcher.
 	*/
-	readonly recordAsk: (host: core.HostId) => void;
+	readonly recordSlotRequest: (host: core.HostId) => void;
 	/**
-	The link of a host is closed.
+	Records that a link of a host was closed.
 	*/
-	readonly recordClosed: (host: HeardHost) => void;
+	readonly recordLinkClosed: (host: EntryHostStatus) => void;
 	/**
-	Returns when an absent host was last heard; undefined for one that is not absent.
+	Returns when the last message was received from an absent host; undefined if it is not absent.
 	*/
-	readonly findStart: (host: core.HostId) => number | undefined;
+	readonly findAbsentSince: (host: core.HostId) => number | undefined;
 	/**
-	A host has told what it used meanwhile.
+	Ends the absence of a host that reported its usage meanwhile.
 	*/
-	readonly end: (host: core.HostId) => void;
+	readonly endAbsence: (host: core.HostId) => void;
 	/**
-	Returns the absent hosts together with those that were last heard at about the same time; the same list for as long as nothing changes.
+	Returns the absent hosts, grouped by when the last message was received from them; the same array as long as nothing changes.
 	*/
 	readonly list: () => readonly allotments.Absence[];
 	readonly teardown: utils.Teardown;
 };
 
 /**
-What absences are found by.
+What the tracker needs of its host.
 */
-export type AbsencesPlan = {
-	readonly listHosts: () => Iterable<HeardHost>;
+export type AbsenceTrackerOptions = {
+	readonly listHosts: () => Iterable<EntryHostStatus>;
 	/**
-	Returns the share of the entry hosts that one of them is.
+	Returns the share of one entry host, 0 to 1.
 	*/
-	readonly getOneShare: () => number;
+	readonly getHostShare: () => number;
 	/**
-	Milliseconds after which what a host used meanwhile no longer counts.
+	Milliseconds after which the usage of a host no longer counts.
 	*/
 	readonly windowMilliseconds: number;
 };
 
-type Absent = allotments.Absence & {
+type AbsentHost = allotments.Absence & {
 	/**
-	Since when its link is heard again.
+	When messages arrived again; undefined while there are none.
 	*/
-	heardAgainAt?: number;
+	recoveredAt?: number;
 };
 
 /**
-Starts without absent hosts.
+Starts a tracker without absent hosts.
 
-Looks for them now and then, too: while nobody asks here, nothing else would notice a silence that ends before its link does.
+It also checks periodically: while no slots are requested here, nothing else would detect a silence that ends before the link is closed.
 */
-export function startAbsences({now, repeat}: Pick<FleetContext, 'now' | 'repeat'>, plan: AbsencesPlan): Absences {
-	const askedAt = new Map<core.HostId, number>();
-	const absent = new Map<core.HostId, Absent>();
-	let listed: readonly allotments.Absence[] = [];
-	let lookedAt = now();
-	let resumedAt = -Infinity;
-
-	const isSilent = ({id, silence}: HeardHost) => {
-		const isAsker = now() - (askedAt.get(id) ?? -Infinity) < ASKER_MILLISECONDS;
-		return Math.min(silence, now() - resumedAt) > (isAsker ? SILENT_ASKER_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS);
+export function startAbsenceTracker({now, repeat}: Pick<FleetContext, 'now' | 'repeat'>, options: AbsenceTrackerOptions): AbsenceTracker {
+	const requestedAt = new Map<core.HostId, number>();
+	const absent = new Map<core.HostId, AbsentHost>();
+	let listedAbsences: readonly allotments.Absence[] = [];
+	let checkedAt = now();
+	let processResumedAt = -Infinity;
+
+	const isSilent = ({id, silenceMilliseconds}: EntryHostStatus) => {
+		const isRequestingHost = now() - (requestedAt.get(id) ?? -Infinity) < REQUESTING_HOST_EXPIRY_MILLISECONDS;
+		return Math.min(silenceMilliseconds, now() - processResumedAt) > (isRequestingHost ? SILENT_REQUESTING_HOST_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS);
 	};
 
-	const add = ({id, silence}: HeardHost) => {
+	const markAbsent = ({id, silenceMilliseconds}: EntryHostStatus) => {
 		const known = absent.get(id);
 		if (known === undefined) {
-			absent.set(id, {since: now() - silence, share: plan.getOneShare()});
+			absent.set(id, {since: now() - silenceMilliseconds, share: options.getHostShare()});
 		} else {
-			known.heardAgainAt = undefined;
+			known.recoveredAt = undefined;
 		}
 	};
 
 	/**
-	One that is heard again stays absent until it has told what it used meanwhile, or that no longer counts. Asks that arrive may have been held up.
+	A host whose messages arrive again stays absent until it has reported its usage meanwhile, or that usage no longer counts. Slot requests that arrive may be
+	delayed ones.
 	*/
-	const noteHeard = (id: core.HostId, known: Absent) => {
-		known.heardAgainAt ??= now();
-		if (now() - known.heardAgainAt > plan.windowMilliseconds) {
+	const recordRecovery = (id: core.HostId, known: AbsentHost) => {
+		known.recoveredAt ??= now();
+		if (now() - known.recoveredAt > options.windowMilliseconds) {
 			absent.delete(id);
 		}
 	};
 
-	const lookAt = (host: HeardHost) => {
+	const checkHost = (host: EntryHostStatus) => {
 		const known = absent.get(host.id);
 		if (!host.isReady) {
 			absent.delete(host.id);
 		} else if (isSilent(host)) {
-			add(host);
+			markAbsent(host);
 		} else if (known !== undefined) {
-			noteHeard(host.id, known);
+			recordRecovery(host.id, known);
 		}
 	};
 
-	const forget = () => {
+	const evictExpired = () => {
 		for (const [id, {since}] of absent) {
-			if (now() - since > ABSENCE_MOST_MILLISECONDS) {
+			if (now() - since > MAX_ABSENCE_MILLISECONDS) {
 				absent.delete(id);
 			}
 		}
 	};
 
 	/**
-	Half of the hosts may be absent at once, and each admission looks at all entries of the list.
+	Groups the hosts: half of them may be absent at once, and each admission reads the whole list.
 	*/
-	const renew = () => {
-		const groups = Map.groupBy(absent.values(), ({since}) => Math.floor(since / ABSENCE_SLICE_MILLISECONDS) * ABSENCE_SLICE_MILLISECONDS);
+	const updateList = () => {
+		const groups = Map.groupBy(absent.values(), ({since}) => Math.floor(since / ABSENCE_GROUP_MILLISECONDS) * ABSENCE_GROUP_MILLISECONDS);
 		const shares = groups.entries().map(([since, hosts]): allotments.Absence => ({since, share: hosts.reduce((sum, {share}) => sum + share, 0)})).toArray();
-		const isSame = shares.length === listed.length && shares.every(({since, share}, index) => since === listed[index]!.since && share === listed[index]!.share);
-		listed = isSame ? listed : shares;
+		const isSame = shares.length === listedAbsences.length && shares.every(({since, share}, index) => since === listedAbsences[index]!.since && share === listedAbsences[index]!.share);
+		listedAbsences = isSame ? listedAbsences : shares;
 	};
 
-	const look = () => {
-		// A process that was paused looks before it reads what has come meanwhile.
-		resumedAt = now() - lookedAt > ABSENCE_REPEAT_MILLISECONDS + PAUSE_MILLISECONDS ? now() : resumedAt;
-		lookedAt = now();
-		for (const host of plan.listHosts()) {
-			lookAt(host);
+	const checkHosts = () => {
+		// After a pause of the process this check runs before the messages that arrived meanwhile are read.
+		processResumedAt = now() - checkedAt > ABSENCE_CHECK_INTERVAL_MILLISECONDS + MIN_PAUSE_MILLISECONDS ? now() : processResumedAt;
+		checkedAt = now();
+		for (const host of options.listHosts()) {
+			checkHost(host);
 		}
 
-		forget();
-		renew();
+		evictExpired();
+		updateList();
 	};
 
-	const end = (host: core.HostId) => {
+	const endAbsence = (host: core.HostId) => {
 		if (absent.delete(host)) {
-			renew();
+			updateList();
 		}
 	};
 
 	return {
-		teardown: repeat(ABSENCE_REPEAT_MILLISECONDS, look),
+		teardown: repeat(ABSENCE_CHECK_INTERVAL_MILLISECONDS, checkHosts),
 		recordHello(host, runningMilliseconds) {
 			if (now() - runningMilliseconds > (absent.get(host)?.since ?? Infinity)) {
-				end(host);
+				endAbsence(host);
 			}
 		},
-		recordAsk(host) {
-			askedAt.set(host, now());
+		recordSlotRequest(host) {
+			requestedAt.set(host, now());
 		},
-		end,
-		recordClosed(host) {
-			// It has opened another link: connections can go silent for good while new ones work.
-			if (Iterator.from(plan.listHosts()).some(({id}) => id === host.id)) {
+		endAbsence,
+		recordLinkClosed(host) {
+			// The host has opened another link: a connection can be stuck while new ones work.
+			if (Iterator.from(options.listHosts()).some(({id}) => id === host.id)) {
 				return;
 			}
 
-			askedAt.delete(host.id);
+			requestedAt.delete(host.id);
 			if (host.isReady && isSilent(host)) {
-				add(host);
+				markAbsent(host);
 			} else {
 				absent.delete(host.id);
 			}
 
-			renew();
+			updateList();
 		},
-		findStart: host => absent.get(host)?.since,
+		findAbsentSince: host => absent.get(host)?.since,
 		list() {
-			if (now() - lookedAt >= ABSENCE_LOOK_MILLISECONDS) {
-				look();
+			if (now() - checkedAt >= MIN_ABSENCE_CHECK_MILLISECONDS) {
+				checkHosts();
 			}
 
-			return listed;
+			return listedAbsences;
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/control.ts
+++ b/packages/wagtailroute-fleet/src/control.ts
@@ -8,8 +8,8 @@
 import * as link from 'wagtailroute-link';
 import * as results from 'ts-results-es';
 import * as utils from 'wagtailroute-utils';
-import {type HeardHost, startAbsences} from './absences.ts';
-import {startAllotting} from './allotting.ts';
+import {type EntryHostStatus, startAbsenceTracker} from './absences.ts';
+import {startAllotmentEnforcer} from './allotment-enforcer.ts';
 import {startControlLinks} from './control-links.ts';
 import {createSlotRequestMethods} from './slot-request-methods.ts';
 import {createBeliefStore} from './belief-store.ts';
@@ -23,13 +23,13 @@
 import {startDirectory} from './directory.ts';
 import {countAddresses} from './directory-table.ts';
 import {sendUpdates, startHostDispatcher} from './host-dispatcher.ts';
-import {createHostCount} from './host-count.ts';
+import {createEntryHostCount} from './host-count.ts';
 import {createEntryHosts, describeEntryHost, type EntryHost} from './entry-hosts.ts';
 import type {FleetContext} from './context.ts';
 import {createInstanceStore} from './instance-store.ts';
 import {startControlGroup} from './group.ts';
 import {
-	type LeaderCalls,
+	type LeaderCallOptions,
 	type LeaderFailure,
 	proposeToLeader,
 	readFromLeader,
@@ -93,20 +93,20 @@
 		},
 		store: createInstanceStore(settings.dataFolder, context.logs('instances')),
 	});
-	const hostCount = createHostCount(context.now, () => countAddresses(directory.getTable()));
+	const hostCount = createEntryHostCount(context.now, () => countAddresses(directory.getTable()));
 	// After a restart of the whole fleet no entry host is known yet: the hosts that request slots count as all of them.
 	const requestShare = createRequestShare(hostCount.get, 1);
-	const absences = startAbsences(context, {
+	const absences = startAbsenceTracker(context, {
 		listHosts: () => entryHosts.listAll().map(host => toHeardHost(host)),
-		getOneShare: requestShare.getOne,
+		getHostShare: requestShare.getHostShare,
 		windowMilliseconds: settings.allotments.windowMilliseconds,
 	});
-	const allotting = startAllotting(context, {
+	const allotting = startAllotmentEnforcer(context, {
 		settings: settings.allotments,
 		requestShare,
 		absences,
-		isTold: true,
-		tellDispatchers(method, parameters) {
+		isReceivingReports: true,
+		notifyDispatchers(method, parameters) {
 			links.notifyAll(method, parameters);
 		},
 	});
@@ -167,7 +167,7 @@
 			}
 
 			if (hello.control !== undefined) {
-				links.learn([hello.control]);
+				links.addDiscovered([hello.control]);
 			}
 
 			return {
@@ -184,7 +184,7 @@
 			publishStandbys();
 		},
 		[messages.METHODS.controls](controls: readonly ControlHost[]) {
-			links.learn(controls);
+			links.addDiscovered(controls);
 		},
 		[messages.METHODS.group](message: messages.GroupMessage) {
 			group.receive(message);
@@ -206,13 +206,13 @@
 		[messages.METHODS.beliefs](beliefs: readonly messages.Belief[]) {
 			dispatcher.mergeBeliefs(beliefs);
 		},
-		[messages.METHODS.use]: allotting.hearUse,
+		[messages.METHODS.use]: allotting.applyReport,
 		[messages.METHODS.probe]: () => ({}),
 		...createSlotRequestMethods(dispatcher, entryHosts.findByLink),
 	});
 	const links = startControlLinks(context, {
 		seeds: settings.seeds,
-		self: settings.hostId,
+		hostId: settings.hostId,
 		failureDomain: settings.failureDomain,
 		createHello: () => ({id: settings.hostId, failureDomain: settings.failureDomain, control: self}),
 		methods,
@@ -262,7 +262,7 @@
 				return;
 			}
 
-			absences.recordClosed(toHeardHost(host));
+			absences.recordLinkClosed(toHeardHost(host));
 			log.info('Entry host left.', describeEntryHost(host));
 			publishStandbys();
 		},
@@ -270,7 +270,7 @@
 			log.error('Message could not be handled.', {error: error.stack});
 		},
 	});
-	const leaderCalls: LeaderCalls = {self: settings.hostId, group, findLink: links.find};
+	const leaderCalls: LeaderCallOptions = {hostId: settings.hostId, group, findLink: links.find};
 	context.metrics.registerGauge('entry_hosts', entryHosts.count);
 	context.metrics.registerGauge('entry_hosts_absent', () => absences.list().length);
 	context.metrics.registerGauge('instances', registry.countInstances);
@@ -317,8 +317,8 @@
 	};
 }
 
-function toHeardHost({id, state, link: hostLink}: EntryHost): HeardHost {
-	return {id, isReady: state.isReady, silence: hostLink.getSilence()};
+function toHeardHost({id, state, link: hostLink}: EntryHost): EntryHostStatus {
+	return {id, isReady: state.isReady, silenceMilliseconds: hostLink.getSilence()};
 }
 
 function registerMethods(methods: Map<string, link.LinkMethod>, table: Readonly<Record<string, link.LinkMethod>>): void {
--- a/packages/wagtailroute-fleet/src/entry-hosts.ts
+++ b/packages/wagtailroute-fleet/src/entry-hosts.ts
@@ -1,8 +1,8 @@
 /**
-The entry hosts that have a link to this control host, and the answer of the directory.
+The entry hosts that have a link to this control host, and the choice of those that the directory returns to callers.
 
-The directory names some entry hosts of the caller's failure domain, the same for all callers, as many as the load needs. The
-others are at hand for when one of these goes.
+The directory returns some entry hosts of the caller's failure domain: the same for all callers, and as many as the load needs. The
+others are available when one of these stops.
 */
 import * as core from 'wagtailroute-core';
 import type * as link from 'wagtailroute-link';
@@ -12,7 +12,7 @@
 import type {EntryState} from './messages.ts';
 
 /**
-An entry host as its first message and later ones described it.
+An entry host, as described by the first and later messages on its link.
 */
 export type EntryHost = {
 	readonly id: core.HostId;
@@ -22,26 +22,26 @@
 };
 
 /**
-The table of entry hosts that have a link here.
+Entry hosts by link and by id.
 */
 export type EntryHosts = {
 	readonly add: (host: EntryHost) => void;
 	/**
-	Returns the host as it was before.
+	Replaces the state of a host and returns the host with its previous state; undefined for an unknown link.
 	*/
-	readonly setState: (of: link.Link, state: EntryState) => EntryHost | undefined;
-	readonly remove: (of: link.Link) => EntryHost | undefined;
+	readonly setState: (entryLink: link.Link, state: EntryState) => EntryHost | undefined;
+	readonly remove: (entryLink: link.Link) => EntryHost | undefined;
 	readonly find: (id: core.HostId) => EntryHost | undefined;
-	readonly findByLink: (of: link.Link) => EntryHost | undefined;
+	readonly findByLink: (entryLink: link.Link) => EntryHost | undefined;
 	readonly notifyAll: (method: string, parameters: unknown) => void;
 	readonly count: () => number;
 	readonly listAll: () => readonly EntryHost[];
 	/**
-	Returns those that serve, as far as is known.
+	Returns the hosts that are ready and whose last message is recent enough.
 	*/
 	readonly listReady: () => readonly EntryHost[];
 	/**
-	Returns the addresses for a caller; none when no entry host is known to serve.
+	Returns the addresses for a caller; empty when no entry host is known to serve.
 	*/
 	readonly listAddresses: (failureDomain: core.FailureDomain) => readonly core.Address[];
 };
@@ -49,10 +49,10 @@
 /**
 Creates an empty table.
 
-@param own Failure domain of this control host.
+@param ownDomain Failure domain of this control host.
 @param now Monotonic time in milliseconds.
 */
-export function createEntryHosts(own: core.FailureDomain, now: () => number): EntryHosts {
+export function createEntryHosts(ownDomain: core.FailureDomain, now: () => number): EntryHosts {
 	const widths = new Map<core.FailureDomain, DirectorySize>();
 	const byLink = new Map<link.Link, EntryHost>();
 	const byId = new Map<core.HostId, EntryHost>();
@@ -63,32 +63,32 @@
 	};
 
 	const isServing = (host: EntryHost) => {
-		const silence = host.failureDomain === own ? SILENT_ENTRY_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS;
-		return host.state.isReady && host.link.getSilence() < silence;
+		const maxSilenceMilliseconds = host.failureDomain === ownDomain ? SILENT_ENTRY_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS;
+		return host.state.isReady && host.link.getSilence() < maxSilenceMilliseconds;
 	};
 
 	return {
 		add: set,
-		setState(of, state) {
-			const present = byLink.get(of);
-			if (present !== undefined) {
-				set({...present, state});
+		setState(entryLink, state) {
+			const host = byLink.get(entryLink);
+			if (host !== undefined) {
+				set({...host, state});
 			}
 
-			return present;
+			return host;
 		},
-		remove(of) {
-			const present = byLink.get(of);
-			byLink.delete(of);
-			// The host may have opened another link already.
-			if (present !== undefined && byId.get(present.id)?.link === of) {
-				byId.delete(present.id);
+		remove(entryLink) {
+			const host = byLink.get(entryLink);
+			byLink.delete(entryLink);
+			// The host may have opened a new link already.
+			if (host !== undefined && byId.get(host.id)?.link === entryLink) {
+				byId.delete(host.id);
 			}
 
-			return present;
+			return host;
 		},
 		find: id => byId.get(id),
-		findByLink: of => byLink.get(of),
+		findByLink: entryLink => byLink.get(entryLink),
 		notifyAll(method, parameters) {
 			for (const host of byId.values()) {
 				host.link.notify(method, parameters);
@@ -111,7 +111,7 @@
 }
 
 /**
-Writes a host for the log.
+Returns the log fields of a host.
 */
 export function describeEntryHost({id, state}: EntryHost): Readonly<Record<string, unknown>> {
 	return {
--- /dev/null
+++ b/packages/wagtailroute-fleet/src/fleet-view.ts
@@ -0,0 +1,242 @@
+/**
+What an entry host has received from the control hosts: the catalogue generation in force, the instances of upstreams, and the retired ones among
+them.
+
+The generation's version never decreases. A generation is fetched from a control host of the same failure domain if possible: each host fetches it
+once, and traffic between failure domains costs.
+*/
+import * as core from 'wagtailroute-core';
+import type * as dispatch from 'wagtailroute-dispatch';
+import * as generations from 'wagtailroute-generations';
+import * as instances from 'wagtailroute-instances';
+import * as utils from 'wagtailroute-utils';
+import {
+	FAR_FETCH_DELAY_MILLISECONDS,
+	FETCH_RETRY_DELAY_MILLISECONDS,
+	FETCH_TIMEOUT_MILLISECONDS,
+} from './constants.ts';
+import {toCandidate} from './candidates.ts';
+import type {FleetContext} from './context.ts';
+import type {LinkedHost} from './control-links.ts';
+import {type FetchedGeneration, type InstanceChanges, METHODS} from './messages.ts';
+
+/**
+An entry host's copy of the catalogue and the instances. Lookups of an unknown route, key or service return undefined.
+*/
+export type FleetView = {
+	readonly getGeneration: () => generations.Generation | undefined;
+	readonly findRoute: generations.RouteFinder;
+	readonly findOrganisation: generations.KeyFinder;
+	readonly findService: (name: core.ServiceName) => generations.GenerationService | undefined;
+	readonly listCandidates: (service: core.ServiceName) => readonly dispatch.Candidate[];
+	readonly isRetired: (upstream: core.UpstreamId) => boolean;
+	/**
+	Returns the addresses of all known instances, as text.
+	*/
+	readonly listAddresses: () => ReadonlySet<string>;
+	/**
+	Records the generation version that a control host has, and fetches the generation if it is newer than this host's.
+	*/
+	readonly recordVersion: (control: LinkedHost, version: number) => void;
+	/**
+	Applies new, changed and forgotten instances, and retirements.
+	*/
+	readonly applyInstances: (news: InstanceChanges) => void;
+	readonly applyRetirements: (retirements: readonly generations.Retirement[]) => void;
+	/**
+	Fetches all instances from one of the linked control hosts, which then sends every change; does nothing while such a link is open.
+	*/
+	readonly followInstances: () => void;
+	/**
+	Follows the instances through another control host if the lost one sent them.
+	*/
+	readonly handleControlHostLost: (control: LinkedHost) => void;
+};
+
+/**
+Collaborators of a fleet view.
+*/
+export type FleetViewOptions = {
+	readonly failureDomain: core.FailureDomain;
+	readonly getControlHosts: () => readonly LinkedHost[];
+	readonly onGeneration: (generation: generations.Generation) => void;
+	readonly onInstancesChanged: (service: core.ServiceName) => void;
+};
+
+type State = {
+	generation: generations.Generation | undefined;
+	findRoute: generations.RouteFinder;
+	findOrganisation: generations.KeyFinder;
+	services: ReadonlyMap<core.ServiceName, generations.GenerationService>;
+	/**
+	Highest version that a control host reported, and the control hosts that reported it.
+	*/
+	newestVersion: number;
+	newestVersionHolders: Set<core.HostId>;
+	isFetching: boolean;
+	instanceSource: LinkedHost | undefined;
+};
+
+/**
+Creates the view of a host that has received nothing.
+*/
+export function createFleetView(context: FleetContext, options: FleetViewOptions): FleetView {
+	const {now, schedule} = context;
+	const log = context.logs('knowledge');
+	const instanceTable = instances.createInstanceTable();
+	const retired = new Map<core.UpstreamId, generations.RetirementState>();
+	const state: State = {
+		generation: undefined,
+		findRoute: () => undefined,
+		findOrganisation: () => undefined,
+		services: new Map(),
+		newestVersion: 0,
+		newestVersionHolders: new Set(),
+		isFetching: false,
+		instanceSource: undefined,
+	};
+
+	const getVersion = () => state.generation?.version ?? 0;
+
+	const isNear = (control: LinkedHost) => control.host.failureDomain === options.failureDomain;
+
+	const applyGeneration = (generation: generations.Generation) => {
+		// The answer may come from a control host that lags behind; it must not replace a newer generation.
+		if (generation.version <= getVersion()) {
+			return;
+		}
+
+		state.generation = generation;
+		state.findRoute = generations.createRouteFinder(generation);
+		state.findOrganisation = generations.createKeyFinder(generation);
+		state.services = new Map(generation.services.map(service => [service.name, service]));
+		log.info('A catalogue generation is now in force.', {version: generation.version, routes: generation.routes.length});
+		options.onGeneration(generation);
+	};
+
+	const fetchGeneration = async () => {
+		if (state.isFetching || state.newestVersion <= getVersion()) {
+			return;
+		}
+
+		const openHolders = options.getControlHosts().filter(control => state.newestVersionHolders.has(control.host.id));
+		const source = openHolders.find(control => isNear(control)) ?? openHolders[Math.floor(context.random() * openHolders.length)];
+		if (source === undefined) {
+			return;
+		}
+
+		state.isFetching = true;
+		const answer = await source.link.call(METHODS.fetchGeneration, {}, FETCH_TIMEOUT_MILLISECONDS);
+		state.isFetching = false;
+		const {generation = null} = answer.isOk() ? answer.value as FetchedGeneration : {};
+		if (generation !== null) {
+			applyGeneration(generation);
+		}
+
+		if (!(state.newestVersion > getVersion())) {
+			return;
+		}
+
+		state.newestVersionHolders.delete(source.host.id);
+		schedule(generation === null ? FETCH_RETRY_DELAY_MILLISECONDS : 0, () => {
+			void fetchGeneration();
+		});
+	};
+
+	const applyRetirements = (retirements: readonly generations.Retirement[]) => {
+		for (const {upstream, state: retirement} of retirements) {
+			const service = instanceTable.get(upstream)?.service;
+			utils.setBounded(retired, upstream, retirement, generations.RETIREMENTS_KEPT);
+			const hasChanged = instanceTable.retire(upstream, retirement);
+			if (service === undefined || !hasChanged) {
+				continue;
+			}
+
+			log.info('An upstream instance was retired.', {upstream, service, state: retirement});
+			options.onInstancesChanged(service);
+		}
+	};
+
+	const applyInstances = ({heard, forgotten, retirements}: InstanceChanges) => {
+		applyRetirements(retirements);
+		const changed = new Set<core.ServiceName>();
+		for (const {ageMilliseconds, ...heartbeat} of heard) {
+			if (instanceTable.take(heartbeat, now() - ageMilliseconds) === 'news') {
+				changed.add(heartbeat.service);
+			}
+		}
+
+		for (const upstream of forgotten) {
+			const service = instanceTable.get(upstream)?.service;
+			instanceTable.forget(upstream);
+			if (service !== undefined) {
+				changed.add(service);
+			}
+		}
+
+		for (const service of changed) {
+			options.onInstancesChanged(service);
+		}
+	};
+
+	const followInstances = () => {
+		if (state.instanceSource?.link.isOpen() === true) {
+			return;
+		}
+
+		const open = options.getControlHosts();
+		const source = open.find(control => isNear(control)) ?? open[Math.floor(context.random() * open.length)];
+		state.instanceSource = source;
+		void (async () => {
+			const answer = await source?.link.call(METHODS.followInstances, {}, FETCH_TIMEOUT_MILLISECONDS);
+			if (answer?.isOk() === true) {
+				applyInstances(answer.value as InstanceChanges);
+			} else if (source !== undefined && state.instanceSource === source) {
+				state.instanceSource = undefined;
+				schedule(FETCH_RETRY_DELAY_MILLISECONDS, followInstances);
+			}
+		})();
+	};
+
+	return {
+		getGeneration: () => state.generation,
+		findRoute: (host, path) => state.findRoute(host, path),
+		findOrganisation: key => state.findOrganisation(key),
+		findService: name => state.services.get(name),
+		// Only control hosts receive heartbeats and detect silent instances; this host receives changes only, so none counts as silent here.
+		listCandidates: service => instanceTable.list(service).map(instance => toCandidate(instance, false)),
+		isRetired: upstream => retired.has(upstream),
+		listAddresses: () => new Set(instanceTable.listAll().map(instance => core.formatAddress(instance.address))),
+		recordVersion(control, version) {
+			if (version < state.newestVersion || version <= getVersion()) {
+				return;
+			}
+
+			if (version > state.newestVersion) {
+				state.newestVersion = version;
+				state.newestVersionHolders = new Set();
+			}
+
+			state.newestVersionHolders.add(control.host.id);
+			if (isNear(control)) {
+				void fetchGeneration();
+			} else {
+				schedule(FAR_FETCH_DELAY_MILLISECONDS, () => {
+					void fetchGeneration();
+				});
+			}
+		},
+		applyInstances,
+		applyRetirements,
+		followInstances,
+		handleControlHostLost(control) {
+			state.newestVersionHolders.delete(control.host.id);
+			if (state.instanceSource?.link !== control.link) {
+				return;
+			}
+
+			state.instanceSource = undefined;
+			followInstances();
+		},
+	};
+}
--- a/packages/wagtailroute-fleet/src/host-dispatcher.ts
+++ b/packages/wagtailroute-fleet/src/host-dispatcher.ts
@@ -8,13 +8,13 @@
 import type * as link from 'wagtailroute-link';
 import type * as utils from 'wagtailroute-utils';
 import {
-	ASKER_MILLISECONDS,
+	REQUESTING_HOST_EXPIRY_MILLISECONDS,
 	DISPATCH_TICK_MILLISECONDS,
 	MAX_IDLE_UPSTREAMS_LOGGED,
 	IDLE_LOG_INTERVAL_MILLISECONDS,
 } from './constants.ts';
 import {getSlotRequestNumber, encodeAnswer} from './slot-request-encoding.ts';
-import type {Allotting} from './allotting.ts';
+import type {AllotmentEnforcer} from './allotment-enforcer.ts';
 import type {RequestShare} from './request-share.ts';
 import type {FleetContext} from './context.ts';
 import {createPeerUpdates} from './peer-updates.ts';
@@ -27,7 +27,7 @@
 	METHODS,
 	type ServiceUpdates,
 } from './messages.ts';
-import {createRecentAskers, type RecentAskers} from './recent-askers.ts';
+import {createRecentRequestingHosts, type RecentRequestingHosts} from './recent-requesting-hosts.ts';
 import type {FleetSettings} from './settings.ts';
 
 /**
@@ -37,11 +37,11 @@
 	/**
 	Answers a slot request at once. After the answer `wait`, the decision is sent as a message.
 	*/
-	readonly requestSlot: (request: dispatch.Ask) => SlotAnswer;
+	readonly requestSlot: (request: dispatch.SlotRequest) => SlotAnswer;
 	/**
 	Withdraws a slot request that waits.
 	*/
-	readonly cancel: (id: dispatch.AskId) => void;
+	readonly cancel: (id: dispatch.SlotRequestId) => void;
 	/**
 	Records how a granted request ended.
 	*/
@@ -49,7 +49,7 @@
 	/**
 	Records what the answer to a granted request advertises about its upstream.
 	*/
-	readonly recordAdvertisements: (id: dispatch.AskId, advertisements: readonly core.Advertisement[]) => void;
+	readonly recordAdvertisements: (id: dispatch.SlotRequestId, advertisements: readonly core.Advertisement[]) => void;
 	/**
 	Applies what answers advertised to another host.
 	*/
@@ -65,7 +65,7 @@
 	/**
 	Counts against the allotments what other dispatchers admitted of a host's requests, before its first request here.
 	*/
-	readonly applyPastUsage: (host: core.HostId, uses: readonly allotments.PastUse[]) => void;
+	readonly applyPastUsage: (host: core.HostId, uses: readonly allotments.PastUsage[]) => void;
 	/**
 	Sets the doubt about an upstream that another dispatcher reports.
 	*/
@@ -109,7 +109,7 @@
 	/**
 	Absent: what an organisation sends is not limited.
 	*/
-	readonly allotting?: Pick<Allotting, 'admit' | 'giveBack' | 'takeOver'>;
+	readonly allotting?: Pick<AllotmentEnforcer, 'admit' | 'refund' | 'applyPastUsage'>;
 	/**
 	Called with the number of entry hosts that serve callers, when a host reports it.
 	*/
@@ -142,23 +142,23 @@
 	const {requestShare} = options;
 	const dispatcher = dispatch.createDispatcher({...options.settings, random, getShare: options.isReceivingUpdates ? undefined : requestShare.get});
 	const knownServices = new Set<core.ServiceName>();
-	const requestingHosts = new Map<core.ServiceName, RecentAskers>();
+	const requestingHosts = new Map<core.ServiceName, RecentRequestingHosts>();
 
 	const listRequestingHosts = (service: core.ServiceName) => requestingHosts.get(service)?.list(now()) ?? [];
 
 	const peerUpdates = createPeerUpdates(context, {...options, dispatcher, listRequestingHosts});
 
 	const sendDecision = (effect: Decision) => {
-		options.notify(effect.ask.host, METHODS.answer, [getSlotRequestNumber(effect.ask.id), encodeAnswer(toAnswer(effect))]);
+		options.notify(effect.request.host, METHODS.answer, [getSlotRequestNumber(effect.request.id), encodeAnswer(toAnswer(effect))]);
 	};
 
 	const effectHandlers: EffectHandlers = {
 		grant(effect) {
-			peerUpdates.onGranted(effect.ask.service);
+			peerUpdates.onGranted(effect.request.service);
 			sendDecision(effect);
 		},
 		refuse(effect) {
-			refundAllotment(effect.ask);
+			refundAllotment(effect.request);
 			logRefusal(effect);
 			sendDecision(effect);
 		},
@@ -200,7 +200,7 @@
 		}
 
 		loggedIdleAt.set(service, now());
-		const idle = dispatcher.listIdle(service, now());
+		const idle = dispatcher.listIdleUpstreams(service, now());
 		if (idle.length === 0) {
 			return;
 		}
@@ -215,7 +215,7 @@
 		});
 	};
 
-	const logRefusal = ({ask, reason, retryAfterMilliseconds}: Extract<dispatch.Effect, {kind: 'refuse'}>) => {
+	const logRefusal = ({request: ask, reason, retryAfterMilliseconds}: Extract<dispatch.Effect, {kind: 'refuse'}>) => {
 		const upstreams = dispatcher.report(ask.service, now());
 		metrics.count('refusals', {service: ask.service, reason});
 		log.warn('Slot request refused.', {
@@ -224,7 +224,7 @@
 			reason,
 			remainingMilliseconds: Math.round(ask.remainingMilliseconds),
 			retryAfterMilliseconds: Math.round(retryAfterMilliseconds),
-			waiting: dispatcher.getWaiting(),
+			waiting: dispatcher.countWaiting(),
 			upstreams: upstreams.length,
 			suspended: upstreams.filter(upstream => upstream.isSuspended).length,
 			rateLimited: upstreams.filter(upstream => upstream.rateLimit !== undefined).length,
@@ -238,17 +238,17 @@
 	Refunds what a slot request used of its organisation's allotment, when it is granted no slot or does not use it: a host that turns from one
 	dispatcher to the next sends its request to both. A resend uses nothing.
 	*/
-	const refundAllotment = (request: dispatch.Ask) => {
-		if (dispatch.isFirst(request)) {
-			options.allotting?.giveBack(request);
+	const refundAllotment = (request: dispatch.SlotRequest) => {
+		if (dispatch.isFirstAttempt(request)) {
+			options.allotting?.refund(request);
 		}
 	};
 
-	const recordRequestingHost = ({service, host}: dispatch.Ask) => {
+	const recordRequestingHost = ({service, host}: dispatch.SlotRequest) => {
 		requestShare.record(host, now());
-		const hosts = requestingHosts.get(service) ?? createRecentAskers(ASKER_MILLISECONDS);
+		const hosts = requestingHosts.get(service) ?? createRecentRequestingHosts(REQUESTING_HOST_EXPIRY_MILLISECONDS);
 		requestingHosts.set(service, hosts);
-		hosts.note(host, now());
+		hosts.record(host, now());
 	};
 
 	const applyEffects = (effects: readonly dispatch.Effect[]) => {
@@ -304,23 +304,23 @@
 		.filter(({doubt}) => doubt > 0)
 		.map(({upstream, doubt}): Belief => ({service, upstream, doubt}))).toArray();
 
-	metrics.registerGauge('asks_waiting', () => dispatcher.getWaiting());
+	metrics.registerGauge('asks_waiting', () => dispatcher.countWaiting());
 	return {
 		requestSlot(request) {
 			ensureCandidates(request.service);
 			recordRequestingHost(request);
-			if (!dispatcher.knows(request.service)) {
+			if (!dispatcher.hasUpstreams(request.service)) {
 				log.warn('Slot request sent elsewhere: no upstream of its service is known.', {id: request.id, service: request.service});
 				return {kind: 'elsewhere'};
 			}
 
-			const refusal = dispatch.isFirst(request) ? options.allotting?.admit(request) : undefined;
+			const refusal = dispatch.isFirstAttempt(request) ? options.allotting?.admit(request) : undefined;
 			if (refusal !== undefined) {
 				return refusal;
 			}
 
-			const effects = dispatcher.ask(request, now());
-			const ownDecision = effects.find(effect => isDecision(effect) && effect.ask.id === request.id);
+			const effects = dispatcher.requestSlot(request, now());
+			const ownDecision = effects.find(effect => isDecision(effect) && effect.request.id === request.id);
 			applyEffects(effects.filter(effect => effect !== ownDecision));
 			scheduleTick();
 			if (ownDecision === undefined || !isDecision(ownDecision)) {
@@ -344,12 +344,12 @@
 		},
 		end({id, ending, milliseconds}) {
 			metrics.count('ends', {ending});
-			const unusedRequest = ending === 'unused' ? dispatcher.findGranted(id) : undefined;
+			const unusedRequest = ending === 'unused' ? dispatcher.findGrantedRequest(id) : undefined;
 			if (unusedRequest !== undefined) {
 				refundAllotment(unusedRequest);
 			}
 
-			const service = dispatcher.findGranted(id)?.service;
+			const service = dispatcher.findGrantedRequest(id)?.service;
 			applyEffects(dispatcher.end(id, {ending, milliseconds}, now()));
 			if (service !== undefined && ending !== 'success') {
 				logIdleUpstreams(service);
@@ -367,15 +367,15 @@
 			}
 
 			if (uses !== undefined) {
-				options.allotting?.takeOver(host, uses);
+				options.allotting?.applyPastUsage(host, uses);
 			}
 
-			dispatcher.hold(host, service, places, now());
+			dispatcher.replaceHeldSlots(host, service, places, now());
 			applyUpdates({service, updates});
 			scheduleTick();
 		},
 		applyPastUsage(host, uses) {
-			options.allotting?.takeOver(host, uses);
+			options.allotting?.applyPastUsage(host, uses);
 		},
 		applyBelief,
 		applyBeliefs(beliefs) {
--- a/packages/wagtailroute-fleet/src/index.ts
+++ b/packages/wagtailroute-fleet/src/index.ts
@@ -7,17 +7,17 @@
 	ADDRESS_TTL_SECONDS,
 	MIN_DIRECTORY_ADDRESSES,
 	STANDBY_EXTRA_RESENDS,
-	STANDBYS_MOST,
+	MAX_STANDBYS,
 	STANDBYS_PER_SERVICE,
-	UPSTREAM_CONNECT_MILLISECONDS,
+	UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
-export {type Absences, startAbsences} from './absences.ts';
-export {type Allotting, startAllotting} from './allotting.ts';
-export {createAskers} from './askers.ts';
+export {type AbsenceTracker, startAbsenceTracker} from './absences.ts';
+export {type AllotmentEnforcer, startAllotmentEnforcer} from './allotment-enforcer.ts';
+export {createRequestingHosts} from './requesting-hosts.ts';
 export {createSlotRequestMethods} from './slot-request-methods.ts';
 export type {EncodedAnswer} from './slot-request-encoding.ts';
-export {type Asking, createAsking} from './asking.ts';
-export type {OpenControl} from './control-links.ts';
+export {createDispatchClient, type DispatchClient} from './dispatch-client.ts';
+export type {LinkedHost} from './control-links.ts';
 export {orderDispatchers} from './dispatch-order.ts';
 export {type HostDispatcher, startHostDispatcher} from './host-dispatcher.ts';
 export {type Belief, METHODS, type ServiceUpdates} from './messages.ts';
--- a/packages/wagtailroute-fleet/src/messages.ts
+++ b/packages/wagtailroute-fleet/src/messages.ts
@@ -154,7 +154,7 @@
 How a granted request ended, with the milliseconds from the send to the answer's header section.
 */
 export type GrantEnd = {
-	readonly id: dispatch.AskId;
+	readonly id: dispatch.SlotRequestId;
 	readonly ending: dispatch.Ending;
 	readonly milliseconds: number;
 };
@@ -165,7 +165,7 @@
 */
 export type HandoverReport = {
 	readonly service: core.ServiceName;
-	readonly places: readonly dispatch.HeldPlace[];
+	readonly places: readonly dispatch.HeldSlotReport[];
 	/**
 	What answers to the host's requests advertised; absent when there is nothing.
 	*/
@@ -173,7 +173,7 @@
 	/**
 	What other dispatchers admitted of the host's callers in the last window; absent when it was reported before or is not known.
 	*/
-	readonly uses?: readonly allotments.PastUse[];
+	readonly uses?: readonly allotments.PastUsage[];
 	/**
 	Number of entry hosts that serve callers, as far as the reporting host knows.
 	*/
--- a/packages/wagtailroute-fleet/src/registry.ts
+++ b/packages/wagtailroute-fleet/src/registry.ts
@@ -11,8 +11,8 @@
 import type * as link from 'wagtailroute-link';
 import * as utils from 'wagtailroute-utils';
 import {
-	FETCH_MILLISECONDS,
-	HOUSEKEEPING_MILLISECONDS,
+	FETCH_TIMEOUT_MILLISECONDS,
+	HOUSEKEEPING_INTERVAL_MILLISECONDS,
 	RELAY_BATCH_MILLISECONDS,
 	INSTANCES_SAVE_DELAY_MILLISECONDS,
 	SILENT_UPSTREAM_MILLISECONDS,
@@ -200,7 +200,7 @@
 	};
 
 	const loaded = loadStored();
-	const stopChecking = context.repeat(HOUSEKEEPING_MILLISECONDS, checkSilence);
+	const stopChecking = context.repeat(HOUSEKEEPING_INTERVAL_MILLISECONDS, checkSilence);
 	return {
 		receiveHeartbeat(heartbeat) {
 			const reception = applyHeartbeat(heartbeat, now());
@@ -222,7 +222,7 @@
 			}
 		},
 		async catchUp(from) {
-			const answer = await from.call(METHODS.listInstances, {}, FETCH_MILLISECONDS);
+			const answer = await from.call(METHODS.listInstances, {}, FETCH_TIMEOUT_MILLISECONDS);
 			applyRelayed(answer.isOk() ? (answer.value as InstanceChanges).heard : []);
 		},
 		retire({upstream, state}) {
--- a/packages/wagtailroute-fleet/src/slot-request-encoding.ts
+++ b/packages/wagtailroute-fleet/src/slot-request-encoding.ts
@@ -14,7 +14,7 @@
 /**
 What all slot requests of a route have in common.
 */
-export type RouteParameters = Pick<dispatch.Ask, 'service' | 'route' | 'requestClass' | 'priority' | 'objectiveMilliseconds'>;
+export type RouteParameters = Pick<dispatch.SlotRequest, 'service' | 'route' | 'requestClass' | 'priority' | 'objectiveMilliseconds'>;
 
 /**
 A route as it is announced to a dispatcher: the number that stands for it on this link, and its parameters.
@@ -68,14 +68,14 @@
 /**
 Returns the identifier of a slot request, unique in the fleet.
 */
-export function createSlotRequestId(host: core.HostId, number: number): dispatch.AskId {
+export function createSlotRequestId(host: core.HostId, number: number): dispatch.SlotRequestId {
 	return `${host}:${number}`;
 }
 
 /**
 Returns the number that a slot request has on its host.
 */
-export function getSlotRequestNumber(id: dispatch.AskId): number {
+export function getSlotRequestNumber(id: dispatch.SlotRequestId): number {
 	return Number(id.slice(id.lastIndexOf(':') + 1));
 }
 
@@ -126,7 +126,7 @@
 /**
 Returns the part of a slot request that all requests of its route have in common.
 */
-export function getRouteParameters({service, route, requestClass, priority, objectiveMilliseconds}: dispatch.Ask): RouteParameters {
+export function getRouteParameters({service, route, requestClass, priority, objectiveMilliseconds}: dispatch.SlotRequest): RouteParameters {
 	return {
 		service, route, requestClass, priority, objectiveMilliseconds,
 	};
@@ -135,7 +135,7 @@
 /**
 Encodes a slot request. Times are rounded down to whole milliseconds; trailing items that have their default are left out.
 */
-export function encodeSlotRequest(request: dispatch.Ask, reference: RouteReference): EncodedSlotRequest {
+export function encodeSlotRequest(request: dispatch.SlotRequest, reference: RouteReference): EncodedSlotRequest {
 	const remaining = Math.floor(request.remainingMilliseconds);
 	const waited = Math.floor(request.waitedMilliseconds);
 	const encoded = [getSlotRequestNumber(request.id), reference, remaining] as const;
@@ -153,9 +153,9 @@
 */
 export function decodeSlotRequest(
 	[number, , remainingMilliseconds, excluded = [], isResend = false, isMove = false, waitedMilliseconds = 0, isAgain]: EncodedSlotRequest,
-	from: Pick<dispatch.Ask, 'host' | 'failureDomain' | 'organisation'>,
+	from: Pick<dispatch.SlotRequest, 'host' | 'failureDomain' | 'organisation'>,
 	route: RouteParameters,
-): dispatch.Ask {
+): dispatch.SlotRequest {
 	return {
 		...route, ...from, id: createSlotRequestId(from.host, number), remainingMilliseconds, excluded, isResend, isMove, waitedMilliseconds, ...isAgain === true && {isAgain},
 	};
--- a/packages/wagtailroute-fleet/src/slot-request-methods.ts
+++ b/packages/wagtailroute-fleet/src/slot-request-methods.ts
@@ -50,7 +50,7 @@
 		return host;
 	};
 
-	const decode = (request: EncodedSlotRequest, from: link.Link): dispatch.Ask => {
+	const decode = (request: EncodedSlotRequest, from: link.Link): dispatch.SlotRequest => {
 		const {id, failureDomain} = getHost(from);
 		const [, reference] = request;
 		const [routeNumber, organisationNumber] = typeof reference === 'number' ? [reference, undefined] : reference;
--- a/packages/wagtailroute-proxy/src/index.ts
+++ b/packages/wagtailroute-proxy/src/index.ts
@@ -1,8 +1,8 @@
 /**
-The way of a request: from a caller through this host to a backend server and back.
+Reverse proxy: forwards requests of callers to backend servers, directly or through another host, and relays their answers.
 */
 export {
-	answerFailure, answerJson, createProblem, createProxyStatus, isReadWhole, type Problem,
+	answerFailure, answerJson, createProblem, createProxyStatus, isFullyRead, type Problem,
 } from './answers.ts';
 export {
 	createRequestFailure,
@@ -10,45 +10,45 @@
 	type RequestFailureKind,
 } from './failures.ts';
 export type {
+	AdmissionRelease,
 	AdmissionRequest,
 	AttemptEnding,
 	AttemptReport,
-	ClaimAnswer,
 	ChoiceRequest,
+	ClaimAnswer,
 	ClaimRequest,
-	Guard,
-	Loss,
-	Match,
-	Release,
+	CrashGuard,
+	LostAttempt,
+	PendingAdmission,
+	PendingTarget,
 	ReleaseEnding,
 	RequestLimits,
-	RequestNote,
+	RequestReport,
 	RetryPort,
+	RouteMatch,
 	RoutedRequest,
+	RoutesPort,
 	ServicePort,
 	Settlement,
 	StoredAnswer,
 	Target,
-	RoutesPort,
 	TrafficPorts,
 	TrialAnswer,
 	TrialEnding,
 	TrialRequest,
 	UpstreamAdvertisement,
-	WaitingPlace,
-	WaitingTarget,
 } from './ports.ts';
-export {type AnswerKind, type Dialect, OWN_DIALECT} from './dialect.ts';
+export {type AnswerKind, DEFAULT_DIALECT, type Dialect} from './dialect.ts';
 export {
-	CONNECTION_HEADERS, getNamedByConnection, type HeaderFields, type Passage,
+	getConnectionOptions, type HeaderFields, HOP_BY_HOP_HEADERS, type RequestHeaderOptions,
 } from './headers.ts';
 export type {CallerRequest} from './requests.ts';
 export {openTrafficServer, type TrafficServer} from './traffic.ts';
-export type {Connections} from './connections.ts';
-export {MOVE_MILLISECONDS} from './constants.ts';
+export type {ConnectionPools} from './connections.ts';
+export {MOVE_TIMEOUT_MILLISECONDS} from './constants.ts';
 export {
-	createPace,
-	createPaces,
-	type Pace,
-	type Paces,
-} from './pace.ts';
+	createPacer,
+	createPacers,
+	type Pacer,
+	type Pacers,
+} from './pacing.ts';
--- a/packages/wagtailroute-proxy/src/requests.ts
+++ b/packages/wagtailroute-proxy/src/requests.ts
@@ -1,5 +1,5 @@
 /**
-A caller's request, checked: what the fleet needs to know of it before it goes anywhere.
+Parses and validates the requests of callers before anything is sent.
 */
 import type * as http from 'node:http';
 import type * as core from 'wagtailroute-core';
@@ -9,59 +9,59 @@
 	DEFAULT_ORGANISATION,
 	FORWARDED_HEADER,
 	IDEMPOTENCY_HEADER,
-	MAXIMUM_TARGET_LENGTH,
-	MAXIMUM_TIMEOUT_MILLISECONDS,
-	MAXIMUM_TOKEN_LENGTH,
+	MAX_REQUEST_TARGET_LENGTH,
+	MAX_TIMEOUT_MILLISECONDS,
+	MAX_TOKEN_LENGTH,
 	ORGANISATION_HEADER,
 	TIMEOUT_HEADER,
 } from './constants.ts';
 import {createRequestFailure, type RequestFailure} from './failures.ts';
 
 /**
-A checked request.
+A validated request.
 */
 export type CallerRequest = {
 	/**
-	The caller's name for the request, for logs and to tell answers apart.
+	Request identifier set by the caller, for logs and to match answers with requests.
 	*/
 	readonly id?: string;
 	readonly method: string;
 	/**
-	Path with its query, as received.
+	Path with query, as received.
 	*/
-	readonly target: string;
+	readonly requestTarget: string;
 	/**
-	Path without its query.
+	Path without query.
 	*/
 	readonly path: string;
 	/**
-	Host name without its port, in lower case.
+	Host name without port, in lower case.
 	*/
 	readonly host: string;
 	/**
-	Empty where it follows from the key.
+	Organisation that the caller names; empty where it is derived from `key`.
 	*/
 	readonly organisation: core.Organisation;
 	/**
-	The secret by which the caller proves its organisation. It goes to no log and no backend server.
+	API key that authenticates the caller's organisation. Must not be logged or sent to backend servers.
 	*/
 	readonly key?: string;
 	readonly idempotencyKey?: string;
 	/**
-	The caller's own deadline in milliseconds from arrival.
+	Timeout set by the caller, in milliseconds from arrival.
 	*/
 	readonly timeoutMilliseconds?: number;
 	/**
-	Declared length of the body in bytes; absent when it is not declared.
+	Content-Length in bytes; absent when the request has none.
 	*/
 	readonly contentLength?: number;
 	readonly hasBody: boolean;
 	/**
-	Another host of the fleet sent it here.
+	Whether another host of the fleet forwarded the request to this host.
 	*/
 	readonly isForwarded: boolean;
 	/**
-	Sends that another tier made before this one, as it says; absent for a first send.
+	Value of the Wagtailroute-Retry header: number of earlier attempts by another tier; absent for a first attempt.
 	*/
 	readonly tierRetry?: string;
 };
@@ -71,58 +71,58 @@
 const PORT_PATTERN = /:\d+$/v;
 
 /**
-Checks a request. Every failure is told before anything was sent.
+Parses and validates a request. All failures are of stage `receiving`: nothing has been sent.
 */
 export function parseRequest(message: http.IncomingMessage): results.Result<CallerRequest, RequestFailure> {
-	const failure = findTargetFailure(message) ?? findHeaderFailure(message.headers);
+	const failure = findRequestTargetFailure(message) ?? findHeaderFailure(message.headers);
 	if (failure !== undefined) {
 		return results.Err(failure);
 	}
 
 	const {headers} = message;
-	const target = message.url!;
-	const query = target.indexOf('?');
-	const declared = headers['content-length'];
+	const requestTarget = message.url!;
+	const query = requestTarget.indexOf('?');
+	const declaredLength = headers['content-length'];
 	return results.Ok({
 		method: message.method!,
-		target,
-		path: query === -1 ? target : target.slice(0, query),
+		requestTarget,
+		path: query === -1 ? requestTarget : requestTarget.slice(0, query),
 		host: (headers.host ?? '').toLowerCase().replace(PORT_PATTERN, ''),
 		organisation: getHeader(headers, ORGANISATION_HEADER) ?? DEFAULT_ORGANISATION,
 		idempotencyKey: getHeader(headers, IDEMPOTENCY_HEADER),
 		timeoutMilliseconds: parseTimeout(getHeader(headers, TIMEOUT_HEADER)),
-		contentLength: declared === undefined ? undefined : Number(declared),
-		hasBody: headers['transfer-encoding'] !== undefined || (declared !== undefined && declared !== '0'),
+		contentLength: declaredLength === undefined ? undefined : Number(declaredLength),
+		hasBody: headers['transfer-encoding'] !== undefined || (declaredLength !== undefined && declaredLength !== '0'),
 		isForwarded: headers[FORWARDED_HEADER] !== undefined,
 		tierRetry: getHeader(headers, retries.RETRY_HEADER),
 	});
 }
 
-function findTargetFailure(message: http.IncomingMessage): RequestFailure | undefined {
-	const target = message.url ?? '';
-	if (!target.startsWith('/')) {
+function findRequestTargetFailure(message: http.IncomingMessage): RequestFailure | undefined {
+	const requestTarget = message.url ?? '';
+	if (!requestTarget.startsWith('/')) {
 		return createRequestFailure('target-invalid', 'The target must be a path that begins with a slash.');
 	}
 
-	return target.length > MAXIMUM_TARGET_LENGTH ? createRequestFailure('target-invalid', `The target is longer than ${MAXIMUM_TARGET_LENGTH} characters.`) : undefined;
+	return requestTarget.length > MAX_REQUEST_TARGET_LENGTH ? createRequestFailure('target-invalid', `The target is longer than ${MAX_REQUEST_TARGET_LENGTH} characters.`) : undefined;
 }
 
 function findHeaderFailure(headers: http.IncomingHttpHeaders): RequestFailure | undefined {
 	for (const name of [ORGANISATION_HEADER, IDEMPOTENCY_HEADER]) {
 		const value = getHeader(headers, name);
-		if (value !== undefined && (value.length > MAXIMUM_TOKEN_LENGTH || !VISIBLE_PATTERN.test(value))) {
-			return createRequestFailure('header-invalid', `${name} must be 1 to ${MAXIMUM_TOKEN_LENGTH} visible ASCII characters.`);
+		if (value !== undefined && (value.length > MAX_TOKEN_LENGTH || !VISIBLE_PATTERN.test(value))) {
+			return createRequestFailure('header-invalid', `${name} must be 1 to ${MAX_TOKEN_LENGTH} visible ASCII characters.`);
 		}
 	}
 
 	const timeout = getHeader(headers, TIMEOUT_HEADER);
 	return timeout === undefined || isTimeout(timeout)
 		? undefined
-		: createRequestFailure('header-invalid', `${TIMEOUT_HEADER} must be a whole number from 1 to ${MAXIMUM_TIMEOUT_MILLISECONDS}.`);
+		: createRequestFailure('header-invalid', `${TIMEOUT_HEADER} must be a whole number from 1 to ${MAX_TIMEOUT_MILLISECONDS}.`);
 }
 
 function isTimeout(text: string): boolean {
-	return TIMEOUT_PATTERN.test(text) && Number(text) >= 1 && Number(text) <= MAXIMUM_TIMEOUT_MILLISECONDS;
+	return TIMEOUT_PATTERN.test(text) && Number(text) >= 1 && Number(text) <= MAX_TIMEOUT_MILLISECONDS;
 }
 
 function getHeader(headers: http.IncomingHttpHeaders, name: string): string | undefined {
