--- a/packages/wagtailroute-fleet/src/__tests__/unit/allotment-enforcer.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/allotment-enforcer.test.ts
@@ -50,7 +50,7 @@
 	const dispatching = startHostDispatcher(context, {
 		...fixture.ONLY_DISPATCHER,
 		settings: {budget: {ratio: 0.2, extra: 20, windowMilliseconds: 10_000}, floor: 0},
-		allotting: enforcer,
+		allotmentEnforcer: enforcer,
 		listCandidates: () => [{
 			upstream: 'u', address: {ip: '10.0.0.1', port: 80}, failureDomain: 'x', slots: 100, isDraining: false, isSilent: false, warmAt: 0,
 		}],
--- a/packages/wagtailroute-fleet/src/control.ts
+++ b/packages/wagtailroute-fleet/src/control.ts
@@ -93,18 +93,18 @@
 		},
 		store: createInstanceStore(settings.dataFolder, context.logs('instances')),
 	});
-	const hostCount = createEntryHostCount(context.now, () => countAddresses(directory.getTable()));
+	const entryHostCount = createEntryHostCount(context.now, () => countAddresses(directory.getTable()));
 	// After a restart of the whole fleet no entry host is known yet: the hosts that request slots count as all of them.
-	const requestShare = createRequestShare(hostCount.get, 1);
-	const absences = startAbsenceTracker(context, {
-		listHosts: () => entryHosts.listAll().map(host => toHeardHost(host)),
+	const requestShare = createRequestShare(entryHostCount.get, 1);
+	const absenceTracker = startAbsenceTracker(context, {
+		listHosts: () => entryHosts.listAll().map(host => toEntryHostStatus(host)),
 		getHostShare: requestShare.getHostShare,
 		windowMilliseconds: settings.allotments.windowMilliseconds,
 	});
-	const allotting = startAllotmentEnforcer(context, {
+	const allotmentEnforcer = startAllotmentEnforcer(context, {
 		settings: settings.allotments,
 		requestShare,
-		absences,
+		absences: absenceTracker,
 		isReceivingReports: true,
 		notifyDispatchers(method, parameters) {
 			links.notifyAll(method, parameters);
@@ -112,10 +112,10 @@
 	});
 	const dispatcher = startHostDispatcher(context, {
 		settings,
-		allotting,
+		allotmentEnforcer,
 		requestShare,
 		isReceivingUpdates: true,
-		onEntryHostCount: hostCount.record,
+		onEntryHostCount: entryHostCount.record,
 		listCandidates: registry.listCandidates,
 		listStandbys: service => orderDispatchers(service, standbys, host => host.id).slice(0, STANDBYS_PER_SERVICE).map(host => host.id),
 		notify(host, method, parameters) {
@@ -161,9 +161,9 @@
 					id: hello.id, failureDomain: hello.failureDomain, state: hello.entry, link: from,
 				};
 				entryHosts.add(host);
-				absences.recordHello(hello.id, hello.runningMilliseconds ?? Infinity);
+				absenceTracker.recordHello(hello.id, hello.runningMilliseconds ?? Infinity);
 				publishStandbys();
-				log.info('Entry host joined.', describeEntryHost(host));
+				log.info('An entry host joined.', describeEntryHost(host));
 			}
 
 			if (hello.control !== undefined) {
@@ -180,7 +180,7 @@
 				return;
 			}
 
-			log.info('Entry host readiness changed.', describeEntryHost({...before, state}));
+			log.info('The readiness of an entry host changed.', describeEntryHost({...before, state}));
 			publishStandbys();
 		},
 		[messages.METHODS.controls](controls: readonly ControlHost[]) {
@@ -206,7 +206,7 @@
 		[messages.METHODS.beliefs](beliefs: readonly messages.Belief[]) {
 			dispatcher.mergeBeliefs(beliefs);
 		},
-		[messages.METHODS.use]: allotting.applyReport,
+		[messages.METHODS.use]: allotmentEnforcer.applyReport,
 		[messages.METHODS.probe]: () => ({}),
 		...createSlotRequestMethods(dispatcher, entryHosts.findByLink),
 	});
@@ -232,9 +232,9 @@
 		listLinkedHosts: () => links.getOpen().map(open => open.host),
 		listSeeds: () => links.getOpen().map(open => open.host.id),
 		onGeneration(generation) {
-			log.info('Generation is in force.', {version: generation.version, routes: generation.routes.length});
+			log.info('A catalogue generation is now in force.', {version: generation.version, routes: generation.routes.length});
 			directory.setGeneration(generation);
-			allotting.setOrganisations(generation.organisations);
+			allotmentEnforcer.setOrganisations(generation.organisations);
 			entryHosts.notifyAll(messages.METHODS.generationVersion, {version: generation.version});
 		},
 		onRetired(retirements) {
@@ -248,7 +248,7 @@
 	await registry.loaded;
 	const storedBeliefs = await beliefStore.load();
 	dispatcher.mergeBeliefs(storedBeliefs.beliefs, storedBeliefs.ageMilliseconds);
-	log.info('Stored beliefs loaded.', {beliefs: storedBeliefs.beliefs.length, ageMilliseconds: Math.round(storedBeliefs.ageMilliseconds)});
+	log.info('The stored beliefs were loaded.', {beliefs: storedBeliefs.beliefs.length, ageMilliseconds: Math.round(storedBeliefs.ageMilliseconds)});
 	// Opened last: a message may arrive as soon as the server listens, and its handler needs all the parts above.
 	const server = await link.openLinkServer({
 		address: settings.linkAddress,
@@ -262,21 +262,21 @@
 				return;
 			}
 
-			absences.recordLinkClosed(toHeardHost(host));
-			log.info('Entry host left.', describeEntryHost(host));
+			absenceTracker.recordLinkClosed(toEntryHostStatus(host));
+			log.info('An entry host left.', describeEntryHost(host));
 			publishStandbys();
 		},
 		onDefect(error) {
-			log.error('Message could not be handled.', {error: error.stack});
+			log.error('A message from another host could not be handled.', {error: error.stack});
 		},
 	});
-	const leaderCalls: LeaderCallOptions = {hostId: settings.hostId, group, findLink: links.find};
+	const leaderCallOptions: LeaderCallOptions = {hostId: settings.hostId, group, findLink: links.find};
 	context.metrics.registerGauge('entry_hosts', entryHosts.count);
-	context.metrics.registerGauge('entry_hosts_absent', () => absences.list().length);
+	context.metrics.registerGauge('entry_hosts_absent', () => absenceTracker.list().length);
 	context.metrics.registerGauge('instances', registry.countInstances);
 	context.metrics.registerGauge('generation_version', getVersion);
-	log.info('Control host started.', {address: core.formatAddress(settings.linkAddress), isFirstStart: settings.isFirstStart});
-	const teardown = utils.mergeTeardowns(watchPauses(context), absences.teardown, registry.teardown, dispatcher.teardown, directory.teardown, links.close);
+	log.info('The control host has started.', {address: core.formatAddress(settings.linkAddress), isFirstStart: settings.isFirstStart});
+	const teardown = utils.mergeTeardowns(watchPauses(context), absenceTracker.teardown, registry.teardown, dispatcher.teardown, directory.teardown, links.close);
 	return {
 		receiveHeartbeat(heartbeat) {
 			registry.receiveHeartbeat(heartbeat);
@@ -288,22 +288,22 @@
 				return results.Ok(undefined);
 			}
 
-			const proposed = await proposeToLeader(leaderCalls, {name: 'retire', retirement});
-			log.info('Retirement proposed.', {...retirement, isTaken: proposed.isOk()});
+			const proposed = await proposeToLeader(leaderCallOptions, {name: 'retire', retirement});
+			log.info('A retirement was proposed to the leader.', {...retirement, isTaken: proposed.isOk()});
 			return proposed.map(() => undefined);
 		},
 		async putGeneration(stored) {
 			const startedAt = context.now();
-			const proposed = await proposeToLeader(leaderCalls, {name: 'put', stored});
-			log.info('Generation proposed.', {
+			const proposed = await proposeToLeader(leaderCallOptions, {name: 'put', stored});
+			log.info('A catalogue generation was proposed to the leader.', {
 				version: stored.generation.version, isTaken: proposed.isOk(), leader: group.getLeader(), milliseconds: Math.round(context.now() - startedAt),
 			});
 			return proposed;
 		},
 		async readGeneration() {
 			const startedAt = context.now();
-			const read = await readFromLeader(leaderCalls);
-			log.info('Read of the generation ended.', {isAnswered: read.isOk(), leader: group.getLeader(), milliseconds: Math.round(context.now() - startedAt)});
+			const read = await readFromLeader(leaderCallOptions);
+			log.info('A read of the catalogue generation has ended.', {isAnswered: read.isOk(), leader: group.getLeader(), milliseconds: Math.round(context.now() - startedAt)});
 			return read.map(document => document ?? undefined);
 		},
 		listAddresses: directory.listAddresses,
@@ -312,12 +312,12 @@
 			teardown();
 			await group.close();
 			await server.close();
-			log.info('Control host stopped.');
+			log.info('The control host has stopped.');
 		},
 	};
 }
 
-function toHeardHost({id, state, link: hostLink}: EntryHost): EntryHostStatus {
+function toEntryHostStatus({id, state, link: hostLink}: EntryHost): EntryHostStatus {
 	return {id, isReady: state.isReady, silenceMilliseconds: hostLink.getSilence()};
 }
 
--- a/packages/wagtailroute-fleet/src/entry.ts
+++ b/packages/wagtailroute-fleet/src/entry.ts
@@ -140,7 +140,7 @@
 	const requestingHosts = createRequestingHosts();
 	const ownDispatcher = startHostDispatcher(context, {
 		settings: {...settings, budget: {...settings.budget, extra: STANDBY_EXTRA_RESENDS}},
-		allotting: allotmentEnforcer,
+		allotmentEnforcer,
 		requestShare,
 		isReceivingUpdates: false,
 		onEntryHostCount: entryHostCount.record,
--- a/packages/wagtailroute-fleet/src/group.ts
+++ b/packages/wagtailroute-fleet/src/group.ts
@@ -91,7 +91,7 @@
 		}
 
 		loggedRole = text;
-		log.info('Role in the control group changed.', {role, term, leader});
+		log.info('The role in the control group changed.', {role, term, leader});
 	};
 
 	const notifyGeneration = () => {
@@ -129,7 +129,7 @@
 	};
 
 	const reopen = (reason: string) => {
-		log.error('Store failed, the replica will be reopened.', {reason});
+		log.error('The store failed, the replica will be reopened.', {reason});
 		const failed = group;
 		group = undefined;
 		context.schedule(REOPEN_DELAY_MILLISECONDS, () => {
@@ -168,7 +168,7 @@
 		}
 
 		group = opened.value;
-		log.info('Replica opened.', {member: group.getStatus().self, version: replicated.getStored()?.generation.version ?? 0});
+		log.info('The replica is open.', {member: group.getStatus().self, version: replicated.getStored()?.generation.version ?? 0});
 	};
 
 	const reconcile = async () => {
@@ -188,7 +188,7 @@
 		});
 		const changed = await group!.reconcile(wanted);
 		if (changed.isOk() && changed.value !== undefined) {
-			log.info('Members of the control group changed.', {change: changed.value, running: running.length});
+			log.info('The members of the control group changed.', {change: changed.value, running: running.length});
 		}
 	};
 
--- a/packages/wagtailroute-fleet/src/host-dispatcher.ts
+++ b/packages/wagtailroute-fleet/src/host-dispatcher.ts
@@ -109,7 +109,7 @@
 	/**
 	Absent: what an organisation sends is not limited.
 	*/
-	readonly allotting?: Pick<AllotmentEnforcer, 'admit' | 'refund' | 'applyPastUsage'>;
+	readonly allotmentEnforcer?: Pick<AllotmentEnforcer, 'admit' | 'refund' | 'applyPastUsage'>;
 	/**
 	Called with the number of entry hosts that serve callers, when a host reports it.
 	*/
@@ -171,20 +171,20 @@
 		},
 		'rate-limit'({service, upstream, ratePerSecond, ratePerSecondBefore}) {
 			metrics.count('rate_limit_changes', {service, state: ratePerSecond === undefined ? 'lifted' : 'changed'});
-			log.info(ratePerSecond === undefined ? 'Upstream rate limit lifted.' : 'Upstream rate limit changed.', {
+			log.info(ratePerSecond === undefined ? 'The rate limit of an upstream was lifted.' : 'The rate limit of an upstream changed.', {
 				service, upstream, ratePerSecond, ratePerSecondBefore,
 			});
 			peerUpdates.publishUpdates();
 		},
 		backoff({service, upstream, host, milliseconds}) {
 			metrics.count('closures', {service, cause: 'backoff'});
-			log.info('Host started to back off from an upstream.', {
+			log.info('A host started to back off from an upstream.', {
 				service, upstream, host, milliseconds,
 			});
 		},
 		draining({service, upstream, host}) {
 			metrics.count('closures', {service, cause: 'draining'});
-			log.info('Upstream is draining.', {service, upstream, host});
+			log.info('An upstream is draining.', {service, upstream, host});
 			peerUpdates.publishUpdates();
 		},
 	};
@@ -215,23 +215,23 @@
 		});
 	};
 
-	const logRefusal = ({request: ask, reason, retryAfterMilliseconds}: Extract<dispatch.Effect, {kind: 'refuse'}>) => {
-		const upstreams = dispatcher.report(ask.service, now());
-		metrics.count('refusals', {service: ask.service, reason});
-		log.warn('Slot request refused.', {
-			id: ask.id,
-			service: ask.service,
+	const logRefusal = ({request, reason, retryAfterMilliseconds}: Extract<dispatch.Effect, {kind: 'refuse'}>) => {
+		const upstreams = dispatcher.report(request.service, now());
+		metrics.count('refusals', {service: request.service, reason});
+		log.warn('A slot request was refused.', {
+			id: request.id,
+			service: request.service,
 			reason,
-			remainingMilliseconds: Math.round(ask.remainingMilliseconds),
+			remainingMilliseconds: Math.round(request.remainingMilliseconds),
 			retryAfterMilliseconds: Math.round(retryAfterMilliseconds),
 			waiting: dispatcher.countWaiting(),
 			upstreams: upstreams.length,
 			suspended: upstreams.filter(upstream => upstream.isSuspended).length,
 			rateLimited: upstreams.filter(upstream => upstream.rateLimit !== undefined).length,
 			draining: upstreams.filter(upstream => upstream.isDraining).length,
-			backingOff: upstreams.filter(upstream => upstream.hostsBackingOff.includes(ask.host)).length,
+			backingOff: upstreams.filter(upstream => upstream.hostsBackingOff.includes(request.host)).length,
 		});
-		logIdleUpstreams(ask.service);
+		logIdleUpstreams(request.service);
 	};
 
 	/**
@@ -240,7 +240,7 @@
 	*/
 	const refundAllotment = (request: dispatch.SlotRequest) => {
 		if (dispatch.isFirstAttempt(request)) {
-			options.allotting?.refund(request);
+			options.allotmentEnforcer?.refund(request);
 		}
 	};
 
@@ -310,11 +310,11 @@
 			ensureCandidates(request.service);
 			recordRequestingHost(request);
 			if (!dispatcher.hasUpstreams(request.service)) {
-				log.warn('Slot request sent elsewhere: no upstream of its service is known.', {id: request.id, service: request.service});
+				log.warn('A slot request was sent elsewhere: no upstream of its service is known.', {id: request.id, service: request.service});
 				return {kind: 'elsewhere'};
 			}
 
-			const refusal = dispatch.isFirstAttempt(request) ? options.allotting?.admit(request) : undefined;
+			const refusal = dispatch.isFirstAttempt(request) ? options.allotmentEnforcer?.admit(request) : undefined;
 			if (refusal !== undefined) {
 				return refusal;
 			}
@@ -367,7 +367,7 @@
 			}
 
 			if (uses !== undefined) {
-				options.allotting?.applyPastUsage(host, uses);
+				options.allotmentEnforcer?.applyPastUsage(host, uses);
 			}
 
 			dispatcher.replaceHeldSlots(host, service, places, now());
@@ -375,7 +375,7 @@
 			scheduleTick();
 		},
 		applyPastUsage(host, uses) {
-			options.allotting?.applyPastUsage(host, uses);
+			options.allotmentEnforcer?.applyPastUsage(host, uses);
 		},
 		applyBelief,
 		applyBeliefs(beliefs) {
--- a/packages/wagtailroute-fleet/src/json-file.ts
+++ b/packages/wagtailroute-fleet/src/json-file.ts
@@ -58,7 +58,7 @@
 			await disk.syncFolder(folder);
 		});
 		if (written.isErr()) {
-			log.warn('File could not be saved.', {file: name, reason: String(written.error)});
+			log.warn('The file could not be saved.', {file: name, reason: String(written.error)});
 		}
 	};
 
@@ -70,7 +70,7 @@
 				return bytes === undefined ? undefined : schema.parse(JSON.parse(bytes.toString()));
 			});
 			if (read.isErr()) {
-				log.warn('File could not be read.', {file: name, reason: String(read.error)});
+				log.warn('The file could not be read.', {file: name, reason: String(read.error)});
 			}
 
 			return read.unwrapOr(undefined);
--- a/packages/wagtailroute-fleet/src/registry.ts
+++ b/packages/wagtailroute-fleet/src/registry.ts
@@ -146,7 +146,7 @@
 		const wasSilent = reception !== 'stale' && silentUpstreams.delete(heartbeat.upstream);
 		if (reception === 'news') {
 			const {upstream, service, address, slots, sequence, failureDomain} = heartbeat;
-			log.info('Instance is new or changed.', {
+			log.info('An upstream instance is new or changed.', {
 				upstream, service, address: `${address.ip}:${address.port}`, slots, sequence, failureDomain,
 			});
 			scheduleSave();
@@ -172,7 +172,7 @@
 	const checkSilence = () => {
 		const forgotten = table.forgetSilent(now());
 		if (forgotten.length > 0) {
-			log.info('Instances removed after a long silence.', {upstreams: forgotten});
+			log.info('Upstream instances were removed after a long silence.', {upstreams: forgotten});
 			notifyFollowers({heard: [], forgotten, retirements: []});
 		}
 
@@ -184,7 +184,7 @@
 
 			silentUpstreams.add(instance.upstream);
 			changed.add(instance.service);
-			log.warn('Instance became silent.', {upstream: instance.upstream, service: instance.service, ageMilliseconds: Math.round(now() - instance.heardAt)});
+			log.warn('An upstream instance became silent.', {upstream: instance.upstream, service: instance.service, ageMilliseconds: Math.round(now() - instance.heardAt)});
 		}
 
 		for (const service of changed) {
@@ -233,7 +233,7 @@
 				return;
 			}
 
-			log.info('Instance retired.', {upstream, service, state});
+			log.info('An upstream instance was retired.', {upstream, service, state});
 			scheduleSave();
 			onChanged(service);
 		},
--- a/packages/wagtailroute-lab/src/fleet.ts
+++ b/packages/wagtailroute-lab/src/fleet.ts
@@ -419,7 +419,7 @@
 		const {clock, random, scenario, variant, listCandidates, onSuspended} = this.#plan;
 		return fleet.startHostDispatcher(createContext(clock, random, onSuspended), {
 			settings: {budget: {...scenario.budget, extra}, floor: scenario.floor, policy: variant.policy},
-			allotting,
+			allotmentEnforcer: allotting,
 			requestShare,
 			isReceivingUpdates: isTold,
 			listCandidates,
