--- a/packages/wagtailroute-fleet/src/index.ts
+++ b/packages/wagtailroute-fleet/src/index.ts
@@ -5,21 +5,21 @@
 export {type Control, startControl} from './control.ts';
 export {
 	ADDRESS_TTL_SECONDS,
-	MIN_DIRECTORY_ADDRESSES as ADDRESSES_LEAST,
+	MIN_DIRECTORY_ADDRESSES,
 	STANDBY_EXTRA_RESENDS,
 	MAX_STANDBYS,
-	STANDBYS_PER_SERVICE as STANDBYS_TOLD,
+	STANDBYS_PER_SERVICE,
 	UPSTREAM_CONNECT_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
 export {type AbsenceTracker, startAbsenceTracker} from './absences.ts';
 export {type AllotmentEnforcer, startAllotmentEnforcer} from './allotment-enforcer.ts';
 export {createRequestingHosts} from './requesting-hosts.ts';
-export {createSlotRequestMethods as createAskMethods} from './slot-request-methods.ts';
-export type {EncodedAnswer as ShortAnswer} from './slot-request-encoding.ts';
+export {createSlotRequestMethods} from './slot-request-methods.ts';
+export type {EncodedAnswer} from './slot-request-encoding.ts';
 export {createDispatchClient, type DispatchClient} from './dispatch-client.ts';
 export type {LinkedHost} from './control-links.ts';
 export {orderDispatchers} from './dispatch-order.ts';
-export {type HostDispatcher as Dispatching, startHostDispatcher as startDispatching} from './host-dispatcher.ts';
+export {type HostDispatcher, startHostDispatcher} from './host-dispatcher.ts';
 export {type Belief, METHODS, type ServiceUpdates} from './messages.ts';
 export {createRequestShare, type RequestShare} from './request-share.ts';
 export {createRouter, type Router} from './routing.ts';
