--- a/packages/wagtailroute-admission/src/bench/organisations.bench.ts
+++ b/packages/wagtailroute-admission/src/bench/organisations.bench.ts
@@ -1,5 +1,5 @@
 /**
-Memory after 1.4 million organisations have each sent a request, and the time of one request.
+Memory after each of 1.4 million organisations has sent one request, and the time per request.
 */
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
@@ -8,7 +8,7 @@
 import * as admission from '../index.ts';
 
 /**
-One row: an implementation. Bytes are of the heap beyond what it was before, after a collection.
+Result of one implementation. `heapBytes` is the growth of the heap, after garbage collection.
 */
 export type OrganisationsRow = {
 	readonly implementation: 'admission' | 'counter-per-organisation';
@@ -25,56 +25,56 @@
 const MAX_HEAP_RATIO = 0.05;
 
 /**
-Runs both implementations.
+Measures both implementations.
 */
 export function benchOrganisations(): OrganisationsRow[] {
 	return [measure('admission', runAdmission), measure('counter-per-organisation', runCounters)];
 }
 
 function collectGarbage(): void {
-	// The flag counts for contexts made after it.
+	// The flag applies only to contexts that are created after it is set.
 	v8.setFlagsFromString('--expose-gc');
 	(vm.runInNewContext('gc') as () => void)();
 }
 
 type Implementation = OrganisationsRow['implementation'];
 
-// The returned function is called after the heap was read, so that what it holds is alive until then.
-function measure(implementation: Implementation, implement: () => () => number): OrganisationsRow {
+// The function that `runImplementation` returns is called after the heap is measured, so that its data is alive until then.
+function measure(implementation: Implementation, runImplementation: () => () => number): OrganisationsRow {
 	collectGarbage();
 	const before = process.memoryUsage().heapUsed;
-	const begun = performance.now();
-	const getEntries = implement();
-	const took = performance.now() - begun;
+	const startedAt = performance.now();
+	const getEntries = runImplementation();
+	const elapsedMilliseconds = performance.now() - startedAt;
 	collectGarbage();
 	return {
 		implementation,
 		organisations: ORGANISATIONS,
 		heapBytes: process.memoryUsage().heapUsed - before,
 		entries: getEntries(),
-		microsecondsPerRequest: took * MICROSECONDS_PER_MILLISECOND / ORGANISATIONS,
+		microsecondsPerRequest: elapsedMilliseconds * MICROSECONDS_PER_MILLISECOND / ORGANISATIONS,
 	};
 }
 
 function runAdmission(): () => number {
-	const gate = admission.createAdmission({concurrency: IN_FLIGHT, queueMilliseconds: 100}, 0);
+	const controller = admission.createAdmissionController({concurrency: IN_FLIGHT, queueMilliseconds: 100}, 0);
 	const running: string[] = [];
 	for (let index = 0; index < ORGANISATIONS; index++) {
 		const organisation = `organisation ${index}`;
 		const now = index / 10;
-		const answer = gate.request({organisation, now, deadline: now + 1000});
-		if (answer.kind !== 'refused') {
+		const decision = controller.request({organisation, now, deadline: now + 1000});
+		if (decision.kind !== 'refused') {
 			running.push(organisation);
 		}
 
 		if (running.length >= 8) {
-			gate.release({
+			controller.release({
 				organisation: running.shift()!, now, latencyMilliseconds: 10, ending: 'completed',
 			});
 		}
 	}
 
-	return () => gate.getStatus().activeOrganisations;
+	return () => controller.getStatus().activeOrganisations;
 }
 
 function runCounters(): () => number {
@@ -107,8 +107,8 @@
 			'microseconds a request': Number(row.microsecondsPerRequest.toFixed(2)),
 		})),
 		broken: [
-			...bounded.entries > MAX_ENTRIES ? [`${bounded.entries} organisations are held, the bound is ${MAX_ENTRIES}.`] : [],
-			...ratio > MAX_HEAP_RATIO ? [`The heap grows by ${ratio.toFixed(3)} of that of a counter each, the bound is ${MAX_HEAP_RATIO}.`] : [],
+			...bounded.entries > MAX_ENTRIES ? [`Admission holds ${bounded.entries} organisations, the bound is ${MAX_ENTRIES}.`] : [],
+			...ratio > MAX_HEAP_RATIO ? [`The heap grows by ${ratio.toFixed(3)} of the growth with a counter per organisation, the bound is ${MAX_HEAP_RATIO}.`] : [],
 		],
 	};
 }
--- a/packages/wagtailroute-admission/src/bench/overload.bench.ts
+++ b/packages/wagtailroute-admission/src/bench/overload.bench.ts
@@ -1,31 +1,33 @@
 /**
-Goodput and fairness under overload: a host before a service whose slots thrash when more is sent than they hold. Events
-in simulated time, seeded. Policies: the admission of this package; a plain first-in-first-out queue with the operator's
-too high limit; that queue with the adaptive limit of this package; the same with the user limit of the related paper (a
-least percentage of 25, a factor of 1).
+Goodput and fairness under overload: a host in front of a service that becomes less efficient when more requests are sent
+than it has slots. Deterministic: seeded, in simulated time. Policies: the admission controller of this package (`max-min`); a
+first-in-first-out queue with a fixed limit that an operator set too high (`fifo`); that queue with the adaptive limit of this
+package (`fifo-adaptive`); the same with the user limit of the related paper, with a minimum percentage of 25 and a factor
+of 1 (`user-limit-adaptive`).
 */
 import * as utils from 'wagtailroute-utils';
 import * as admission from '../index.ts';
 
 /**
-A way of admitting, as the bench drives it.
+Admission policy: the operations that the bench uses.
 */
-export type Gate = Pick<admission.Admission, 'request' | 'release' | 'tick'>;
+export type AdmissionPolicy = Pick<admission.AdmissionController, 'request' | 'release' | 'tick'>;
 
 /**
-Name of a way of admitting.
+Name of an admission policy.
 */
 export type PolicyName = 'max-min' | 'fifo' | 'fifo-adaptive' | 'user-limit-adaptive';
 
 /**
-One row. Goodput is answers within the deadline per second; `lightSuccess` the share of requests so answered to
-organisations that ask for less than their fair share, `heavySuccess` that of those that ask for most of the load.
+Result of one policy at one load. Goodput is the number of answers within the deadline per second. `lightSuccess` is the
+fraction of requests answered within the deadline for organisations that request less than their fair share, `heavySuccess`
+that for the organisations that cause most of the load.
 */
 export type OverloadRow = {
 	readonly policy: PolicyName;
 	readonly overload: number;
 	readonly heavyOrganisations: number;
-	readonly heavyPart: number;
+	readonly heavyFraction: number;
 	readonly goodput: number;
 	readonly goodputOfPeak: number;
 	readonly lightSuccess: number;
@@ -44,7 +46,7 @@
 const WARM_UP_SECONDS = 3;
 const TICK_MILLISECONDS = 10;
 const LIGHT_ORGANISATIONS = 20;
-const LIGHT_PART_AT_CAPACITY = 0.5;
+const LIGHT_LOAD_FRACTION = 0.5;
 const SEED = 5;
 const MIN_GOODPUT_OF_PEAK = 0.95;
 const MIN_LIGHT_SUCCESS = 0.99;
@@ -52,16 +54,16 @@
 const HEAVY_ORGANISATIONS = [1, 6];
 const OVERLOADS = [0.9, 1, 2, 5];
 
-const POLICIES: Readonly<Record<PolicyName, () => Gate>> = {
-	'max-min': () => admission.createAdmission({concurrency: CONCURRENCY, queueMilliseconds: QUEUE_MILLISECONDS}, 0),
-	fifo: () => createPlainGate(1, () => CONCURRENCY),
-	'fifo-adaptive': () => createAdaptiveGate(1),
-	'user-limit-adaptive': () => createAdaptiveGate(0.25),
+const POLICIES: Readonly<Record<PolicyName, () => AdmissionPolicy>> = {
+	'max-min': () => admission.createAdmissionController({concurrency: CONCURRENCY, queueMilliseconds: QUEUE_MILLISECONDS}, 0),
+	fifo: () => createFifoPolicy(1, () => CONCURRENCY),
+	'fifo-adaptive': () => createAdaptiveFifoPolicy(1),
+	'user-limit-adaptive': () => createAdaptiveFifoPolicy(0.25),
 };
 
 /**
-Runs all policies at 1, 2 and 5 times the capacity. The light organisations ask for half the capacity at every load, the
-heavy ones for the rest.
+Measures all policies at 0.9, 1, 2 and 5 times the capacity. The light organisations request half the capacity at every load,
+the heavy organisations the rest.
 */
 export function benchOverload(): OverloadRow[] {
 	const cases = (Object.keys(POLICIES) as PolicyName[]).flatMap(policy =>
@@ -75,36 +77,36 @@
 
 type Event = {readonly at: number; readonly run: (now: number) => void};
 
-type Tally = {asked: number; good: number; refused: number; latencies: number[]};
+type Tally = {requested: number; good: number; refused: number; latencies: number[]};
 
 type Case = Pick<OverloadRow, 'policy' | 'overload' | 'heavyOrganisations'>;
 
 function measure({policy, overload, heavyOrganisations}: Case): OverloadRow {
 	const random = utils.createRandom(SEED);
-	const gate = POLICIES[policy]();
+	const admissionPolicy = POLICIES[policy]();
 	const events = createEventQueue();
 	const tallies = {heavy: createTally(), light: createTally()};
 	const waiting = new Map<admission.Ticket, (now: number) => void>();
 	let running = 0;
 
-	const settle = (changes: readonly admission.TicketChange[], now: number) => {
-		for (const {ticket, result} of changes) {
-			const begin = waiting.get(ticket);
+	const applyResolutions = (resolutions: readonly admission.TicketResolution[], now: number) => {
+		for (const {ticket, result} of resolutions) {
+			const onAdmitted = waiting.get(ticket);
 			waiting.delete(ticket);
 			if (result.kind === 'admitted') {
-				begin?.(now);
+				onAdmitted?.(now);
 			}
 		}
 	};
 
-	const begin = (organisation: string, arrivedAt: number, now: number) => {
+	const startRequest = (organisation: string, arrivedAt: number, now: number) => {
 		running++;
-		// Slots that are over-committed share their time and lose some of it to switching.
+		// Requests in excess of the slots share their time, and switching between requests costs additional time.
 		const excess = Math.max(0, (running / SLOTS) - 1);
-		const stretch = (1 + excess) * (1 + (excess / 4));
-		const latency = -Math.log(1 - random()) * SERVICE_MILLISECONDS * stretch;
+		const slowdown = (1 + excess) * (1 + (excess / 4));
+		const latency = -Math.log(1 - random()) * SERVICE_MILLISECONDS * slowdown;
 		const endAt = now + latency;
-		// A caller gives up at its deadline; the backend server has spent the time all the same.
+		// The caller gives up at its deadline, but the backend server still completes the request.
 		events.push({
 			at: endAt,
 			run(ended) {
@@ -116,47 +118,47 @@
 					tally.latencies.push(ended - arrivedAt);
 				}
 
-				settle(gate.release({
+				applyResolutions(admissionPolicy.release({
 					organisation, now: ended, latencyMilliseconds: latency, ending: isGood ? 'completed' : 'overloaded',
 				}), ended);
 			},
 		});
 	};
 
-	const arrive = (organisation: string, now: number) => {
+	const receive = (organisation: string, now: number) => {
 		const tally = organisation.startsWith(HEAVY) ? tallies.heavy : tallies.light;
 		const isCounted = now >= WARM_UP_SECONDS * 1000;
-		tally.asked += isCounted ? 1 : 0;
-		const answer = gate.request({organisation, now, deadline: now + DEADLINE_MILLISECONDS});
-		if (answer.kind === 'admitted') {
-			begin(organisation, now, now);
-		} else if (answer.kind === 'queued') {
-			waiting.set(answer.ticket, started => {
-				begin(organisation, now, started);
+		tally.requested += isCounted ? 1 : 0;
+		const decision = admissionPolicy.request({organisation, now, deadline: now + DEADLINE_MILLISECONDS});
+		if (decision.kind === 'admitted') {
+			startRequest(organisation, now, now);
+		} else if (decision.kind === 'queued') {
+			waiting.set(decision.ticket, started => {
+				startRequest(organisation, now, started);
 			});
 		} else {
 			tally.refused += isCounted ? 1 : 0;
 		}
 	};
 
-	const lightRate = CAPACITY_PER_SECOND * LIGHT_PART_AT_CAPACITY;
+	const lightRate = CAPACITY_PER_SECOND * LIGHT_LOAD_FRACTION;
 	const schedule = (rate: number, pick: () => string) => {
 		const next = (now: number) => {
-			arrive(pick(), now);
-			plan(now);
+			receive(pick(), now);
+			scheduleNext(now);
 		};
 
-		const plan = (now: number) => {
+		const scheduleNext = (now: number) => {
 			events.push({at: now - (Math.log(1 - random()) * 1000 / rate), run: next});
 		};
 
-		plan(0);
+		scheduleNext(0);
 	};
 
 	schedule(lightRate, () => `light ${utils.pickIndex(random, LIGHT_ORGANISATIONS)}`);
 	schedule((CAPACITY_PER_SECOND * overload) - lightRate, () => `${HEAVY} ${utils.pickIndex(random, heavyOrganisations)}`);
 	const tick = (now: number) => {
-		settle(gate.tick(now), now);
+		applyResolutions(admissionPolicy.tick(now), now);
 		events.push({at: now + TICK_MILLISECONDS, run: tick});
 	};
 
@@ -168,19 +170,19 @@
 		policy,
 		overload,
 		heavyOrganisations,
-		heavyPart: heavy.asked / (heavy.asked + light.asked),
+		heavyFraction: heavy.requested / (heavy.requested + light.requested),
 		goodput: (heavy.good + light.good) / (SECONDS - WARM_UP_SECONDS),
 		goodputOfPeak: 1,
-		lightSuccess: light.good / light.asked,
-		heavySuccess: heavy.good / heavy.asked,
-		refusedAtOnce: (heavy.refused + light.refused) / (heavy.asked + light.asked),
+		lightSuccess: light.good / light.requested,
+		heavySuccess: heavy.good / heavy.requested,
+		refusedAtOnce: (heavy.refused + light.refused) / (heavy.requested + light.requested),
 		lightP99Milliseconds: sorted[Math.floor(sorted.length * 0.99)] ?? 0,
 	};
 }
 
 function createTally(): Tally {
 	return {
-		asked: 0, good: 0, refused: 0, latencies: [],
+		requested: 0, good: 0, refused: 0, latencies: [],
 	};
 }
 
@@ -188,7 +190,7 @@
 	return Math.floor((index - 1) / 2);
 }
 
-// A binary heap by time.
+// Binary heap of events, ordered by time.
 function createEventQueue() {
 	const heap: Event[] = [];
 	const swap = (left: number, right: number) => {
@@ -197,7 +199,7 @@
 		heap[right] = moved;
 	};
 
-	const sink = () => {
+	const siftDown = () => {
 		let index = 0;
 		for (;;) {
 			const left = (index * 2) + 1;
@@ -227,7 +229,7 @@
 				const last = heap.pop()!;
 				if (heap.length > 0) {
 					heap[0] = last;
-					sink();
+					siftDown();
 				}
 
 				event.run(event.at);
@@ -236,16 +238,16 @@
 	};
 }
 
-// First in first out with a fixed limit; an organisation may hold the limit over the number of those active, but no less
-// than the given part of it. With a part of 1 it is no user limit at all.
-function createPlainGate(leastPart: number, getLimit: () => number): Gate {
+// First-in-first-out queue with a limit. Each organisation may use the limit divided by the number of active organisations,
+// but at least `minFraction` of the limit. With a fraction of 1 there is no limit per organisation.
+function createFifoPolicy(minFraction: number, getLimit: () => number): AdmissionPolicy {
 	const inFlight = new Map<string, number>();
 	let waiting: admission.Ticket[] = [];
 	let total = 0;
 	const canStart = (organisation: string) => {
 		const active = new Set([...inFlight.keys(), ...waiting.slice(0, CONCURRENCY).map(ticket => ticket.organisation)]);
-		const part = leastPart === 1 ? 1 : Math.max(leastPart, 1 / Math.max(1, active.size));
-		return total < getLimit() && (inFlight.get(organisation) ?? 0) < getLimit() * part;
+		const fraction = minFraction === 1 ? 1 : Math.max(minFraction, 1 / Math.max(1, active.size));
+		return total < getLimit() && (inFlight.get(organisation) ?? 0) < getLimit() * fraction;
 	};
 
 	const start = (organisation: string) => {
@@ -253,8 +255,8 @@
 		inFlight.set(organisation, (inFlight.get(organisation) ?? 0) + 1);
 	};
 
-	const drain = (now: number): admission.TicketChange[] => {
-		const changes: admission.TicketChange[] = [];
+	const startQueued = (now: number): admission.TicketResolution[] => {
+		const resolutions: admission.TicketResolution[] = [];
 		waiting = waiting.filter(ticket => ticket.latestStart >= now);
 		const blocked = new Set<string>();
 		for (const ticket of waiting) {
@@ -264,15 +266,15 @@
 
 			if (!blocked.has(ticket.organisation) && canStart(ticket.organisation)) {
 				start(ticket.organisation);
-				changes.push({ticket, result: {kind: 'admitted'}});
+				resolutions.push({ticket, result: {kind: 'admitted'}});
 			} else {
 				blocked.add(ticket.organisation);
 			}
 		}
 
-		const started = new Set(changes.map(({ticket}) => ticket));
+		const started = new Set(resolutions.map(({ticket}) => ticket));
 		waiting = waiting.filter(ticket => !started.has(ticket));
-		return changes;
+		return resolutions;
 	};
 
 	return {
@@ -286,7 +288,7 @@
 				return {kind: 'refused', failure: 'queue-full', retryAfterMilliseconds: 1000};
 			}
 
-			const ticket = {organisation, latestStart: now + QUEUE_MILLISECONDS, isByDeadline: false};
+			const ticket = {organisation, latestStart: now + QUEUE_MILLISECONDS, isLimitedByDeadline: false};
 			waiting.push(ticket);
 			return {kind: 'queued', ticket};
 		},
@@ -299,33 +301,33 @@
 				inFlight.set(organisation, left);
 			}
 
-			return drain(now);
+			return startQueued(now);
 		},
-		tick: drain,
+		tick: startQueued,
 	};
 }
 
-function createAdaptiveGate(leastPart: number): Gate {
+function createAdaptiveFifoPolicy(minFraction: number): AdmissionPolicy {
 	const limit = admission.createConcurrencyLimit(CONCURRENCY);
-	const gate = createPlainGate(leastPart, limit.getLimit);
+	const fifo = createFifoPolicy(minFraction, limit.getLimit);
 	let inFlight = 0;
-	const count = (changes: readonly admission.TicketChange[]) => {
-		inFlight += changes.length;
-		return changes;
+	const count = (resolutions: readonly admission.TicketResolution[]) => {
+		inFlight += resolutions.length;
+		return resolutions;
 	};
 
 	return {
 		request(request) {
-			const answer = gate.request(request);
-			inFlight += answer.kind === 'admitted' ? 1 : 0;
-			return answer;
+			const decision = fifo.request(request);
+			inFlight += decision.kind === 'admitted' ? 1 : 0;
+			return decision;
 		},
 		release(release) {
 			limit.record({...release, inFlight});
 			inFlight--;
-			return count(gate.release(release));
+			return count(fifo.release(release));
 		},
-		tick: now => count(gate.tick(now)),
+		tick: now => count(fifo.tick(now)),
 	};
 }
 
@@ -338,8 +340,8 @@
 	broken: readonly string[];
 }> {
 	const rows = benchOverload();
-	const chosen = rows.filter(row => row.policy === 'max-min');
-	const plain = rows.filter(row => row.policy === 'fifo' && row.overload === 5);
+	const maxMinRows = rows.filter(row => row.policy === 'max-min');
+	const fifoRows = rows.filter(row => row.policy === 'fifo' && row.overload === 5);
 	const describe = (row: OverloadRow) => `${row.overload}x with ${row.heavyOrganisations} heavy organisations`;
 	return {
 		title: 'Goodput and fairness under overload',
@@ -354,11 +356,12 @@
 			'light p99 ms': Math.round(row.lightP99Milliseconds),
 		})),
 		broken: [
-			...chosen.filter(row => row.overload === 5 && row.goodputOfPeak < MIN_GOODPUT_OF_PEAK)
+			...maxMinRows.filter(row => row.overload === 5 && row.goodputOfPeak < MIN_GOODPUT_OF_PEAK)
 				.map(row => `Goodput at ${describe(row)} is ${row.goodputOfPeak.toFixed(3)} of its peak, the bound is ${MIN_GOODPUT_OF_PEAK}.`),
-			...chosen.filter(row => row.lightSuccess < MIN_LIGHT_SUCCESS)
-				.map(row => `Organisations within their share are answered at ${describe(row)} in ${row.lightSuccess.toFixed(4)}, the bound is ${MIN_LIGHT_SUCCESS}.`),
-			...plain.filter(row => row.lightSuccess > 0.5).map(row => `The plain queue serves them as well at ${describe(row)}: the load does not show the fault.`),
+			...maxMinRows.filter(row => row.lightSuccess < MIN_LIGHT_SUCCESS)
+				.map(row => `The fraction of requests answered to organisations within their share is ${row.lightSuccess.toFixed(4)} at ${describe(row)}, the bound is ${MIN_LIGHT_SUCCESS}.`),
+			...fifoRows.filter(row => row.lightSuccess > 0.5)
+				.map(row => `The policy fifo answers more than half of the requests of light organisations at ${describe(row)}: the bench does not reproduce the overload.`),
 		],
 	};
 }
--- a/packages/wagtailroute-admission/src/constants.ts
+++ b/packages/wagtailroute-admission/src/constants.ts
@@ -1,95 +1,96 @@
 /**
-Limits of admission.
+Limits and weights of admission control.
 */
 
 /**
-Answers that a window holds at least. With fewer, the median of answers that vary as usual is off by a fifth.
+Minimum number of answers in a window. With fewer, the error of the median reaches a fifth at the usual variance of
+latencies.
 */
 export const MIN_WINDOW_SAMPLES = 64;
 
 /**
-Answers of a window whose latency is kept: the latest.
+Maximum number of latencies kept in a window: those of the latest answers.
 */
 export const MAX_WINDOW_SAMPLES = 256;
 
 /**
-Shortest window, in ms.
+Minimum length of a window.
 */
 export const MIN_WINDOW_MILLISECONDS = 250;
 
 /**
-Windows whose mean counts as a least latency. The least of single windows would be that of chance: in a minute some window
-is far below the usual, and the limit would collapse.
+Number of consecutive windows whose mean median is one sample of the baseline latency. With single windows the minimum would
+be set by chance: within a minute some window is far below the usual, and the limit would collapse.
 */
-export const LEAST_LATENCY_WINDOWS = 4;
+export const BASELINE_LATENCY_WINDOWS = 4;
 
 /**
-How much longer than its least a typical answer may take before the limit shrinks, as a factor.
+Ratio of the median latency to the baseline above which the limit shrinks.
 */
-export const LATENCY_TOLERANCE = 1.3;
+export const LATENCY_TOLERANCE_RATIO = 1.3;
 
 /**
-Least factor by which one window shrinks the limit.
+Minimum gradient: the target of the limit in one window is at least this factor times the limit.
 */
 export const MIN_GRADIENT = 0.7;
 
 /**
-Share of sheds and timeouts in a window above which the limit shrinks whatever the latency.
+Fraction of sheds and timeouts in a window above which the limit shrinks regardless of latency.
 */
-export const MAX_OVERLOAD_SHARE = 0.05;
+export const MAX_OVERLOAD_FRACTION = 0.05;
 
 /**
-Factor by which sheds and timeouts shrink the limit.
+Factor on the limit after a window with too many sheds and timeouts.
 */
-export const OVERLOAD_FACTOR = 0.9;
+export const OVERLOAD_DECREASE_FACTOR = 0.9;
 
 /**
-Part of the way that the limit moves towards its new value in one window.
+Fraction of the distance to its target that the limit moves in one window.
 */
-export const LIMIT_SMOOTHING = 0.3;
+export const LIMIT_SMOOTHING_WEIGHT = 0.3;
 
 /**
-Limit at the start, unless the cap is lower.
+Initial limit, unless the cap is lower.
 */
-export const START_LIMIT = 8;
+export const INITIAL_LIMIT = 8;
 
 /**
-Part of the limit that is left while the least latency is measured anew.
+Factor on the limit during a probe, which measures the baseline latency again.
 */
-export const PROBE_FACTOR = 0.7;
+export const PROBE_LIMIT_FACTOR = 0.7;
 
 /**
-How long a least latency counts, in ms. The two latest spans are held.
+Minimum length of a span of the baseline latency. The minima of the two latest spans are kept.
 */
-export const LEAST_LATENCY_SPAN_MILLISECONDS = 30_000;
+export const MIN_BASELINE_SPAN_MILLISECONDS = 30_000;
 
 /**
-How long a least latency counts at least, in windows: a probe takes five windows, so that it costs a twentieth of the time
-at most however slow the answers are.
+Minimum length of a span of the baseline latency, in windows. A probe takes five windows, so it costs at most a twentieth of
+the time however slow the answers are.
 */
-export const LEAST_LATENCY_SPAN_WINDOWS = 100;
+export const MIN_BASELINE_SPAN_WINDOWS = 100;
 
 /**
-Burst of the rate limit, in seconds' worth of its rate.
+Default capacity of the token bucket, in seconds of its rate.
 */
-export const BURST_SECONDS = 0.1;
+export const DEFAULT_BURST_SECONDS = 0.1;
 
 /**
-Weight of a new sample in the usual latency.
+Weight of a new sample in the exponentially weighted average of latencies.
 */
-export const LATENCY_WEIGHT = 0.05;
+export const USUAL_LATENCY_WEIGHT = 0.05;
 
 /**
-Default bound of waiting requests.
+Default maximum of waiting requests.
 */
-export const MAX_WAITING = 1000;
+export const DEFAULT_MAX_WAITING = 1000;
 
 /**
-Free entries of organisations kept for reuse.
+Maximum number of unused flow objects that are kept for reuse.
 */
-export const MAX_FREE_MEMBERS = 1024;
+export const MAX_FREE_FLOWS = 1024;
 
 /**
-Idle organisations remembered because they were served ahead of the rest.
+Maximum number of idle flows that are kept because their start tags are ahead of the virtual time.
 */
-export const MAX_OWING_MEMBERS = 1024;
+export const MAX_IDLE_FLOWS = 1024;
--- a/packages/wagtailroute-admission/src/fair-queue.ts
+++ b/packages/wagtailroute-admission/src/fair-queue.ts
@@ -1,13 +1,13 @@
 /**
-Waiting requests in max-min fair order of their organisations (start-time fair queueing).
+Queue of waiting requests, max-min fair to their organisations (start-time fair queueing).
 
-Each organisation has a tag that grows with what it has been served; the waiting organisation with the smallest tag is
-served next. One that comes anew starts at the tag being served: it neither saves up for the time it was away nor pays for
-it. So only organisations with a request in flight or waiting need an entry, and a bounded number of idle ones that are ahead
-of the rest: memory follows these, not the number of organisations ever seen. Held in a closure, with entries reused, as
-every request passes here.
+Each organisation has a flow with a start tag that grows with the service it has received. The waiting flow with the smallest
+start tag is served next. A new flow starts at the virtual time, the start tag in service: an organisation neither gains nor
+loses by the time it was idle. Memory is needed only for flows with requests in flight or waiting and for a bounded number of
+idle flows whose tags are ahead of the virtual time; it does not grow with the number of organisations ever seen. The state
+is mutable, in a closure, and flow objects are reused, because this runs for every request.
 */
-import {MAX_FREE_MEMBERS, MAX_OWING_MEMBERS} from './constants.ts';
+import {MAX_FREE_FLOWS, MAX_IDLE_FLOWS} from './constants.ts';
 
 /**
 A waiting request.
@@ -15,203 +15,217 @@
 export type Ticket = {
 	readonly organisation: string;
 	/**
-	Time after which starting it is of no use, in ms.
+	Time after which the request must no longer start, in milliseconds of a monotonic clock.
 	*/
 	readonly latestStart: number;
 	/**
-	Whether the caller's deadline, and not the length of the queue, sets `latestStart`.
+	Whether `latestStart` is set by the caller's deadline rather than by the maximum wait in the queue.
 	*/
-	readonly isByDeadline: boolean;
+	readonly isLimitedByDeadline: boolean;
 };
 
-type Member = {
+type Flow = {
 	organisation: string;
-	tag: number;
+	/**
+	Start tag of the flow's next request, in requests of usual latency.
+	*/
+	startTag: number;
 	inFlight: number;
 	waiting: Ticket[];
 };
 
 /**
-The queue with the requests in flight by organisation.
+The queue. It also counts requests in flight by organisation.
 */
 export type FairQueue = {
-	readonly getWaiting: () => number;
-	readonly getWaitingOrganisations: () => number;
-	readonly getActiveOrganisations: () => number;
-	readonly getWaitingOf: (organisation: string) => number;
-	readonly getInFlightOf: (organisation: string) => number;
+	readonly countWaiting: () => number;
+	readonly countWaitingOrganisations: () => number;
+	/**
+	Counts organisations with requests in flight or waiting.
+	*/
+	readonly countActiveOrganisations: () => number;
+	readonly countWaitingOf: (organisation: string) => number;
+	readonly countInFlightOf: (organisation: string) => number;
+	/**
+	Records the start of a request that did not wait.
+	*/
 	readonly start: (organisation: string) => void;
 	/**
-	Ends a request; `cost` is what it used, in requests of usual latency.
+	Records the end of a request.
+
+	@param cost Service it used, in requests of usual latency.
 	*/
 	readonly end: (organisation: string, cost: number) => void;
 	readonly enqueue: (ticket: Ticket) => void;
 	/**
-	Takes the next request of an organisation with fewer than `maxInFlight` in flight.
+	Removes and starts the next request, among organisations with fewer than `maxInFlight` in flight.
 	*/
 	readonly dequeue: (maxInFlight: number) => Ticket | undefined;
 	readonly remove: (ticket: Ticket) => boolean;
 	/**
-	Takes the last request of the organisation that has the most waiting, if it has more than `least`.
+	Removes the last request of the organisation with the most waiting, if it has more than `threshold` waiting.
+	*/
+	readonly removeFromLongest: (threshold: number) => Ticket | undefined;
+	/**
+	Removes all requests whose `latestStart` has passed.
 	*/
-	readonly removeFromLongest: (least: number) => Ticket | undefined;
-	readonly removeLate: (now: number) => readonly Ticket[];
+	readonly removeExpired: (now: number) => readonly Ticket[];
 };
 
 const NO_TICKETS: readonly Ticket[] = [];
-// The cost of one request is bounded, so that one very long answer does not shut its organisation out.
-const MAX_COST = 16;
+// Maximum cost of one request, so that one very long answer does not block its organisation.
+const MAX_REQUEST_COST = 16;
 
 /**
 Creates an empty queue.
 */
 export function createFairQueue(): FairQueue {
-	const members = new Map<string, Member>();
-	const waitingMembers = new Set<Member>();
-	const free: Member[] = [];
-	// Idle organisations that were served ahead of the rest, oldest first: forgetting them would let one that sends its
-	// costly requests one by one start anew each time.
-	const owing = new Set<Member>();
+	const flows = new Map<string, Flow>();
+	const waitingFlows = new Set<Flow>();
+	const freeFlows: Flow[] = [];
+	// Idle flows whose start tags are ahead of the virtual time, oldest first. Without them, an organisation that sends costly
+	// requests one by one would have its tag reset each time.
+	const idleFlows = new Set<Flow>();
 	let waiting = 0;
-	let served = 0;
-	// No waiting request is late before this: most calls need not look at them.
-	let earliestLate = Infinity;
+	let virtualTime = 0;
+	// No waiting request expires before this time, so that most calls need not search for expired requests.
+	let earliestExpiry = Infinity;
 
-	const getMember = (organisation: string): Member => {
-		const known = members.get(organisation);
+	const getFlow = (organisation: string): Flow => {
+		const known = flows.get(organisation);
 		if (known !== undefined) {
-			known.tag = owing.delete(known) ? Math.max(known.tag, served) : known.tag;
+			known.startTag = idleFlows.delete(known) ? Math.max(known.startTag, virtualTime) : known.startTag;
 			return known;
 		}
 
-		const member = free.pop() ?? {
-			organisation, tag: served, inFlight: 0, waiting: [],
+		const flow = freeFlows.pop() ?? {
+			organisation, startTag: virtualTime, inFlight: 0, waiting: [],
 		};
-		member.organisation = organisation;
-		member.tag = served;
-		members.set(organisation, member);
-		return member;
+		flow.organisation = organisation;
+		flow.startTag = virtualTime;
+		flows.set(organisation, flow);
+		return flow;
 	};
 
-	const forget = (member: Member) => {
-		owing.delete(member);
-		members.delete(member.organisation);
-		if (free.length < MAX_FREE_MEMBERS) {
-			free.push(member);
+	const deleteFlow = (flow: Flow) => {
+		idleFlows.delete(flow);
+		flows.delete(flow.organisation);
+		if (freeFlows.length < MAX_FREE_FLOWS) {
+			freeFlows.push(flow);
 		}
 	};
 
-	const forgetIdle = (member: Member) => {
-		if (member.waiting.length === 0) {
-			waitingMembers.delete(member);
+	const updateFlowState = (flow: Flow) => {
+		if (flow.waiting.length === 0) {
+			waitingFlows.delete(flow);
 		}
 
-		if (member.inFlight === 0 && member.waiting.length === 0) {
-			owing.add(member);
+		if (flow.inFlight === 0 && flow.waiting.length === 0) {
+			idleFlows.add(flow);
 		}
 
-		for (const idle of owing) {
-			if (idle.tag > served && owing.size <= MAX_OWING_MEMBERS) {
+		for (const idle of idleFlows) {
+			if (idle.startTag > virtualTime && idleFlows.size <= MAX_IDLE_FLOWS) {
 				break;
 			}
 
-			forget(idle);
+			deleteFlow(idle);
 		}
 	};
 
-	const start = (member: Member) => {
-		served = Math.max(served, member.tag);
-		member.tag = served + 1;
-		member.inFlight++;
+	const start = (flow: Flow) => {
+		virtualTime = Math.max(virtualTime, flow.startTag);
+		flow.startTag = virtualTime + 1;
+		flow.inFlight++;
 	};
 
-	const take = (member: Member, index: number): Ticket => {
-		const [ticket] = member.waiting.splice(index, 1);
+	const removeTicketAt = (flow: Flow, index: number): Ticket => {
+		const [ticket] = flow.waiting.splice(index, 1);
 		waiting--;
 		return ticket!;
 	};
 
 	return {
-		getWaiting: () => waiting,
-		getWaitingOrganisations: () => waitingMembers.size,
-		getActiveOrganisations: () => members.size - owing.size,
-		getWaitingOf: organisation => members.get(organisation)?.waiting.length ?? 0,
-		getInFlightOf: organisation => members.get(organisation)?.inFlight ?? 0,
+		countWaiting: () => waiting,
+		countWaitingOrganisations: () => waitingFlows.size,
+		countActiveOrganisations: () => flows.size - idleFlows.size,
+		countWaitingOf: organisation => flows.get(organisation)?.waiting.length ?? 0,
+		countInFlightOf: organisation => flows.get(organisation)?.inFlight ?? 0,
 		start(organisation) {
-			start(getMember(organisation));
+			start(getFlow(organisation));
 		},
 		end(organisation, cost) {
-			const member = getMember(organisation);
-			member.inFlight--;
-			// The start was charged as one usual request.
-			member.tag += Math.min(MAX_COST, cost) - 1;
-			forgetIdle(member);
+			const flow = getFlow(organisation);
+			flow.inFlight--;
+			// The start already added the cost of one usual request.
+			flow.startTag += Math.min(MAX_REQUEST_COST, cost) - 1;
+			updateFlowState(flow);
 		},
 		enqueue(ticket) {
-			const member = getMember(ticket.organisation);
-			member.waiting.push(ticket);
-			earliestLate = Math.min(earliestLate, ticket.latestStart);
-			waitingMembers.add(member);
+			const flow = getFlow(ticket.organisation);
+			flow.waiting.push(ticket);
+			earliestExpiry = Math.min(earliestExpiry, ticket.latestStart);
+			waitingFlows.add(flow);
 			waiting++;
 		},
 		dequeue(maxInFlight) {
-			const member = findNext(waitingMembers, maxInFlight);
-			if (member === undefined) {
+			const flow = findNext(waitingFlows, maxInFlight);
+			if (flow === undefined) {
 				return undefined;
 			}
 
-			const ticket = take(member, 0);
-			start(member);
-			forgetIdle(member);
+			const ticket = removeTicketAt(flow, 0);
+			start(flow);
+			updateFlowState(flow);
 			return ticket;
 		},
 		remove(ticket) {
-			const member = members.get(ticket.organisation);
-			const index = member?.waiting.indexOf(ticket) ?? -1;
-			if (member === undefined || index === -1) {
+			const flow = flows.get(ticket.organisation);
+			const index = flow?.waiting.indexOf(ticket) ?? -1;
+			if (flow === undefined || index === -1) {
 				return false;
 			}
 
-			take(member, index);
-			forgetIdle(member);
+			removeTicketAt(flow, index);
+			updateFlowState(flow);
 			return true;
 		},
-		removeFromLongest(least) {
-			const member = findLongest(waitingMembers);
-			if (member === undefined || member.waiting.length <= least) {
+		removeFromLongest(threshold) {
+			const flow = findLongest(waitingFlows);
+			if (flow === undefined || flow.waiting.length <= threshold) {
 				return undefined;
 			}
 
-			const ticket = take(member, member.waiting.length - 1);
-			forgetIdle(member);
+			const ticket = removeTicketAt(flow, flow.waiting.length - 1);
+			updateFlowState(flow);
 			return ticket;
 		},
-		removeLate(now) {
-			if (waiting === 0 || now <= earliestLate) {
+		removeExpired(now) {
+			if (waiting === 0 || now <= earliestExpiry) {
 				return NO_TICKETS;
 			}
 
-			const late: Ticket[] = [];
-			earliestLate = Infinity;
-			for (const member of waitingMembers) {
-				earliestLate = Math.min(earliestLate, getEarliestLate(member.waiting, now));
-				const kept = member.waiting.filter(({latestStart}) => latestStart >= now);
-				if (!(kept.length < member.waiting.length)) {
+			const expired: Ticket[] = [];
+			earliestExpiry = Infinity;
+			for (const flow of waitingFlows) {
+				earliestExpiry = Math.min(earliestExpiry, getEarliestExpiry(flow.waiting, now));
+				const kept = flow.waiting.filter(({latestStart}) => latestStart >= now);
+				if (!(kept.length < flow.waiting.length)) {
 					continue;
 				}
 
-				late.push(...member.waiting.filter(({latestStart}) => latestStart < now));
-				waiting -= member.waiting.length - kept.length;
-				member.waiting = kept;
-				forgetIdle(member);
+				expired.push(...flow.waiting.filter(({latestStart}) => latestStart < now));
+				waiting -= flow.waiting.length - kept.length;
+				flow.waiting = kept;
+				updateFlowState(flow);
 			}
 
-			return late;
+			return expired;
 		},
 	};
 }
 
-function getEarliestLate(tickets: readonly Ticket[], now: number): number {
+function getEarliestExpiry(tickets: readonly Ticket[], now: number): number {
 	let earliest = Infinity;
 	for (const {latestStart} of tickets) {
 		earliest = latestStart < now ? earliest : Math.min(earliest, latestStart);
@@ -220,22 +234,22 @@
 	return earliest;
 }
 
-function findNext(members: Iterable<Member>, maxInFlight: number): Member | undefined {
-	let next: Member | undefined;
-	for (const member of members) {
-		if (member.inFlight < maxInFlight && (next === undefined || member.tag < next.tag)) {
-			next = member;
+function findNext(flows: Iterable<Flow>, maxInFlight: number): Flow | undefined {
+	let next: Flow | undefined;
+	for (const flow of flows) {
+		if (flow.inFlight < maxInFlight && (next === undefined || flow.startTag < next.startTag)) {
+			next = flow;
 		}
 	}
 
 	return next;
 }
 
-function findLongest(members: Iterable<Member>): Member | undefined {
-	let longest: Member | undefined;
-	for (const member of members) {
-		if (longest === undefined || member.waiting.length > longest.waiting.length) {
-			longest = member;
+function findLongest(flows: Iterable<Flow>): Flow | undefined {
+	let longest: Flow | undefined;
+	for (const flow of flows) {
+		if (longest === undefined || flow.waiting.length > longest.waiting.length) {
+			longest = flow;
 		}
 	}
 
--- a/packages/wagtailroute-admission/src/index.ts
+++ b/packages/wagtailroute-admission/src/index.ts
@@ -1,18 +1,18 @@
 /**
-Admission of requests: adaptive concurrency, rate, fair shares among organisations and a queue that knows deadlines.
+Admission control: adaptive concurrency limit, rate limit, and a queue that is fair to organisations and checks deadlines.
 */
 export type {
-	Admission,
+	AdmissionController,
 	AdmissionFailureKind,
 	AdmissionLimits,
 	AdmissionRequest,
 	AdmissionStatus,
-	Admittance,
+	AdmissionDecision,
 	Refusal,
-	Release,
-	TicketChange,
-} from './admittance.ts';
-export {createAdmission} from './admission.ts';
-export {type ConcurrencyLimit, createConcurrencyLimit, type Ending} from './concurrency-limit.ts';
+	AdmissionRelease,
+	TicketResolution,
+} from './admission-types.ts';
+export {createAdmissionController} from './admission-controller.ts';
+export {type ConcurrencyLimit, createConcurrencyLimit, type RequestEnding} from './concurrency-limit.ts';
 export {createFairQueue, type FairQueue, type Ticket} from './fair-queue.ts';
 export {createRateLimit, type RateLimit} from './rate-limit.ts';
--- a/packages/wagtailroute-admission/src/rate-limit.ts
+++ b/packages/wagtailroute-admission/src/rate-limit.ts
@@ -1,74 +1,74 @@
 /**
-Token bucket for a rate of requests.
+Rate limit of requests: a token bucket.
 */
-import {BURST_SECONDS} from './constants.ts';
+import {DEFAULT_BURST_SECONDS} from './constants.ts';
 
 /**
-A rate limit. Times are in ms of a monotonic clock.
+A rate limit. Times are in milliseconds of a monotonic clock.
 */
 export type RateLimit = {
 	/**
-	@param capacity Tokens that the bucket holds; a tenth of a second's worth when absent.
+	@param capacity Capacity of the bucket in tokens; 0.1 seconds of the rate when absent.
 	*/
 	readonly setRate: (ratePerSecond: number | undefined, now: number, capacity?: number) => void;
 	readonly hasToken: (now: number) => boolean;
 	/**
-	Takes tokens whether or not they are there: what is owed is worked off at the rate.
+	Removes tokens, also when the bucket holds fewer: the balance becomes negative and refills at the rate.
 
-	@param tokens 1 when absent; a negative number gives back.
+	@param tokens 1 when absent; a negative number adds tokens.
 	*/
-	readonly takeToken: (now: number, tokens?: number) => void;
+	readonly consumeTokens: (now: number, tokens?: number) => void;
 	readonly getTokens: (now: number) => number;
 	/**
-	Time until so many requests may have started, in ms.
+	Returns the time until the bucket holds a token for each of the given number of requests, in milliseconds.
 	*/
 	readonly getDelay: (requests: number, now: number) => number;
 };
 
 const MILLISECONDS_PER_SECOND = 1000;
-// A sum of fractions of a token may fall short of the whole by rounding.
+// Rounding may leave a sum of fractions slightly below a whole token.
 const TOKEN_TOLERANCE = 1e-9;
 
 /**
-The bucket that a rate limit begins with.
+Initial state of the bucket.
 */
-export type Bucket = {
+export type InitialBucket = {
 	readonly capacity: number;
 	readonly tokens: number;
 };
 
 /**
-Creates a rate limit; no rate means no limit.
+Creates a rate limit. Without a rate there is no limit.
 
-@param bucket A full one of a tenth of a second's worth when absent.
+@param bucket A full bucket with a capacity of 0.1 seconds of the rate when absent.
 */
-export function createRateLimit(ratePerSecond: number | undefined, now: number, bucket?: Bucket): RateLimit {
+export function createRateLimit(ratePerSecond: number | undefined, now: number, bucket?: InitialBucket): RateLimit {
 	let rate = ratePerSecond;
-	let limit = bucket?.capacity ?? getCapacity(rate);
-	let tokens = bucket?.tokens ?? limit;
+	let capacity = bucket?.capacity ?? getCapacity(rate);
+	let tokens = bucket?.tokens ?? capacity;
 	let filledAt = now;
 	const fill = (time: number) => {
 		if (rate !== undefined && time > filledAt) {
-			tokens = Math.min(limit, tokens + ((time - filledAt) * rate / MILLISECONDS_PER_SECOND));
+			tokens = Math.min(capacity, tokens + ((time - filledAt) * rate / MILLISECONDS_PER_SECOND));
 		}
 
 		filledAt = Math.max(filledAt, time);
 	};
 
 	return {
-		setRate(next, time, capacity) {
+		setRate(next, time, nextCapacity) {
 			fill(time);
 			rate = next;
-			limit = capacity ?? getCapacity(rate);
-			tokens = Math.min(tokens, limit);
+			capacity = nextCapacity ?? getCapacity(rate);
+			tokens = Math.min(tokens, capacity);
 		},
 		hasToken(time) {
 			fill(time);
 			return rate === undefined || tokens >= 1 - TOKEN_TOLERANCE;
 		},
-		takeToken(time, taken = 1) {
+		consumeTokens(time, consumed = 1) {
 			fill(time);
-			tokens = Math.min(limit, tokens - taken);
+			tokens = Math.min(capacity, tokens - consumed);
 		},
 		getTokens(time) {
 			fill(time);
@@ -83,5 +83,5 @@
 }
 
 function getCapacity(rate: number | undefined): number {
-	return rate === undefined ? 0 : Math.max(1, rate * BURST_SECONDS);
+	return rate === undefined ? 0 : Math.max(1, rate * DEFAULT_BURST_SECONDS);
 }
--- a/packages/wagtailroute-allotments/src/organisation-limiter.ts
+++ b/packages/wagtailroute-allotments/src/organisation-limiter.ts
@@ -213,7 +213,7 @@
 	#addNewHostTokens(now: number): void {
 		const {share, reportedShare, burstFraction, extraTokens} = this.#limits;
 		const burst = Math.max(0, reportedShare - this.#addedBurstShare) * this.#allotment.burst * burstFraction;
-		this.#bucket.takeToken(now, -burst - (Math.max(0, share - this.#addedExtraShare) * extraTokens));
+		this.#bucket.consumeTokens(now, -burst - (Math.max(0, share - this.#addedExtraShare) * extraTokens));
 		this.#addedBurstShare = Math.max(this.#addedBurstShare, reportedShare);
 		this.#addedExtraShare = Math.max(this.#addedExtraShare, share);
 	}
@@ -233,7 +233,7 @@
 		}
 
 		const maxDebt = (getRefillRate(this.#allotment, this.#limits) * MAX_UNREPORTED_SECONDS * 2) + MAX_UNREPORTED_REQUESTS;
-		this.#bucket.takeToken(at, Math.min(requests, this.#bucket.getTokens(at) + maxDebt));
+		this.#bucket.consumeTokens(at, Math.min(requests, this.#bucket.getTokens(at) + maxDebt));
 	}
 
 	#recordConfirmed(service: core.ServiceName, requests: number, at: number): void {
@@ -242,7 +242,7 @@
 	}
 
 	#deduct(requests: number, now: number): void {
-		this.#bucket.takeToken(now, requests);
+		this.#bucket.consumeTokens(now, requests);
 		this.#ownWindow.add(requests, now);
 		this.#decayUsage(now);
 	}
--- a/packages/wagtailroute-dispatch/src/upstream-rate-limit.ts
+++ b/packages/wagtailroute-dispatch/src/upstream-rate-limit.ts
@@ -142,7 +142,7 @@
 	@param isShared Whether peers grant at the same time, so that the grants have to be reported to them.
 	*/
 	consume(requests: number, isShared: boolean, now: number): void {
-		this.#bucket.takeToken(now, requests);
+		this.#bucket.consumeTokens(now, requests);
 		this.#pending = {...this.#pending, granted: this.#pending.granted + (isShared ? requests : 0)};
 	}
 
@@ -151,7 +151,7 @@
 	*/
 	consumePeerGrants(requests: number, now: number): void {
 		const maxTokens = this.#bucket.getTokens(now) + Math.max(MAX_DEBT_REQUESTS, this.#getRate() * MAX_DEBT_SECONDS);
-		this.#bucket.takeToken(now, Math.min(requests, Math.max(0, maxTokens)));
+		this.#bucket.consumeTokens(now, Math.min(requests, Math.max(0, maxTokens)));
 	}
 
 	/**
--- a/packages/wagtailroute-host/src/admitting.ts
+++ b/packages/wagtailroute-host/src/admitting.ts
@@ -81,9 +81,9 @@
 		onChange: refresh,
 	});
 	let limits = getLimits();
-	const machine = admission.createAdmission(limits, now());
+	const machine = admission.createAdmissionController(limits, now());
 
-	const settle = (changes: readonly admission.TicketChange[]) => {
+	const settle = (changes: readonly admission.TicketResolution[]) => {
 		for (const {ticket, result} of changes) {
 			const tell = waiting.get(ticket);
 			waiting.delete(ticket);
