--- a/packages/wagtailroute-admission/src/bench/overload.bench.ts
+++ b/packages/wagtailroute-admission/src/bench/overload.bench.ts
@@ -359,7 +359,7 @@
 			...maxMinRows.filter(row => row.overload === 5 && row.goodputOfPeak < MIN_GOODPUT_OF_PEAK)
 				.map(row => `Goodput at ${describe(row)} is ${row.goodputOfPeak.toFixed(3)} of its peak, the bound is ${MIN_GOODPUT_OF_PEAK}.`),
 			...maxMinRows.filter(row => row.lightSuccess < MIN_LIGHT_SUCCESS)
-				.map(row => `At ${describe(row)}, organisations within their share receive answers to a fraction of ${row.lightSuccess.toFixed(4)} of their requests, the bound is ${MIN_LIGHT_SUCCESS}.`),
+				.map(row => `At ${describe(row)}, organisations within their share have a success rate of ${row.lightSuccess.toFixed(4)}, the bound is ${MIN_LIGHT_SUCCESS}.`),
 			...fifoRows.filter(row => row.lightSuccess > 0.5)
 				.map(row => `The policy fifo answers more than half of the requests of light organisations at ${describe(row)}: the bench does not reproduce the overload.`),
 		],
