--- a/packages/wagtailroute-detection/src/__tests__/unit/codec.test.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/codec.test.ts
@@ -22,7 +22,7 @@
 	const seed = 21;
 	t.log(`seed ${seed}`);
 	fc.assert(fc.property(UPSTREAMS, fc.nat(), (upstreams, salt) => {
-		t.deepEqual(detection.decodeUpstreams(detection.encodeUpstreams(upstreams, salt), IDS, salt), upstreams);
+		t.deepEqual(detection.decodeUpstreamSummaries(detection.encodeUpstreamSummaries(upstreams, salt), IDS, salt), upstreams);
 	}), {seed, numRuns: 300});
 });
 
@@ -33,13 +33,13 @@
 	const seed = 22;
 	t.log(`seed ${seed}`);
 	fc.assert(fc.property(fc.uint8Array({maxLength: 200}), bytes => {
-		const read = detection.decodeUpstreams(Buffer.from(bytes).toString('base64'), IDS, 1) ?? [];
+		const read = detection.decodeUpstreamSummaries(Buffer.from(bytes).toString('base64'), IDS, 1) ?? [];
 		t.true(read.every(({id}) => IDS.includes(id)));
 	}), {seed, numRuns: 500});
-	const text = detection.encodeUpstreams([{
+	const text = detection.encodeUpstreamSummaries([{
 		id: IDS[0]!, successes: 3, failures: {reset: 1}, sheds: 0, latencies: [20, 3],
 	}], 1);
-	t.is(detection.decodeUpstreams(text.slice(0, 4), IDS, 1), undefined);
+	t.is(detection.decodeUpstreamSummaries(text.slice(0, 4), IDS, 1), undefined);
 });
 
 test('evidence about upstreams whose hashes are the same counts for neither', t => {
@@ -47,7 +47,7 @@
 	// Sequence: two names of one service have the same hash.
 	// Cause: the reader takes the first name that fits.
 	const names = Array.from({length: 12_000}, (_, index) => `u-${index}`);
-	const one = (id: string) => detection.encodeUpstreams([{
+	const one = (id: string) => detection.encodeUpstreamSummaries([{
 		id, successes: 1, failures: {}, sheds: 0, latencies: [],
 	}], 1);
 	const seen = new Map<string, string>();
@@ -58,6 +58,6 @@
 		return other === undefined ? [] : [[other, id]];
 	})[0];
 	t.truthy(pair);
-	t.deepEqual(detection.decodeUpstreams(one(pair![0]!), pair!, 1), []);
-	t.is(detection.decodeUpstreams(one(pair![0]!), [pair![0]!], 1)?.length, 1);
+	t.deepEqual(detection.decodeUpstreamSummaries(one(pair![0]!), pair!, 1), []);
+	t.is(detection.decodeUpstreamSummaries(one(pair![0]!), [pair![0]!], 1)?.length, 1);
 });
--- a/packages/wagtailroute-detection/src/__tests__/unit/detection.test.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/detection.test.ts
@@ -106,7 +106,7 @@
 	subject.run(5000, () => HEALTHY);
 	const sick = only('0', {successes: 0, failures: 3});
 	t.deepEqual(getRequested(subject.run(500, sick)), ['0']);
-	const refused = subject.tell({kind: 'refused', upstream: '0', reason: 'unreachable'});
+	const refused = subject.send({kind: 'refused', upstream: '0', reason: 'unreachable'});
 	t.like(refused, [{kind: 'steer-away', upstream: '0', cause: 'refused'}]);
 	t.deepEqual(getRequested(subject.run(1500, sick)), []);
 	t.deepEqual(getRequested(subject.run(1500, sick)), ['0']);
@@ -120,7 +120,7 @@
 	const waits = [1, 2, 3].map(() => {
 		subject.run(5000, () => HEALTHY);
 		subject.run(1000, only('0', {successes: 0, failures: 3}));
-		subject.tell({kind: 'ejected', upstream: '0'});
+		subject.send({kind: 'ejected', upstream: '0'});
 		const ejectedAt = subject.getNow();
 		let wait = 0;
 		while (wait === 0) {
@@ -130,7 +130,7 @@
 
 		const effects = subject.run(2000, () => HEALTHY);
 		t.true(effects.some(({kind}) => kind === 'request-readmission'));
-		subject.tell({kind: 'readmitted', upstream: '0'});
+		subject.send({kind: 'readmitted', upstream: '0'});
 		t.is(subject.getPhase('0'), 'serving');
 		return wait;
 	});
@@ -140,7 +140,7 @@
 test('a trial that fails ends at once and waits longer', t => {
 	const subject = service.createService();
 	subject.run(5000, () => HEALTHY);
-	subject.tell({kind: 'ejected', upstream: '0'});
+	subject.send({kind: 'ejected', upstream: '0'});
 	const effects = subject.run(8000, only('0', {successes: 0, failures: 1}));
 	t.deepEqual(effects.map(({kind}) => kind), ['start-trial', 'end-trial']);
 	t.is(subject.getPhase('0'), 'ejected');
@@ -167,7 +167,7 @@
 			if (event.kind === 'fail') {
 				subject.run(300, only(event.upstream, {successes: 0, failures: 3}));
 			} else {
-				subject.tell(event);
+				subject.send(event);
 			}
 		}
 
@@ -196,7 +196,7 @@
 		}],
 	};
 	for (let times = 0; times < 20; times++) {
-		subject.tell({kind: 'summary', summary});
+		subject.send({kind: 'summary', summary});
 	}
 
 	t.deepEqual(getRequested(subject.run(1000, () => HEALTHY)), []);
@@ -209,7 +209,7 @@
 	const subject = service.createService({hosts: 1, operatingPoint: 'careful'});
 	subject.run(5000, () => HEALTHY);
 	subject.run(100, only('0', {successes: 0, failures: 3}));
-	subject.tell({kind: 'discount', upstream: '0', count: 3});
+	subject.send({kind: 'discount', upstream: '0', count: 3});
 	t.deepEqual(getRequested(subject.run(100, only('0', {successes: 0, failures: 2}))), []);
 });
 
@@ -224,7 +224,7 @@
 		state: 'serving',
 		...((index === 0) && {rampStartedAt: subject.getNow()}),
 	}));
-	subject.tell({kind: 'upstreams-changed', upstreams});
+	subject.send({kind: 'upstreams-changed', upstreams});
 	t.deepEqual(getRequested(subject.run(9000, only('0', {successes: 2, bucket: 28}))), []);
 	t.deepEqual(getRequested(subject.run(3000, only('0', {successes: 0, failures: 3}))), ['0', '0', '0']);
 });
@@ -232,7 +232,7 @@
 test('a lying health endpoint only orders what the evidence calls for', t => {
 	const subject = service.createService();
 	subject.run(5000, () => HEALTHY);
-	subject.tell({kind: 'health-hint', upstream: '3', isHealthy: false});
+	subject.send({kind: 'health-hint', upstream: '3', isHealthy: false});
 	t.deepEqual(getRequested(subject.run(2000, () => HEALTHY)), []);
 	const getReport = (upstream: string): service.Report => upstream === '1' || upstream === '3'
 		? {successes: 0, failures: 3}
--- a/packages/wagtailroute-detection/src/__tests__/unit/evidence.test.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/evidence-collector.test.ts
@@ -5,7 +5,7 @@
 import * as detection from '../../index.ts';
 
 const CASES: ReadonlyArray<{
-	readonly result: detection.Result;
+	readonly result: detection.RequestResult;
 	readonly seen: Pick<detection.UpstreamSummary, 'successes' | 'failures' | 'sheds'> | undefined;
 	readonly urgent: boolean;
 }> = [
@@ -23,11 +23,11 @@
 	test(`a request that ends with ${result} is counted apart`, t => {
 		const evidence = createEvidence();
 		evidence.end(evidence.begin('u', 0), result, 20);
-		t.is(evidence.isUrgent(20), urgent);
-		const summary = evidence.takeSummary(20);
+		t.is(evidence.hasUrgentEvidence(20), urgent);
+		const summary = evidence.collectSummary(20);
 		const counted = summary?.upstreams.map(({successes, failures, sheds}) => ({successes, failures, sheds}));
 		t.deepEqual(counted, seen === undefined ? undefined : [seen]);
-		t.is(evidence.takeSummary(30), undefined);
+		t.is(evidence.collectSummary(30), undefined);
 	});
 }
 
@@ -40,19 +40,19 @@
 		evidence.record('u', 'success', 20);
 	}
 
-	evidence.takeSummary(0);
+	evidence.collectSummary(0);
 	const ticket = evidence.begin('u', 0);
-	t.is(evidence.takeSummary(30), undefined);
-	t.true(evidence.isUrgent(100));
-	t.is(countLatencies(evidence.takeSummary(100)), 1);
-	t.is(countLatencies(evidence.takeSummary(200)), 1);
-	t.is(evidence.takeSummary(5000), undefined);
+	t.is(evidence.collectSummary(30), undefined);
+	t.true(evidence.hasUrgentEvidence(100));
+	t.is(countLatencies(evidence.collectSummary(100)), 1);
+	t.is(countLatencies(evidence.collectSummary(200)), 1);
+	t.is(evidence.collectSummary(5000), undefined);
 	evidence.end(ticket, 'success', 6000);
-	t.is(countLatencies(evidence.takeSummary(6000)), 0);
+	t.is(countLatencies(evidence.collectSummary(6000)), 0);
 });
 
-function createEvidence(): detection.Evidence {
-	return detection.createEvidence({host: 'h', failureDomain: 'd', epoch: 1});
+function createEvidence(): detection.EvidenceCollector {
+	return detection.createEvidenceCollector({host: 'h', failureDomain: 'd', epoch: 1});
 }
 
 function countLatencies(summary: detection.Summary | undefined): number {
@@ -76,12 +76,12 @@
 	succeed();
 	evidence.record('u', 'status', 20);
 	succeed();
-	t.like(evidence.takeDue(1000, 1000)?.upstreams, [{successes: 1, failures: {status: 1}}]);
+	t.like(evidence.collectDueSummary(1000, 1000)?.upstreams, [{successes: 1, failures: {status: 1}}]);
 	evidence.record('u', 'status', 20);
-	t.like(evidence.takeDue(1100, 1000)?.upstreams, [{successes: 0, failures: {status: 1}}]);
+	t.like(evidence.collectDueSummary(1100, 1000)?.upstreams, [{successes: 0, failures: {status: 1}}]);
 	succeed();
 	evidence.record('u', 'status', 20);
-	t.like(evidence.takeDue(1200, 1000)?.upstreams, [{successes: 1, failures: {status: 1}}]);
+	t.like(evidence.collectDueSummary(1200, 1000)?.upstreams, [{successes: 1, failures: {status: 1}}]);
 });
 
 test('in quiet times only what is urgent is told between whole summaries, and what is alerted from any host', t => {
@@ -89,16 +89,16 @@
 	// Sequence: one host sees failures; the others have sent it good requests that they haven't told yet.
 	// Cause: one period for all that is told.
 	const evidence = createEvidence();
-	evidence.takeDue(1000, 1000);
+	evidence.collectDueSummary(1000, 1000);
 	evidence.record('u', 'success', 20);
 	evidence.record('v', 'success', 20);
-	t.is(evidence.takeDue(1400, 1000), undefined);
-	evidence.hear({
+	t.is(evidence.collectDueSummary(1400, 1000), undefined);
+	evidence.applySummary({
 		host: 'other', failureDomain: 'd', epoch: 1, sequence: 1, upstreams: [{
 			id: 'u', successes: 0, failures: {reset: 2}, sheds: 0, latencies: [],
 		}],
 	}, 1400);
-	t.deepEqual(evidence.takeDue(1410, 1000)?.upstreams.map(({id}) => id), ['u']);
-	t.is(evidence.takeDue(1420, 1000), undefined);
-	t.deepEqual(evidence.takeDue(2000, 1000)?.upstreams.map(({id}) => id), ['v']);
+	t.deepEqual(evidence.collectDueSummary(1410, 1000)?.upstreams.map(({id}) => id), ['u']);
+	t.is(evidence.collectDueSummary(1420, 1000), undefined);
+	t.deepEqual(evidence.collectDueSummary(2000, 1000)?.upstreams.map(({id}) => id), ['v']);
 });
--- a/packages/wagtailroute-detection/src/__tests__/unit/floor.test.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/floor.test.ts
@@ -5,27 +5,27 @@
 import * as fc from 'fast-check';
 import * as detection from '../../index.ts';
 
-const CASES: ReadonlyArray<{readonly population: detection.Population; readonly allowance: number}> = [
-	{population: createPopulation('count', 3, [6, 0, 0]), allowance: 3},
-	{population: createPopulation('count', 3, [3, 3, 0]), allowance: 0},
-	{population: createPopulation('count', 3, [2, 0, 0]), allowance: 0},
+const CASES: ReadonlyArray<{readonly counts: detection.UpstreamCounts; readonly allowance: number}> = [
+	{counts: createCounts('count', 3, [6, 0, 0]), allowance: 3},
+	{counts: createCounts('count', 3, [3, 3, 0]), allowance: 0},
+	{counts: createCounts('count', 3, [2, 0, 0]), allowance: 0},
 	// 70% of 6 is 4.2: five are kept.
-	{population: createPopulation('percent', 70, [6, 0, 0]), allowance: 1},
-	{population: createPopulation('percent', 70, [5, 1, 0]), allowance: 0},
+	{counts: createCounts('percent', 70, [6, 0, 0]), allowance: 1},
+	{counts: createCounts('percent', 70, [5, 1, 0]), allowance: 0},
 	// 80% of 8 is 6.4: seven are kept.
-	{population: createPopulation('percent', 80, [8, 0, 0]), allowance: 1},
+	{counts: createCounts('percent', 80, [8, 0, 0]), allowance: 1},
 	// Draining capacity counts in the total, so that it doesn't lower the floor.
-	{population: createPopulation('percent', 50, [4, 0, 4]), allowance: 0},
-	{population: createPopulation('percent', 100, [30, 0, 0]), allowance: 0},
+	{counts: createCounts('percent', 50, [4, 0, 4]), allowance: 0},
+	{counts: createCounts('percent', 100, [30, 0, 0]), allowance: 0},
 	// The last upstream stays, even with no floor at all.
-	{population: createPopulation('percent', 0, [1, 0, 0]), allowance: 0},
-	{population: createPopulation('count', 0, [2, 0, 0]), allowance: 1},
+	{counts: createCounts('percent', 0, [1, 0, 0]), allowance: 0},
+	{counts: createCounts('count', 0, [2, 0, 0]), allowance: 1},
 ];
 
-for (const {population, allowance} of CASES) {
-	test(`${JSON.stringify(population)} allows ${allowance} ejections`, t => {
-		t.is(detection.getEjectionAllowance(population), allowance);
-		t.is(detection.isGrantAllowed(population), allowance > 0);
+for (const {counts, allowance} of CASES) {
+	test(`${JSON.stringify(counts)} allows ${allowance} ejections`, t => {
+		t.is(detection.getEjectionAllowance(counts), allowance);
+		t.is(detection.isEjectionAllowed(counts), allowance > 0);
 	});
 }
 
@@ -43,7 +43,7 @@
 		const afterGrants: boolean[] = [];
 		const moves: Readonly<Record<string, () => void>> = {
 			grant() {
-				if (!detection.isGrantAllowed(createPopulation('percent', value, [serving, ejected, draining]))) {
+				if (!detection.isEjectionAllowed(createCounts('percent', value, [serving, ejected, draining]))) {
 					return;
 				}
 
@@ -73,11 +73,11 @@
 	}), {seed, numRuns: 200});
 });
 
-function createPopulation(
+function createCounts(
 	kind: detection.HealthyFloor['kind'],
 	value: number,
 	[serving, ejected, draining]: readonly [number, number, number],
-): detection.Population {
+): detection.UpstreamCounts {
 	return {
 		healthyFloor: {kind, value},
 		serving,
--- a/packages/wagtailroute-detection/src/__tests__/unit/service.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/service.ts
@@ -22,7 +22,7 @@
 Runs detection over reports.
 */
 export type Service = {
-	readonly tell: (event: detection.Event) => readonly detection.Effect[];
+	readonly send: (event: detection.Event) => readonly detection.Effect[];
 	/**
 	Reports and ticks for a time; returns all effects.
 	*/
@@ -45,18 +45,18 @@
 } = {}): Service {
 	const random = utils.createRandom(1);
 	const ids = Array.from({length: upstreams}, (_, index) => String(index));
-	let state = detection.createDetection({host: 'host 0', operatingPoint});
+	let state = detection.createDetectionState({host: 'host 0', operatingPoint});
 	let now = 0;
 	let sequence = 0;
-	const tell: Service['tell'] = event => {
+	const send: Service['send'] = event => {
 		const transition = detection.stepDetection(state, event, {now, random});
 		state = transition.state;
 		return transition.effects;
 	};
 
-	tell({kind: 'upstreams-changed', upstreams: ids.map(id => ({id, state: 'serving'}))});
+	send({kind: 'upstreams-changed', upstreams: ids.map(id => ({id, state: 'serving'}))});
 	return {
-		tell,
+		send,
 		run(milliseconds, getReport) {
 			const effects: detection.Effect[] = [];
 			for (const end = now + milliseconds; now < end;) {
@@ -68,12 +68,12 @@
 						failureDomain: `domain ${host % 2}`,
 						epoch: 1,
 						sequence,
-						upstreams: ids.map(id => writeReport(id, getReport(id, host))),
+						upstreams: ids.map(id => createUpstreamSummary(id, getReport(id, host))),
 					};
-					effects.push(...tell({kind: 'summary', summary}));
+					effects.push(...send({kind: 'summary', summary}));
 				}
 
-				effects.push(...tell({kind: 'tick'}));
+				effects.push(...send({kind: 'tick'}));
 			}
 
 			return effects;
@@ -83,7 +83,7 @@
 	};
 }
 
-function writeReport(id: string, report: Report): detection.UpstreamSummary {
+function createUpstreamSummary(id: string, report: Report): detection.UpstreamSummary {
 	const {successes, failures = 0, kind = 'status', sheds = 0, bucket = USUAL_BUCKET} = report;
 	return {
 		id,
--- a/packages/wagtailroute-detection/src/__tests__/unit/statistics.test.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/statistics.test.ts
@@ -18,15 +18,15 @@
 	t.log(`seed ${SEED}`);
 	const normalRate = 0.01;
 	fc.assert(fc.property(SAMPLES, history => {
-		let evidence = symptoms.EMPTY_STATISTICS.errors;
+		let evidence = symptoms.EMPTY_EVIDENCE.errors;
 		const ratios: number[][] = symptoms.ALTERNATIVES.errors.map(() => []);
 		for (const {good, bad} of history) {
 			const sample = {count: good + bad, bad};
 			evidence = symptoms.addSample(evidence, 'errors', {
 				sample,
 				normalRate,
-				gain: 8,
-				ceiling: Infinity,
+				maxGain: 8,
+				maxEvidence: Infinity,
 			});
 			for (const [index, extra] of symptoms.ALTERNATIVES.errors.entries()) {
 				ratios[index]!.push(Math.min(8, naiveRatio(sample, normalRate, extra)));
@@ -75,7 +75,7 @@
 		const sum = latencies.sumHistograms([kept.short.latencies, kept.long.latencies]);
 		const rest = latencies.subtractHistogram(sum, kept.long.latencies);
 		t.true(rest.every((count, bucket) => Math.abs(count - expected[bucket]!) < 1e-6));
-		t.is(latencies.getCommonMedianBucket(kept.short.latencies, kept.long.latencies), latencies.getQuantileBucket(sum, 0.5));
+		t.is(latencies.getMergedMedianBucket(kept.short.latencies, kept.long.latencies), latencies.getQuantileBucket(sum, 0.5));
 	}), {seed: SEED, numRuns: 100});
 });
 
--- a/packages/wagtailroute-detection/src/alerts.ts
+++ b/packages/wagtailroute-detection/src/alerts.ts
@@ -16,17 +16,17 @@
 	/**
 	Takes what a summary of any host tells. `isLate` says of a bucket whether requests in it took far too long.
 	*/
-	readonly hear: (summary: summaries.Summary, isLate: (bucket: number) => boolean, now: number) => void;
+	readonly applySummary: (summary: summaries.Summary, isOverdue: (bucket: number) => boolean, now: number) => void;
 	readonly isAlerted: (upstream: core.UpstreamId, now: number) => boolean;
 	/**
 	Whether any upstream is alerted.
 	*/
-	readonly isAny: (now: number) => boolean;
+	readonly hasAlerts: (now: number) => boolean;
 };
 
 type Alert = {
 	readonly weight: number;
-	readonly at: number;
+	readonly updatedAt: number;
 	readonly until: number;
 };
 
@@ -35,39 +35,39 @@
 */
 export function createAlerts(): Alerts {
 	const alerts = new Map<core.UpstreamId, Alert>();
-	let anyUntil = -Infinity;
+	let lastAlertUntil = -Infinity;
 
-	const note = (upstream: core.UpstreamId, added: number, now: number): void => {
+	const addWeight = (upstream: core.UpstreamId, addedWeight: number, now: number): void => {
 		const before = alerts.get(upstream);
-		const kept = before === undefined ? 0 : before.weight * Math.exp((before.at - now) / constants.ALERT_WINDOW_MILLISECONDS);
-		const weight = kept + added;
-		const until = weight >= constants.ALERT_COUNT ? now + constants.ALERT_MILLISECONDS : before?.until ?? now;
-		alerts.set(upstream, {weight, at: now, until});
-		anyUntil = Math.max(anyUntil, until);
+		const decayedWeight = before === undefined ? 0 : before.weight * Math.exp((before.updatedAt - now) / constants.ALERT_WINDOW_MILLISECONDS);
+		const weight = decayedWeight + addedWeight;
+		const until = weight >= constants.ALERT_FAILURES ? now + constants.ALERT_DURATION_MILLISECONDS : before?.until ?? now;
+		alerts.set(upstream, {weight, updatedAt: now, until});
+		lastAlertUntil = Math.max(lastAlertUntil, until);
 	};
 
 	return {
-		hear(summary, isLate, now) {
+		applySummary(summary, isOverdue, now) {
 			for (const seen of summary.upstreams) {
-				const weight = weigh(seen, isLate);
+				const weight = getAlertWeight(seen, isOverdue);
 				if (weight > 0) {
-					note(seen.id, weight, now);
+					addWeight(seen.id, weight, now);
 				}
 			}
 		},
 		isAlerted: (upstream, now) => (alerts.get(upstream)?.until ?? now) > now,
-		isAny: now => anyUntil > now,
+		hasAlerts: now => lastAlertUntil > now,
 	};
 }
 
-function weigh({failures, latencies}: summaries.UpstreamSummary, isLate: (bucket: number) => boolean): number {
+function getAlertWeight({failures, latencies}: summaries.UpstreamSummary, isOverdue: (bucket: number) => boolean): number {
 	let weight = 0;
 	for (const count of Object.values(failures)) {
 		weight += count;
 	}
 
 	for (let index = 0; index + 1 < latencies.length; index += 2) {
-		weight += isLate(latencies[index]!) ? latencies[index + 1]! * constants.LATE_WEIGHT : 0;
+		weight += isOverdue(latencies[index]!) ? latencies[index + 1]! * constants.OVERDUE_ALERT_WEIGHT : 0;
 	}
 
 	return weight;
--- a/packages/wagtailroute-detection/src/baselines.ts
+++ b/packages/wagtailroute-detection/src/baselines.ts
@@ -14,7 +14,7 @@
 /**
 Latency limits, as buckets: a request above one is slow, or stalled.
 */
-export type Limits = {
+export type LatencyLimits = {
 	readonly slow: number;
 	readonly stalled: number;
 	/**
@@ -26,24 +26,24 @@
 /**
 The windows of each upstream in service.
 */
-export type Peers = ReadonlyMap<core.UpstreamId, windows.Windows>;
+export type PeerWindows = ReadonlyMap<core.UpstreamId, windows.Windows>;
 
-type Length = 'short' | 'long';
+type WindowLength = 'short' | 'long';
 
-const LENGTHS: readonly Length[] = ['short', 'long'];
+const LENGTHS: readonly WindowLength[] = ['short', 'long'];
 
 type RateWindow = {
 	readonly get: (windows: windows.Windows) => symptoms.Samples;
 	/**
 	Requests that the window counts at least.
 	*/
-	readonly least: number;
+	readonly minRequests: number;
 };
 
 const RATE_WINDOWS: readonly RateWindow[] = [
-	{get: ({instant}) => instant, least: constants.INSTANT_MINIMUM_REQUESTS},
-	{get: ({short}) => short.samples, least: 1},
-	{get: ({long}) => long.samples, least: 1},
+	{get: ({instant}) => instant, minRequests: constants.MIN_INSTANT_REQUESTS},
+	{get: ({short}) => short.samples, minRequests: 1},
+	{get: ({long}) => long.samples, minRequests: 1},
 ];
 
 const SLOW_QUANTILE = 0.9;
@@ -56,40 +56,40 @@
 	/**
 	Returns the latency limits of an upstream; undefined while its peers have too few samples.
 	*/
-	readonly getLimits: (upstream: core.UpstreamId) => Limits | undefined;
+	readonly getLimits: (upstream: core.UpstreamId) => LatencyLimits | undefined;
 	/**
 	Whether the service as a whole has become slow: overload, or something that all upstreams depend on.
 	*/
-	readonly isDistressed: boolean;
+	readonly isServiceSlow: boolean;
 };
 
 /**
 Creates the baseline of latencies. Limits are made when they are first asked for: a step asks only for upstreams that had
 traffic.
 */
-export function createLatencyBaseline(peers: Peers): LatencyBaseline {
-	const kept = trim(peers, getMedianBadness);
-	const pooled = {short: poolLatencies(kept, 'short'), long: poolLatencies(kept, 'long')};
-	const made = new Map<core.UpstreamId, Limits | undefined>();
-	const makeLimits = (upstream: core.UpstreamId): Limits | undefined => {
-		const own = kept.get(upstream);
+export function createLatencyBaseline(peers: PeerWindows): LatencyBaseline {
+	const trimmedPeers = removeWorstPeers(peers, getMedianBucket);
+	const pooled = {short: poolLatencies(trimmedPeers, 'short'), long: poolLatencies(trimmedPeers, 'long')};
+	const limitsByUpstream = new Map<core.UpstreamId, LatencyLimits | undefined>();
+	const computeLimits = (upstream: core.UpstreamId): LatencyLimits | undefined => {
+		const own = trimmedPeers.get(upstream);
 		const limits = LENGTHS
-			.map(length => own === undefined ? pooled[length] : takeOut(pooled[length], own[length]))
-			.filter(({total}) => total >= constants.MINIMUM_PEER_SAMPLES)
+			.map(length => own === undefined ? pooled[length] : subtractPool(pooled[length], own[length]))
+			.filter(({latencyCount}) => latencyCount >= constants.MIN_PEER_SAMPLES)
 			.map(pool => getLimits(pool));
 		return limits.length === 0 ? undefined : mergeLimits(limits);
 	};
 
 	return {
 		getLimits(upstream) {
-			if (!made.has(upstream)) {
-				made.set(upstream, makeLimits(upstream));
+			if (!limitsByUpstream.has(upstream)) {
+				limitsByUpstream.set(upstream, computeLimits(upstream));
 			}
 
-			return made.get(upstream);
+			return limitsByUpstream.get(upstream);
 		},
-		isDistressed: pooled.short.total >= constants.MINIMUM_PEER_SAMPLES
-			&& getMedian(pooled.short) >= getMedian(pooled.long) * constants.DISTRESS_RATIO,
+		isServiceSlow: pooled.short.latencyCount >= constants.MIN_PEER_SAMPLES
+			&& getMedian(pooled.short) >= getMedian(pooled.long) * constants.SERVICE_SLOWDOWN_RATIO,
 	};
 }
 
@@ -97,56 +97,56 @@
 Returns a function from an upstream to its peers' rate of a symptom.
 */
 export function createRateBaseline(
-	peers: Peers,
+	peers: PeerWindows,
 	symptom: symptoms.Symptom,
 ): (upstream: core.UpstreamId) => number {
-	const kept = trim(peers, ({short, long}) =>
+	const trimmedPeers = removeWorstPeers(peers, ({short, long}) =>
 		symptoms.getRate(symptoms.mergeSamples(short.samples[symptom], long.samples[symptom])));
-	const pooled = RATE_WINDOWS.map(({get}) => poolSamples(kept, windows => get(windows)[symptom]));
+	const pooled = RATE_WINDOWS.map(({get}) => poolSamples(trimmedPeers, windows => get(windows)[symptom]));
 	return upstream => {
-		const own = kept.get(upstream);
-		const rates = RATE_WINDOWS.map(({get, least}, index) => {
+		const own = trimmedPeers.get(upstream);
+		const rates = RATE_WINDOWS.map(({get, minRequests}, index) => {
 			const sample = own === undefined
 				? pooled[index]!
 				: symptoms.mergeSamples(pooled[index]!, symptoms.scaleSample(get(own)[symptom], -1));
-			return sample.bad / Math.max(least, sample.count);
+			return sample.bad / Math.max(minRequests, sample.count);
 		});
 		return Math.max(0, ...rates);
 	};
 }
 
-function trim(peers: Peers, getBadness: (windows: windows.Windows) => number): Peers {
+function removeWorstPeers(peers: PeerWindows, getBadness: (windows: windows.Windows) => number): PeerWindows {
 	const ranked = [...peers]
 		.map(([id, kept]) => ({id, kept, badness: getBadness(kept)}))
 		.toSorted((left, right) => right.badness - left.badness);
-	const trimmed = ranked.length < 3 ? 0 : Math.ceil(ranked.length * constants.TRIMMED_SHARE);
+	const trimmed = ranked.length < 3 ? 0 : Math.ceil(ranked.length * constants.TRIMMED_FRACTION);
 	return new Map(ranked.slice(trimmed).map(({id, kept}) => [id, kept]));
 }
 
-function getMedianBadness({short, long}: windows.Windows): number {
-	return latencies.getCommonMedianBucket(short.latencies, long.latencies, short.total + long.total);
+function getMedianBucket({short, long}: windows.Windows): number {
+	return latencies.getMergedMedianBucket(short.latencies, long.latencies, short.latencyCount + long.latencyCount);
 }
 
-type Pool = Pick<windows.Window, 'latencies' | 'total'>;
+type Pool = Pick<windows.Window, 'latencies' | 'latencyCount'>;
 
-function poolLatencies(peers: Peers, length: Length): Pool {
-	let total = 0;
+function poolLatencies(peers: PeerWindows, length: WindowLength): Pool {
+	let latencyCount = 0;
 	for (const peer of peers.values()) {
-		total += peer[length].total;
+		latencyCount += peer[length].latencyCount;
 	}
 
-	return {latencies: latencies.sumHistograms(peers.values().map(peer => peer[length].latencies)), total};
+	return {latencies: latencies.sumHistograms(peers.values().map(peer => peer[length].latencies)), latencyCount};
 }
 
-function takeOut(pool: Pool, own: Pool): Pool {
-	return {latencies: latencies.subtractHistogram(pool.latencies, own.latencies), total: pool.total - own.total};
+function subtractPool(pool: Pool, own: Pool): Pool {
+	return {latencies: latencies.subtractHistogram(pool.latencies, own.latencies), latencyCount: pool.latencyCount - own.latencyCount};
 }
 
-function getMedian({latencies: histogram, total}: Pool): number {
-	return latencies.getUpperEnd(latencies.getQuantileBucket(histogram, MEDIAN, total));
+function getMedian({latencies: histogram, latencyCount}: Pool): number {
+	return latencies.getBucketUpperBound(latencies.getQuantileBucket(histogram, MEDIAN, latencyCount));
 }
 
-function poolSamples(peers: Peers, get: (windows: windows.Windows) => symptoms.Sample): symptoms.Sample {
+function poolSamples(peers: PeerWindows, get: (windows: windows.Windows) => symptoms.Sample): symptoms.Sample {
 	let pooled = symptoms.EMPTY_SAMPLE;
 	for (const peer of peers.values()) {
 		pooled = symptoms.mergeSamples(pooled, get(peer));
@@ -155,15 +155,15 @@
 	return pooled;
 }
 
-function getLimits({latencies: histogram, total}: Pool): Limits {
-	const median = latencies.getQuantileBucket(histogram, MEDIAN, total);
-	const high = latencies.getQuantileBucket(histogram, SLOW_QUANTILE, total);
-	const least = latencies.getBucket(latencies.getUpperEnd(median) + constants.MINIMUM_EXCESS_MILLISECONDS);
+function getLimits({latencies: histogram, latencyCount}: Pool): LatencyLimits {
+	const median = latencies.getQuantileBucket(histogram, MEDIAN, latencyCount);
+	const high = latencies.getQuantileBucket(histogram, SLOW_QUANTILE, latencyCount);
+	const least = latencies.getBucket(latencies.getBucketUpperBound(median) + constants.MIN_SLOW_EXCESS_MILLISECONDS);
 	const slow = Math.max(high, least);
-	return {slow, stalled: latencies.getBucket(latencies.getUpperEnd(slow) * constants.STALL_RATIO), median};
+	return {slow, stalled: latencies.getBucket(latencies.getBucketUpperBound(slow) * constants.STALL_RATIO), median};
 }
 
-function mergeLimits(limits: readonly Limits[]): Limits {
+function mergeLimits(limits: readonly LatencyLimits[]): LatencyLimits {
 	return {
 		slow: Math.max(...limits.map(({slow}) => slow)),
 		stalled: Math.max(...limits.map(({stalled}) => stalled)),
--- a/packages/wagtailroute-detection/src/bench/bounds.ts
+++ b/packages/wagtailroute-detection/src/bench/bounds.ts
@@ -16,25 +16,25 @@
 /**
 False ejections per hour that `fast` may have where the baselines have none: it answers to long pauses.
 */
-const FALSE_ALLOWANCE: Readonly<Partial<Record<policies.PolicyName, number>>> = {fast: 60, careful: 0};
+const FALSE_EJECTION_ALLOWANCE: Readonly<Partial<Record<policies.PolicyName, number>>> = {fast: 60, careful: 0};
 
 /**
 Returns what the rows break of the bounds, one sentence each.
 */
 export function getBrokenBounds(rows: readonly detection.Row[]): string[] {
 	return rows.flatMap(row => {
-		const allowance = FALSE_ALLOWANCE[row.policy];
+		const allowance = FALSE_EJECTION_ALLOWANCE[row.policy];
 		if (allowance === undefined) {
 			return [];
 		}
 
 		const baselines = rows.filter(({size, scenario, policy}) =>
-			size === row.size && scenario === row.scenario && FALSE_ALLOWANCE[policy] === undefined);
-		return [...getBrokenDetection(row, baselines), ...getBrokenFalse(row, baselines, allowance)];
+			size === row.size && scenario === row.scenario && FALSE_EJECTION_ALLOWANCE[policy] === undefined);
+		return [...getBrokenDetectionBounds(row, baselines), ...getBrokenFalseEjectionBounds(row, baselines, allowance)];
 	});
 }
 
-function getBrokenDetection(row: detection.Row, baselines: readonly detection.Row[]): string[] {
+function getBrokenDetectionBounds(row: detection.Row, baselines: readonly detection.Row[]): string[] {
 	const times = baselines.flatMap(({detectionMilliseconds}) => detectionMilliseconds ?? []);
 	const ratio = row.scenario === PATH_SCENARIO ? PATH_DETECTION_RATIO : DETECTION_RATIO;
 	const bound = Math.min(...times) * ratio;
@@ -48,7 +48,7 @@
 		: [];
 }
 
-function getBrokenFalse(row: detection.Row, baselines: readonly detection.Row[], allowance: number): string[] {
+function getBrokenFalseEjectionBounds(row: detection.Row, baselines: readonly detection.Row[], allowance: number): string[] {
 	const bound = Math.min(...baselines.map(({falsePerHour}) => falsePerHour)) + allowance;
 	return row.falsePerHour > bound
 		? [`${getName(row)}: ${row.falsePerHour} false ejections an hour, bound ${bound}`]
--- a/packages/wagtailroute-detection/src/bench/detection-cost.bench.ts
+++ b/packages/wagtailroute-detection/src/bench/detection-cost.bench.ts
@@ -28,30 +28,30 @@
 	readonly textBytes: number;
 };
 
-type Way = {
-	readonly take: (evidence: detection.Evidence, now: number) => detection.Summary | undefined;
-	readonly getStepMilliseconds: (state: detection.Detection) => number;
+type Strategy = {
+	readonly collect: (evidence: detection.EvidenceCollector, now: number) => detection.Summary | undefined;
+	readonly getStepIntervalMilliseconds: (state: detection.DetectionState) => number;
 };
 
 const SIZES: readonly Size[] = [6, 8, 20, 30].flatMap(upstreams => [4, 8, 16, 44].map(hosts => ({upstreams, hosts})));
 const REQUESTS_PER_UPSTREAM_SECOND = 45;
 const USUAL_ERROR_RATE = 0.001;
 const MEDIAN_MILLISECONDS = 40;
-const SIGMA = 0.5;
+const LATENCY_SIGMA = 0.5;
 const SECONDS = 12;
-const LOOP_MILLISECONDS = 50;
+const LOOP_STEP_MILLISECONDS = 50;
 const WARM_UP_SIZES = 4;
-const KEPT_SHARE = 0.9;
-const LOOPS = SECONDS * 1000 / LOOP_MILLISECONDS;
+const KEPT_FRACTION = 0.9;
+const LOOPS = SECONDS * 1000 / LOOP_STEP_MILLISECONDS;
 
-const WAYS: Readonly<Record<'steady' | 'following', Way>> = {
+const STRATEGIES: Readonly<Record<'steady' | 'following', Strategy>> = {
 	steady: {
-		take: (evidence, now) => now % detection.SUMMARY_MILLISECONDS < LOOP_MILLISECONDS ? evidence.takeSummary(now) : undefined,
-		getStepMilliseconds: () => detection.TICK_MILLISECONDS,
+		collect: (evidence, now) => now % detection.ALERTED_SUMMARY_INTERVAL_MILLISECONDS < LOOP_STEP_MILLISECONDS ? evidence.collectSummary(now) : undefined,
+		getStepIntervalMilliseconds: () => detection.TICK_INTERVAL_MILLISECONDS,
 	},
 	following: {
-		take: (evidence, now) => evidence.takeDue(now, detection.QUIET_SUMMARY_MILLISECONDS),
-		getStepMilliseconds: detection.getTickMilliseconds,
+		collect: (evidence, now) => evidence.collectDueSummary(now, detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS),
+		getStepIntervalMilliseconds: detection.getTickIntervalMilliseconds,
 	},
 };
 
@@ -61,7 +61,7 @@
 const BYTES_RATIO = 0.2;
 const TIME_RATIO = 0.6;
 const STEPS_RATIO = 0.35;
-const STEADY_STEPS_PER_SECOND = 1000 / detection.TICK_MILLISECONDS;
+const STEADY_STEPS_PER_SECOND = 1000 / detection.TICK_INTERVAL_MILLISECONDS;
 
 /**
 Largest part of the JSON of a summary that its compact text may take, where it tells of some requests of each upstream.
@@ -91,13 +91,13 @@
 	return {
 		title: 'Cost of detection for each service: microseconds and bytes to each carrier, a second',
 		rows,
-		broken: [...rows.flatMap(row => getBroken(row)), ...getBrokenTime(rows), ...getBrokenGrowth(rows)],
+		broken: [...rows.flatMap(row => getBrokenBounds(row)), ...getBrokenTimeBound(rows), ...getBrokenGrowthBound(rows)],
 	};
 }
 
 function measureSize(size: Size): Row {
-	const steady = measure(size, WAYS.steady);
-	const following = measure(size, WAYS.following);
+	const steady = measure(size, STRATEGIES.steady);
+	const following = measure(size, STRATEGIES.following);
 	const perSecond = (value: number): number => Math.round(value / SECONDS);
 	return {
 		...size,
@@ -112,21 +112,21 @@
 	};
 }
 
-function measure({upstreams, hosts}: Size, way: Way): Cost {
+function measure({upstreams, hosts}: Size, way: Strategy): Cost {
 	const random = utils.createRandom(1);
 	const ids = Array.from({length: upstreams}, (_, index) => `quoting-${24_500 + index}`);
-	const evidence = Array.from({length: hosts}, (_, host) => detection.createEvidence({
+	const evidence = Array.from({length: hosts}, (_, host) => detection.createEvidenceCollector({
 		host: `entry-${host}`,
 		failureDomain: `domain-${host % 3}`,
 		epoch: host,
 	}));
-	let state = detection.createDetection({host: 'entry-0', operatingPoint: 'fast'});
-	const tell = (event: detection.Event, now: number) => {
+	let state = detection.createDetectionState({host: 'entry-0', operatingPoint: 'fast'});
+	const step = (event: detection.Event, now: number) => {
 		const transition = detection.stepDetection(state, event, {now, random});
 		state = transition.state;
 	};
 
-	tell({kind: 'upstreams-changed', upstreams: ids.map(id => ({id, state: 'serving'}))}, 0);
+	step({kind: 'upstreams-changed', upstreams: ids.map(id => ({id, state: 'serving'}))}, 0);
 	const cost = {
 		steps: [] as number[],
 		summaries: 0,
@@ -136,65 +136,65 @@
 	const getClock = (host: number, now: number): number => now + Math.floor(host * 1000 / hosts);
 	let steppedAt = 0;
 	for (let loop = 1; loop <= LOOPS; loop++) {
-		const now = loop * LOOP_MILLISECONDS;
+		const now = loop * LOOP_STEP_MILLISECONDS;
 		serve(ids, evidence, random);
-		const due = evidence.map((own, host) => [host, way.take(own, getClock(host, now))] as const);
-		const told = due.filter(isTold);
-		for (const [host, summary] of told) {
+		const collected = evidence.map((own, host) => [host, way.collect(own, getClock(host, now))] as const);
+		const sent = collected.filter(hasSummary);
+		for (const [host, summary] of sent) {
 			cost.summaries++;
 			cost.jsonBytes += JSON.stringify({service: 'quoting', summary}).length;
-			cost.textBytes += JSON.stringify(['quoting', summary.sequence, detection.encodeUpstreams(summary.upstreams, host)]).length;
-			tell({kind: 'summary', summary}, now);
-			hearAll(evidence, host, {summary, now, getClock});
+			cost.textBytes += JSON.stringify(['quoting', summary.sequence, detection.encodeUpstreamSummaries(summary.upstreams, host)]).length;
+			step({kind: 'summary', summary}, now);
+			applyToOthers(evidence, host, {summary, now, getClock});
 		}
 
-		if (now - steppedAt < way.getStepMilliseconds(state)) {
+		if (now - steppedAt < way.getStepIntervalMilliseconds(state)) {
 			continue;
 		}
 
 		steppedAt = now;
 		const startedAt = performance.now();
-		tell({kind: 'tick'}, now);
+		step({kind: 'tick'}, now);
 		cost.steps.push((performance.now() - startedAt) * 1000);
 	}
 
 	return cost;
 }
 
-function serve(ids: readonly string[], evidence: readonly detection.Evidence[], random: utils.Random): void {
-	const requests = Math.round(REQUESTS_PER_UPSTREAM_SECOND * ids.length * LOOP_MILLISECONDS / 1000);
+function serve(ids: readonly string[], evidence: readonly detection.EvidenceCollector[], random: utils.Random): void {
+	const requests = Math.round(REQUESTS_PER_UPSTREAM_SECOND * ids.length * LOOP_STEP_MILLISECONDS / 1000);
 	for (let request = 0; request < requests; request++) {
 		const normal = Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
 		const result = random() < USUAL_ERROR_RATE ? 'status' : 'success';
 		const host = utils.pickIndex(random, evidence.length);
 		const id = ids[utils.pickIndex(random, ids.length)]!;
-		evidence[host]!.record(id, result, MEDIAN_MILLISECONDS * Math.exp(SIGMA * normal));
+		evidence[host]!.record(id, result, MEDIAN_MILLISECONDS * Math.exp(LATENCY_SIGMA * normal));
 	}
 }
 
-function isTold(told: readonly [number, detection.Summary | undefined]): told is readonly [number, detection.Summary] {
+function hasSummary(told: readonly [number, detection.Summary | undefined]): told is readonly [number, detection.Summary] {
 	return told[1] !== undefined;
 }
 
-function hearAll(evidence: readonly detection.Evidence[], from: number, {summary, now, getClock}: {
+function applyToOthers(evidence: readonly detection.EvidenceCollector[], from: number, {summary, now, getClock}: {
 	readonly summary: detection.Summary;
 	readonly now: number;
 	readonly getClock: (host: number, now: number) => number;
 }): void {
 	const others = evidence.entries().filter(([host]) => host !== from);
 	for (const [host, other] of others) {
-		other.hear(summary, getClock(host, now));
+		other.applySummary(summary, getClock(host, now));
 	}
 }
 
 // The longest tenth is left out: pauses of the process, and of a busy machine.
 function getMean(values: readonly number[]): number {
 	const ordered = values.toSorted((left, right) => left - right);
-	const kept = ordered.slice(0, Math.ceil(ordered.length * KEPT_SHARE));
+	const kept = ordered.slice(0, Math.ceil(ordered.length * KEPT_FRACTION));
 	return kept.reduce((sum, value) => sum + value, 0) / Math.max(1, kept.length);
 }
 
-function getBroken(row: Row): string[] {
+function getBrokenBounds(row: Row): string[] {
 	const name = `detection cost, ${row.upstreams} upstreams, ${row.hosts} hosts`;
 	return [
 		...(row.followingBytes > row.steadyBytes * BYTES_RATIO ? [`${name}: ${row.followingBytes} bytes a second, steady ${row.steadyBytes}`] : []),
@@ -204,13 +204,13 @@
 }
 
 // Over all sizes together: single times are a matter of chance on a busy machine.
-function getBrokenTime(rows: readonly Row[]): string[] {
+function getBrokenTimeBound(rows: readonly Row[]): string[] {
 	const steady = rows.reduce((sum, row) => sum + row.steadyMicroseconds, 0);
 	const following = rows.reduce((sum, row) => sum + row.followingMicroseconds, 0);
 	return following > steady * TIME_RATIO ? [`detection cost: ${following} microseconds a second over all sizes, steady ${steady}`] : [];
 }
 
-function getBrokenGrowth(rows: readonly Row[]): string[] {
+function getBrokenGrowthBound(rows: readonly Row[]): string[] {
 	const least = rows[0]!.stepMicroseconds;
 	const largest = rows.at(-1)!.stepMicroseconds;
 	return largest > least * GROWTH_RATIO ? [`detection cost: a step takes ${largest} microseconds on the largest size, ${least} on the smallest`] : [];
--- a/packages/wagtailroute-detection/src/bench/detection.ts
+++ b/packages/wagtailroute-detection/src/bench/detection.ts
@@ -2,7 +2,7 @@
 Bench of detection: detection time, false ejections and requests harmed for each kind of fault, on the users' sizes,
 against two baselines. Deterministic: seeded, in simulated time.
 */
-import * as fleet from './fleet.ts';
+import * as simulation from './simulation.ts';
 import * as policies from './policies.ts';
 
 /**
@@ -34,7 +34,7 @@
 type Scenario = {
 	readonly name: string;
 	readonly goal: Goal;
-	readonly fault: fleet.Fault;
+	readonly fault: simulation.Fault;
 	/**
 	Milliseconds after the onset.
 	*/
@@ -42,11 +42,11 @@
 	/**
 	Whether the run goes on after detection, to see what becomes of the upstream later.
 	*/
-	readonly isWhole?: boolean;
+	readonly isRunToEnd?: boolean;
 };
 
-const SERVED: fleet.Treatment = {kind: 'served', factor: 1};
-const SICK = 0;
+const SERVED_NORMALLY: simulation.FaultOutcome = {kind: 'served', factor: 1};
+const SICK_UPSTREAM = 0;
 const HOST_WITH_PATH_FAULT = 0;
 const ONSET_MILLISECONDS = 15_000;
 const FAULT_DURATION_MILLISECONDS = 30_000;
@@ -54,26 +54,26 @@
 const FLAP_MILLISECONDS = 4000;
 const PAUSE_MILLISECONDS = 250;
 
-function createErrors(rate: number): fleet.Fault {
-	return ({upstream, sinceOnset, random}) => upstream === SICK && sinceOnset >= 0 && random() < rate
+function createErrors(rate: number): simulation.Fault {
+	return ({upstream, sinceOnset, random}) => upstream === SICK_UPSTREAM && sinceOnset >= 0 && random() < rate
 		? {kind: 'failed', result: 'status', milliseconds: 5}
-		: SERVED;
+		: SERVED_NORMALLY;
 }
 
-function createSlowness(factor: number): fleet.Fault {
-	return ({upstream, sinceOnset}) => upstream === SICK && sinceOnset >= 0 ? {kind: 'served', factor} : SERVED;
+function createSlowness(factor: number): simulation.Fault {
+	return ({upstream, sinceOnset}) => upstream === SICK_UPSTREAM && sinceOnset >= 0 ? {kind: 'served', factor} : SERVED_NORMALLY;
 }
 
 // Healthy upstreams now and then pause, as for a collection of garbage, or reset all that they run, as at the restart of a
 // worker: neither is a reason to take them out.
-const treatHiccups: fleet.Fault = ({upstream, sinceOnset}) => {
+const createHiccup: simulation.Fault = ({upstream, sinceOnset}) => {
 	const time = sinceOnset + ONSET_MILLISECONDS + (upstream * 7919);
 	const phase = time % 60_000;
 	if (phase < PAUSE_MILLISECONDS) {
 		return {kind: 'served', factor: 1, delayMilliseconds: PAUSE_MILLISECONDS - phase};
 	}
 
-	return phase >= 30_000 && phase < 30_020 ? {kind: 'failed', result: 'reset', milliseconds: 1} : SERVED;
+	return phase >= 30_000 && phase < 30_020 ? {kind: 'failed', result: 'reset', milliseconds: 1} : SERVED_NORMALLY;
 };
 
 const SCENARIOS: readonly Scenario[] = [
@@ -94,28 +94,28 @@
 		goal: 'upstream',
 		fault: request => Math.floor(request.sinceOnset / FLAP_MILLISECONDS) % 2 === 0
 			? createErrors(1)(request)
-			: SERVED,
+			: SERVED_NORMALLY,
 		duration: 4 * FAULT_DURATION_MILLISECONDS,
-		isWhole: true,
+		isRunToEnd: true,
 	},
 	{
 		name: 'half-open',
 		goal: 'upstream',
-		fault: ({upstream, sinceOnset}) => upstream === SICK && sinceOnset >= 0 ? {kind: 'hung'} : SERVED,
+		fault: ({upstream, sinceOnset}) => upstream === SICK_UPSTREAM && sinceOnset >= 0 ? {kind: 'hung'} : SERVED_NORMALLY,
 		duration: FAULT_DURATION_MILLISECONDS,
 	},
 	{
 		name: 'one-way partition of a host, one upstream',
 		goal: 'path',
-		fault: ({host, upstream, sinceOnset}) => host === HOST_WITH_PATH_FAULT && upstream === SICK && sinceOnset >= 0
+		fault: ({host, upstream, sinceOnset}) => host === HOST_WITH_PATH_FAULT && upstream === SICK_UPSTREAM && sinceOnset >= 0
 			? {kind: 'lost'}
-			: SERVED,
+			: SERVED_NORMALLY,
 		duration: FAULT_DURATION_MILLISECONDS,
 	},
 	{
 		name: 'one-way partition of a host, all upstreams',
 		goal: 'self',
-		fault: ({host, sinceOnset}) => host === HOST_WITH_PATH_FAULT && sinceOnset >= 0 ? {kind: 'lost'} : SERVED,
+		fault: ({host, sinceOnset}) => host === HOST_WITH_PATH_FAULT && sinceOnset >= 0 ? {kind: 'lost'} : SERVED_NORMALLY,
 		duration: FAULT_DURATION_MILLISECONDS,
 	},
 	{
@@ -129,13 +129,13 @@
 		goal: 'none',
 		fault: ({sinceOnset, random}) => sinceOnset >= 0 && random() < 0.2
 			? {kind: 'failed', result: 'status', milliseconds: 5}
-			: SERVED,
+			: SERVED_NORMALLY,
 		duration: FAULT_DURATION_MILLISECONDS,
 	},
 	{
 		name: 'healthy with hiccups',
 		goal: 'none',
-		fault: treatHiccups,
+		fault: createHiccup,
 		duration: QUIET_DURATION_MILLISECONDS,
 	},
 ];
@@ -150,7 +150,7 @@
 /**
 The users' sizes.
 */
-export const SIZES: readonly fleet.Size[] = [
+export const SIZES: readonly simulation.ServiceSize[] = [
 	createSize({
 		name: 'archive', upstreams: 30, slots: 4, failureDomains: 4, medianMilliseconds: 40,
 	}),
@@ -165,14 +165,14 @@
 	}),
 ].flatMap(size => [8, 44].map(hosts => ({...size, hosts, name: `${size.name} ${size.upstreams}, ${hosts} hosts`})));
 
-function createSize(size: Omit<fleet.Size, 'hosts' | 'load'>): fleet.Size {
+function createSize(size: Omit<simulation.ServiceSize, 'hosts' | 'load'>): simulation.ServiceSize {
 	return {...size, hosts: 8, load: 0.5};
 }
 
 /**
 Sizes of the run that guards against regressions; the whole table takes minutes.
 */
-export const GUARDED_SIZES: readonly fleet.Size[] = SIZES.filter(({name}) => GUARDED_NAMES.has(name));
+export const GUARDED_SIZES: readonly simulation.ServiceSize[] = SIZES.filter(({name}) => GUARDED_NAMES.has(name));
 
 const POLICY_NAMES: readonly policies.PolicyName[] = ['consecutive', 'outliers', 'fast', 'careful'];
 
@@ -188,7 +188,7 @@
 */
 export function runDetectionBench({seeds = [1], sizes = GUARDED_SIZES, scenarios, policyNames = POLICY_NAMES}: {
 	readonly seeds?: readonly number[];
-	readonly sizes?: readonly fleet.Size[];
+	readonly sizes?: readonly simulation.ServiceSize[];
 	readonly scenarios?: readonly string[];
 	readonly policyNames?: readonly policies.PolicyName[];
 } = {}): Row[] {
@@ -197,13 +197,13 @@
 		createRow(size, scenario, policy, seeds.map(seed => run(size, scenario, policy, seed))))));
 }
 
-function run(size: fleet.Size, scenario: Scenario, name: policies.PolicyName, seed: number): Run {
-	const subject = policies.SUBJECTS[name](size, seed);
+function run(size: simulation.ServiceSize, scenario: Scenario, name: policies.PolicyName, seed: number): Run {
+	const subject = policies.POLICIES[name](size, seed);
 	let detectionMilliseconds: number | undefined;
-	let isOutBefore = false;
+	let wasAvoidedAtOnset = false;
 	let harmed = 0;
 	let endedAt = 0;
-	fleet.simulate({
+	simulation.simulate({
 		size,
 		seed,
 		policy: subject.policy,
@@ -221,10 +221,10 @@
 				}
 
 				// Falsely out already when it falls sick: no detection.
-				isOutBefore ||= now === ONSET_MILLISECONDS && GOALS[scenario.goal](size, subject, now);
-				if (!isOutBefore && GOALS[scenario.goal](size, subject, now)) {
+				wasAvoidedAtOnset ||= now === ONSET_MILLISECONDS && GOALS[scenario.goal](size, subject, now);
+				if (!wasAvoidedAtOnset && GOALS[scenario.goal](size, subject, now)) {
 					detectionMilliseconds = now - ONSET_MILLISECONDS;
-					return scenario.isWhole !== true;
+					return scenario.isRunToEnd !== true;
 				}
 
 				return false;
@@ -239,18 +239,18 @@
 	};
 }
 
-const ENOUGH_HOSTS = 0.9;
+const DETECTED_HOSTS_FRACTION = 0.9;
 
-const GOALS: Readonly<Record<Goal, (size: fleet.Size, subject: policies.Subject, now: number) => boolean>> = {
+const GOALS: Readonly<Record<Goal, (size: simulation.ServiceSize, subject: policies.PolicyUnderTest, now: number) => boolean>> = {
 	upstream(size, {policy}, now) {
 		let stopped = 0;
 		for (let host = 0; host < size.hosts; host++) {
-			stopped += policy.getShare(host, SICK, now) < 1 ? 1 : 0;
+			stopped += policy.getShare(host, SICK_UPSTREAM, now) < 1 ? 1 : 0;
 		}
 
-		return stopped >= size.hosts * ENOUGH_HOSTS;
+		return stopped >= size.hosts * DETECTED_HOSTS_FRACTION;
 	},
-	path: (_size, {policy}, now) => policy.getShare(HOST_WITH_PATH_FAULT, SICK, now) < 1,
+	path: (_size, {policy}, now) => policy.getShare(HOST_WITH_PATH_FAULT, SICK_UPSTREAM, now) < 1,
 	self: (_size, subject) => subject.getSelfReports().has(HOST_WITH_PATH_FAULT),
 	none: () => false,
 };
@@ -258,11 +258,11 @@
 // A local ejection by the host that really can't reach the upstream is right.
 const PATH_GOALS: ReadonlySet<Goal> = new Set(['path', 'self']);
 
-function countFalse({goal}: Scenario, subject: policies.Subject): number {
+function countFalse({goal}: Scenario, subject: policies.PolicyUnderTest): number {
 	let total = 0;
 	for (const {upstream, at, weight} of subject.getEjections()) {
 		const isAfterOnset = at >= ONSET_MILLISECONDS;
-		const isSick = upstream === SICK && goal === 'upstream';
+		const isSick = upstream === SICK_UPSTREAM && goal === 'upstream';
 		const isRight = isSick && isAfterOnset;
 		const isOwnPath = isAfterOnset && weight < 1 && PATH_GOALS.has(goal);
 		total += isRight || isOwnPath ? 0 : weight;
@@ -273,7 +273,7 @@
 
 const HOUR_MILLISECONDS = 3_600_000;
 
-function createRow(size: fleet.Size, scenario: Scenario, policy: policies.PolicyName, runs: readonly Run[]): Row {
+function createRow(size: simulation.ServiceSize, scenario: Scenario, policy: policies.PolicyName, runs: readonly Run[]): Row {
 	const detected = runs.filter(({detectionMilliseconds}) => detectionMilliseconds !== undefined);
 	const observed = sum(runs.map(({observedMilliseconds}) => observedMilliseconds));
 	return {
--- a/packages/wagtailroute-detection/src/bench/policies.ts
+++ b/packages/wagtailroute-detection/src/bench/policies.ts
@@ -3,13 +3,13 @@
 */
 import * as utils from 'wagtailroute-utils';
 import * as detection from '../index.ts';
-import type * as fleet from './fleet.ts';
+import type * as simulation from './simulation.ts';
 
 /**
 A policy, and what it did.
 */
-export type Subject = {
-	readonly policy: fleet.Policy;
+export type PolicyUnderTest = {
+	readonly policy: simulation.Policy;
 	/**
 	Ejections so far, in upstreams taken out of service for all hosts; one host's local ejection counts by its share.
 	*/
@@ -30,39 +30,39 @@
 // The usual defaults of such detectors: five failures in a row; 30 s out, longer each time; at most half ejected.
 const CONSECUTIVE_FAILURES = 5;
 const LOCAL_EJECTION_MILLISECONDS = 30_000;
-const LOCAL_EJECTED_SHARE = 0.5;
+const MAX_LOCAL_EJECTED_FRACTION = 0.5;
 
 // The usual defaults of success-rate outliers, but for the least number of requests: 100 is never reached on these sizes.
 const OUTLIER_INTERVAL_MILLISECONDS = 10_000;
 const OUTLIER_DEVIATIONS = 1.9;
-const OUTLIER_MINIMUM_REQUESTS = 20;
-const OUTLIER_MINIMUM_UPSTREAMS = 5;
+const MIN_OUTLIER_REQUESTS = 20;
+const MIN_OUTLIER_UPSTREAMS = 5;
 
 /**
 Creates a subject by name.
 */
-export const SUBJECTS: Readonly<Record<PolicyName, (size: fleet.Size, seed: number) => Subject>> = {
+export const POLICIES: Readonly<Record<PolicyName, (size: simulation.ServiceSize, seed: number) => PolicyUnderTest>> = {
 	consecutive: size => createConsecutive(size),
 	outliers: size => createOutliers(size),
-	fast: (size, seed) => createPooled(size, seed, 'fast'),
-	careful: (size, seed) => createPooled(size, seed, 'careful'),
+	fast: (size, seed) => createPooledDetection(size, seed, 'fast'),
+	careful: (size, seed) => createPooledDetection(size, seed, 'careful'),
 };
 
 type LocalTable = {
-	readonly getShare: fleet.Policy['getShare'];
+	readonly getShare: simulation.Policy['getShare'];
 	readonly eject: (host: number, upstream: number, now: number) => void;
-	readonly getEjections: Subject['getEjections'];
+	readonly getEjections: PolicyUnderTest['getEjections'];
 };
 
-function createLocalTable(size: fleet.Size): LocalTable {
-	const until = createTable(size, () => -1);
-	const times = createTable(size, () => 0);
+function createLocalTable(size: simulation.ServiceSize): LocalTable {
+	const until = createHostUpstreamTable(size, () => -1);
+	const times = createHostUpstreamTable(size, () => 0);
 	const ejections: Array<{upstream: number; at: number; weight: number}> = [];
 	return {
 		getShare: (host, upstream, now) => now < until[host]![upstream]! ? 0 : 1,
 		eject(host, upstream, now) {
 			const ejected = until[host]!.filter(time => now < time).length;
-			if (now < until[host]![upstream]! || ejected + 1 > size.upstreams * LOCAL_EJECTED_SHARE) {
+			if (now < until[host]![upstream]! || ejected + 1 > size.upstreams * MAX_LOCAL_EJECTED_FRACTION) {
 				return;
 			}
 
@@ -74,9 +74,9 @@
 	};
 }
 
-function createConsecutive(size: fleet.Size): Subject {
+function createConsecutive(size: simulation.ServiceSize): PolicyUnderTest {
 	const local = createLocalTable(size);
-	const inRow = createTable(size, () => 0);
+	const inRow = createHostUpstreamTable(size, () => 0);
 	return {
 		policy: {
 			getShare: local.getShare,
@@ -99,22 +99,22 @@
 	};
 }
 
-function createOutliers(size: fleet.Size): Subject {
+function createOutliers(size: simulation.ServiceSize): PolicyUnderTest {
 	const local = createLocalTable(size);
-	const good = createTable(size, () => 0);
-	const all = createTable(size, () => 0);
-	const judge = (host: number, now: number): void => {
+	const good = createHostUpstreamTable(size, () => 0);
+	const all = createHostUpstreamTable(size, () => 0);
+	const ejectOutliers = (host: number, now: number): void => {
 		const rates = all[host]!
 			.map((count, upstream) => ({upstream, count, rate: good[host]![upstream]! / count}))
-			.filter(({count}) => count >= OUTLIER_MINIMUM_REQUESTS);
+			.filter(({count}) => count >= MIN_OUTLIER_REQUESTS);
 		all[host]!.fill(0);
 		good[host]!.fill(0);
-		if (rates.length < OUTLIER_MINIMUM_UPSTREAMS) {
+		if (rates.length < MIN_OUTLIER_UPSTREAMS) {
 			return;
 		}
 
-		const mean = average(rates.map(({rate}) => rate));
-		const deviation = Math.sqrt(average(rates.map(({rate}) => (rate - mean) ** 2)));
+		const mean = getMean(rates.map(({rate}) => rate));
+		const deviation = Math.sqrt(getMean(rates.map(({rate}) => (rate - mean) ** 2)));
 		for (const {upstream, rate} of rates) {
 			if (rate < mean - (OUTLIER_DEVIATIONS * deviation)) {
 				local.eject(host, upstream, now);
@@ -136,7 +136,7 @@
 					const offset = (host * OUTLIER_INTERVAL_MILLISECONDS) / size.hosts;
 					const phase = Math.round((now + offset) / 5) * 5;
 					if (phase % OUTLIER_INTERVAL_MILLISECONDS === 0) {
-						judge(host, now);
+						ejectOutliers(host, now);
 					}
 				}
 			},
@@ -148,17 +148,17 @@
 
 // Hosts that run the decision. All hosts would come to the same one from the same summaries; a few show as much and keep
 // the bench short. Host 0 is the one with path faults.
-const DECIDERS = 3;
-const MESSAGE_MILLISECONDS = 2;
-const GRANT_MILLISECONDS = 10;
-const TRIAL_SHARE = 0.1;
+const DETECTING_HOSTS = 3;
+const MESSAGE_DELAY_MILLISECONDS = 2;
+const GRANT_DELAY_MILLISECONDS = 10;
+const TRIAL_TRAFFIC_FRACTION = 0.1;
 
 // Preference against an upstream: it still gets work when the others are full, which this fleet rarely is.
-const STEERED_SHARE = 0;
+const STEERED_TRAFFIC_FRACTION = 0;
 
-function createPooled(size: fleet.Size, seed: number, operatingPoint: detection.OperatingPointName): Subject {
+function createPooledDetection(size: simulation.ServiceSize, seed: number, operatingPoint: detection.OperatingPointName): PolicyUnderTest {
 	const random = utils.createRandom(seed + 3);
-	const evidence = Array.from({length: size.hosts}, (_, host) => detection.createEvidence({
+	const evidence = Array.from({length: size.hosts}, (_, host) => detection.createEvidenceCollector({
 		host: `host ${host}`,
 		failureDomain: `domain ${host % size.failureDomains}`,
 		epoch: 1,
@@ -167,26 +167,26 @@
 		id: String(upstream),
 		state: 'serving',
 	}));
-	const states = Array.from({length: Math.min(DECIDERS, size.hosts)}, (_, host) =>
-		detection.createDetection({host: `host ${host}`, operatingPoint}));
+	const states = Array.from({length: Math.min(DETECTING_HOSTS, size.hosts)}, (_, host) =>
+		detection.createDetectionState({host: `host ${host}`, operatingPoint}));
 	const ejected = new Set<string>();
 	const trials = new Set<string>();
-	const steered = createTable(size, () => -1);
+	const steered = createHostUpstreamTable(size, () => -1);
 	const ejections: Array<{upstream: number; at: number; weight: number}> = [];
 	const selfReports = new Set<number>();
-	let mail: Array<{at: number; to: number; event: detection.Event}> = [];
+	let messages: Array<{at: number; to: number; event: detection.Event}> = [];
 	// Hosts started at different times: each has a clock of its own.
-	const getClock = (host: number, now: number): number => now + ((host * detection.QUIET_SUMMARY_MILLISECONDS) / size.hosts);
+	const getClock = (host: number, now: number): number => now + ((host * detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS) / size.hosts);
 	const tickedAt = Array.from({length: states.length}, () => -Infinity);
 
-	const post = (at: number, event: detection.Event): void => {
+	const sendToAll = (at: number, event: detection.Event): void => {
 		for (const to of states.keys()) {
-			mail.push({at, to, event});
+			messages.push({at, to, event});
 		}
 	};
 
 	const handleEjection = (upstream: string, now: number): void => {
-		const population = {
+		const counts = {
 			healthyFloor: {kind: 'percent', value: 50} as const,
 			serving: size.upstreams - ejected.size,
 			ejected: ejected.size,
@@ -196,17 +196,17 @@
 			return;
 		}
 
-		if (!detection.isGrantAllowed(population)) {
-			post(now + GRANT_MILLISECONDS, {kind: 'refused', upstream, reason: 'floor'});
+		if (!detection.isEjectionAllowed(counts)) {
+			sendToAll(now + GRANT_DELAY_MILLISECONDS, {kind: 'refused', upstream, reason: 'floor'});
 			return;
 		}
 
 		ejected.add(upstream);
-		ejections.push({upstream: Number(upstream), at: now + GRANT_MILLISECONDS, weight: 1});
-		post(now + GRANT_MILLISECONDS, {kind: 'ejected', upstream});
+		ejections.push({upstream: Number(upstream), at: now + GRANT_DELAY_MILLISECONDS, weight: 1});
+		sendToAll(now + GRANT_DELAY_MILLISECONDS, {kind: 'ejected', upstream});
 	};
 
-	const carryOut = (host: number, effect: detection.Effect, now: number): void => {
+	const applyEffect = (host: number, effect: detection.Effect, now: number): void => {
 		const handlers: {readonly [Kind in detection.Effect['kind']]: (
 			effect: Extract<detection.Effect, {kind: Kind}>,
 		) => void} = {
@@ -215,7 +215,7 @@
 			},
 			'request-readmission'({upstream}) {
 				ejected.delete(upstream);
-				post(now + GRANT_MILLISECONDS, {kind: 'readmitted', upstream});
+				sendToAll(now + GRANT_DELAY_MILLISECONDS, {kind: 'readmitted', upstream});
 			},
 			'start-trial'({upstream}) {
 				trials.add(upstream);
@@ -240,7 +240,7 @@
 		const {state, effects} = detection.stepDetection(states[host]!, event, {now, random});
 		states[host] = state;
 		for (const effect of effects) {
-			carryOut(host, effect, now);
+			applyEffect(host, effect, now);
 		}
 	};
 
@@ -253,39 +253,39 @@
 			getShare(host, upstream, now) {
 				const id = String(upstream);
 				if (ejected.has(id)) {
-					return trials.has(id) ? TRIAL_SHARE : 0;
+					return trials.has(id) ? TRIAL_TRAFFIC_FRACTION : 0;
 				}
 
-				return now < steered[host]![upstream]! ? STEERED_SHARE : 1;
+				return now < steered[host]![upstream]! ? STEERED_TRAFFIC_FRACTION : 1;
 			},
 			begin: (host, upstream, now) => evidence[host]!.begin(String(upstream), getClock(host, now)),
 			end(handle, {host, result, now}) {
-				evidence[host]!.end(handle as detection.Ticket, result, getClock(host, now));
+				evidence[host]!.end(handle as detection.InFlightRequest, result, getClock(host, now));
 			},
 			step(now) {
-				const due = mail.filter(({at}) => at <= now);
-				mail = mail.filter(({at}) => at > now);
+				const due = messages.filter(({at}) => at <= now);
+				messages = messages.filter(({at}) => at > now);
 				for (const {to, event} of due) {
 					tell(to, event, now);
 				}
 
 				for (let host = 0; host < size.hosts; host++) {
-					const summary = evidence[host]!.takeDue(getClock(host, now), detection.QUIET_SUMMARY_MILLISECONDS);
+					const summary = evidence[host]!.collectDueSummary(getClock(host, now), detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS);
 					if (summary === undefined) {
 						continue;
 					}
 
-					post(now + MESSAGE_MILLISECONDS, {kind: 'summary', summary});
+					sendToAll(now + MESSAGE_DELAY_MILLISECONDS, {kind: 'summary', summary});
 					for (const [other, own] of evidence.entries()) {
 						if (other !== host) {
-							own.hear(summary, getClock(other, now));
+							own.applySummary(summary, getClock(other, now));
 						}
 					}
 				}
 
 				for (const host of states.keys()) {
-					const isOn = now % detection.TICK_MILLISECONDS === (host * 25) % detection.TICK_MILLISECONDS;
-					if (!(isOn && now - tickedAt[host]! >= detection.getTickMilliseconds(states[host]!))) {
+					const isOn = now % detection.TICK_INTERVAL_MILLISECONDS === (host * 25) % detection.TICK_INTERVAL_MILLISECONDS;
+					if (!(isOn && now - tickedAt[host]! >= detection.getTickIntervalMilliseconds(states[host]!))) {
 						continue;
 					}
 
@@ -299,11 +299,11 @@
 	};
 }
 
-function createTable<Cell>(size: fleet.Size, create: () => Cell): Cell[][] {
+function createHostUpstreamTable<Cell>(size: simulation.ServiceSize, create: () => Cell): Cell[][] {
 	return Array.from({length: size.hosts}, () => Array.from({length: size.upstreams}, () => create()));
 }
 
-function average(values: readonly number[]): number {
+function getMean(values: readonly number[]): number {
 	let sum = 0;
 	for (const value of values) {
 		sum += value;
--- a/packages/wagtailroute-detection/src/bench/fleet.ts
+++ b/packages/wagtailroute-detection/src/bench/simulation.ts
@@ -8,7 +8,7 @@
 /**
 Sizes and traffic of a service.
 */
-export type Size = {
+export type ServiceSize = {
 	readonly name: string;
 	readonly hosts: number;
 	readonly failureDomains: number;
@@ -24,7 +24,7 @@
 /**
 What becomes of one request at an upstream.
 */
-export type Treatment =
+export type FaultOutcome =
 	| {readonly kind: 'served'; readonly factor: number; readonly delayMilliseconds?: number}
 	| {readonly kind: 'failed'; readonly result: detection.FailureKind; readonly milliseconds: number}
 	/**
@@ -47,7 +47,7 @@
 	*/
 	readonly sinceOnset: number;
 	readonly random: utils.Random;
-}) => Treatment;
+}) => FaultOutcome;
 
 /**
 Decides where hosts may send.
@@ -61,7 +61,7 @@
 	readonly end: (handle: unknown, ending: {
 		readonly host: number;
 		readonly upstream: number;
-		readonly result: detection.Result;
+		readonly result: detection.RequestResult;
 		readonly now: number;
 	}) => void;
 	/**
@@ -96,14 +96,14 @@
 */
 export const USUAL_ERROR_RATE = 0.001;
 
-const SIGMA = 0.5;
+const LATENCY_SIGMA = 0.5;
 
-type Job = {
+type SimulatedRequest = {
 	readonly host: number;
 	readonly upstream: number;
 	readonly deadline: number;
 	readonly handle: unknown;
-	readonly result: detection.Result;
+	readonly result: detection.RequestResult;
 	/**
 	Time in the slot.
 	*/
@@ -116,7 +116,7 @@
 Runs the service until `duration`, the fault starting at `onset` (both in milliseconds).
 */
 export function simulate({size, seed, policy, fault, onset, duration, observer}: {
-	readonly size: Size;
+	readonly size: ServiceSize;
 	readonly seed: number;
 	readonly policy: Policy;
 	readonly fault: Fault;
@@ -129,9 +129,9 @@
 	const choices = utils.createRandom(seed + 2);
 	const outstanding = Array.from({length: size.hosts}, () => Array.from({length: size.upstreams}, () => 0));
 	const busy = Array.from({length: size.upstreams}, () => 0);
-	const queues: Job[][] = Array.from({length: size.upstreams}, () => []);
+	const queues: SimulatedRequest[][] = Array.from({length: size.upstreams}, () => []);
 	const agenda = new Map<number, Array<() => void>>();
-	const meanMilliseconds = size.medianMilliseconds * Math.exp((SIGMA ** 2) / 2);
+	const meanMilliseconds = size.medianMilliseconds * Math.exp((LATENCY_SIGMA ** 2) / 2);
 	const perMillisecond = (size.load * size.upstreams * size.slots) / meanMilliseconds;
 	let now = 0;
 
@@ -145,7 +145,7 @@
 		}
 	};
 
-	const finish = (job: Job, result: detection.Result): void => {
+	const finish = (job: SimulatedRequest, result: detection.RequestResult): void => {
 		if (job.isDone) {
 			return;
 		}
@@ -165,7 +165,7 @@
 		startNext(upstream);
 	};
 
-	const start = (job: Job): void => {
+	const start = (job: SimulatedRequest): void => {
 		busy[job.upstream]!++;
 		const end = Math.min(now + job.milliseconds, Math.max(now, job.deadline));
 		schedule(end, () => {
@@ -195,11 +195,11 @@
 			sinceOnset: now - onset,
 			random: services,
 		});
-		const drawn = size.medianMilliseconds * Math.exp(SIGMA * drawNormal(services));
+		const drawn = size.medianMilliseconds * Math.exp(LATENCY_SIGMA * drawNormal(services));
 		const isUsualFailure = services() < USUAL_ERROR_RATE;
-		const {result, milliseconds, isAnswered} = treat(treatment, drawn, isUsualFailure);
+		const {result, milliseconds, isAnswered} = applyFaultOutcome(treatment, drawn, isUsualFailure);
 		outstanding[host]![upstream]!++;
-		const job: Job = {
+		const job: SimulatedRequest = {
 			host,
 			upstream,
 			deadline: now + TIMEOUT_MILLISECONDS,
@@ -262,17 +262,17 @@
 	}
 }
 
-type Service = Pick<Job, 'result' | 'milliseconds' | 'isAnswered'>;
+type ServedRequest = Pick<SimulatedRequest, 'result' | 'milliseconds' | 'isAnswered'>;
 
 type Treatments = {
-	readonly [Kind in Treatment['kind']]: (
-		treatment: Extract<Treatment, {kind: Kind}>,
+	readonly [Kind in FaultOutcome['kind']]: (
+		treatment: Extract<FaultOutcome, {kind: Kind}>,
 		drawn: number,
-		usual: detection.Result,
-	) => Service;
+		usual: detection.RequestResult,
+	) => ServedRequest;
 };
 
-const TREATMENTS: Treatments = {
+const FAULT_OUTCOMES: Treatments = {
 	served: ({factor, delayMilliseconds = 0}, drawn, usual) => ({
 		result: usual,
 		milliseconds: (drawn * factor) + delayMilliseconds,
@@ -283,12 +283,12 @@
 	lost: (_treatment, drawn) => ({result: 'timeout', milliseconds: drawn, isAnswered: false}),
 };
 
-function treat(treatment: Treatment, drawn: number, isUsualFailure: boolean): Service {
-	const handler = TREATMENTS[treatment.kind] as (
-		treatment: Treatment,
+function applyFaultOutcome(treatment: FaultOutcome, drawn: number, isUsualFailure: boolean): ServedRequest {
+	const handler = FAULT_OUTCOMES[treatment.kind] as (
+		treatment: FaultOutcome,
 		drawn: number,
-		usual: detection.Result,
-	) => Service;
+		usual: detection.RequestResult,
+	) => ServedRequest;
 	return handler(treatment, drawn, isUsualFailure ? 'status' : 'success');
 }
 
--- a/packages/wagtailroute-detection/src/codec.ts
+++ b/packages/wagtailroute-detection/src/codec.ts
@@ -22,14 +22,14 @@
 
 const HASH_BYTES = 3;
 const HASH_RANGE = 256 ** HASH_BYTES;
-const HALF = 16;
-const FOLLOWS = HALF - 1;
+const NIBBLE_RANGE = 16;
+const NIBBLE_ESCAPE = NIBBLE_RANGE - 1;
 const SHEDS_FLAG = 2 ** summaries.FAILURE_KINDS.length;
 
 /**
 Writes what was seen of upstreams. Use the same salt to read it.
 */
-export function encodeUpstreams(upstreams: readonly summaries.UpstreamSummary[], salt: number): string {
+export function encodeUpstreamSummaries(upstreams: readonly summaries.UpstreamSummary[], salt: number): string {
 	const writer = createByteWriter();
 	for (const upstream of upstreams) {
 		writeUpstream(writer, upstream, salt);
@@ -42,7 +42,7 @@
 Reads what was seen of the given upstreams, and passes over the others; undefined when the text is none of
 `encodeUpstreams`.
 */
-export function decodeUpstreams(
+export function decodeUpstreamSummaries(
 	text: string,
 	ids: Iterable<core.UpstreamId>,
 	salt: number,
@@ -57,8 +57,8 @@
 	const upstreams: summaries.UpstreamSummary[] = [];
 	while (!reader.isAtEnd()) {
 		const hash = reader.readFixed(HASH_BYTES);
-		const seen = readSeen(reader);
-		if (reader.isBroken()) {
+		const seen = readUpstream(reader);
+		if (reader.isMalformed()) {
 			return undefined;
 		}
 
@@ -72,8 +72,8 @@
 }
 
 function writeUpstream(writer: ByteWriter, upstream: summaries.UpstreamSummary, salt: number): void {
-	const pairs = sortPairs(upstream.latencies);
-	const isPlain = isOnlySuccesses(upstream, pairs);
+	const pairs = sortByBucket(upstream.latencies);
+	const isPlain = hasOnlySuccesses(upstream, pairs);
 	writer.writeFixed(getHash(upstream.id, salt), HASH_BYTES);
 	writer.writeNumber((pairs.length * 2) + (isPlain ? 1 : 0));
 	if (!isPlain) {
@@ -87,7 +87,7 @@
 	}
 }
 
-function isOnlySuccesses({successes, failures, sheds}: summaries.UpstreamSummary, pairs: readonly Pair[]): boolean {
+function hasOnlySuccesses({successes, failures, sheds}: summaries.UpstreamSummary, pairs: readonly BucketCount[]): boolean {
 	const samples = pairs.reduce((sum, [, count]) => sum + count, 0);
 	return successes === samples && sheds === 0 && Object.keys(failures).length === 0;
 }
@@ -109,31 +109,31 @@
 }
 
 function writePair(writer: ByteWriter, step: number, count: number): void {
-	const upper = Math.min(step, FOLLOWS);
-	const lower = Math.min(count, FOLLOWS);
-	writer.writeFixed((upper * HALF) + lower, 1);
-	if (upper === FOLLOWS) {
+	const upper = Math.min(step, NIBBLE_ESCAPE);
+	const lower = Math.min(count, NIBBLE_ESCAPE);
+	writer.writeFixed((upper * NIBBLE_RANGE) + lower, 1);
+	if (upper === NIBBLE_ESCAPE) {
 		writer.writeNumber(step);
 	}
 
-	if (lower === FOLLOWS) {
+	if (lower === NIBBLE_ESCAPE) {
 		writer.writeNumber(count);
 	}
 }
 
-function readSeen(reader: ByteReader): Omit<summaries.UpstreamSummary, 'id'> {
+function readUpstream(reader: ByteReader): Omit<summaries.UpstreamSummary, 'id'> {
 	const head = reader.readNumber();
 	const isPlain = head % 2 === 1;
 	const counts = isPlain ? undefined : readCounts(reader);
 	const latencies: number[] = [];
 	let samples = 0;
 	let bucket = 0;
-	for (let left = Math.floor(head / 2); left > 0 && !reader.isBroken(); left--) {
+	for (let left = Math.floor(head / 2); left > 0 && !reader.isMalformed(); left--) {
 		const both = reader.readFixed(1);
-		const upper = Math.floor(both / HALF);
-		const lower = both % HALF;
-		bucket += upper === FOLLOWS ? reader.readNumber() : upper;
-		const count = lower === FOLLOWS ? reader.readNumber() : lower;
+		const upper = Math.floor(both / NIBBLE_RANGE);
+		const lower = both % NIBBLE_RANGE;
+		bucket += upper === NIBBLE_ESCAPE ? reader.readNumber() : upper;
+		const count = lower === NIBBLE_ESCAPE ? reader.readNumber() : lower;
 		latencies.push(bucket, count);
 		samples += count;
 	}
@@ -154,10 +154,10 @@
 	return {successes, failures, sheds: Math.floor(flags / SHEDS_FLAG) % 2 === 1 ? reader.readNumber() : 0};
 }
 
-type Pair = readonly [bucket: number, count: number];
+type BucketCount = readonly [bucket: number, count: number];
 
-function sortPairs(latencies: readonly number[]): readonly Pair[] {
-	const pairs: Pair[] = [];
+function sortByBucket(latencies: readonly number[]): readonly BucketCount[] {
+	const pairs: BucketCount[] = [];
 	for (let index = 0; index + 1 < latencies.length; index += 2) {
 		pairs.push([latencies[index]!, latencies[index + 1]!]);
 	}
--- a/packages/wagtailroute-detection/src/detection.ts
+++ b/packages/wagtailroute-detection/src/detection.ts
@@ -9,7 +9,7 @@
 import * as constants from './constants.ts';
 import * as findings from './findings.ts';
 import * as grants from './grants.ts';
-import * as measuring from './measuring.ts';
+import * as measurements from './measurement.ts';
 import * as operatingPoints from './operating-points.ts';
 import * as phases from './phases.ts';
 import type * as events from './events.ts';
@@ -19,7 +19,7 @@
 
 type Handlers = {
 	readonly [Kind in events.Event['kind']]: (
-		state: states.Detection,
+		state: states.DetectionState,
 		event: Extract<events.Event, {kind: Kind}>,
 		circumstances: core.Circumstances,
 	) => events.Transition;
@@ -27,88 +27,88 @@
 
 const HANDLERS: Handlers = {
 	summary(state, {summary}) {
-		const before = state.pending.findLast(({host}) => host === summary.host) ?? state.received.get(summary.host);
+		const before = state.pending.findLast(({host}) => host === summary.host) ?? state.lastSummaries.get(summary.host);
 		// A summary that comes again, or late, would count its requests twice.
 		const isKnown = before?.epoch === summary.epoch && before.sequence >= summary.sequence;
-		return settle(isKnown ? state : {...state, pending: [...state.pending, summary]});
+		return createUnchanged(isKnown ? state : {...state, pending: [...state.pending, summary]});
 	},
 	tick: (state, _event, circumstances) => tick(state, circumstances),
 	'upstreams-changed'(state, {upstreams}, {now}) {
 		const next = new Map(upstreams.map(upstream => {
 			const before = state.upstreams.get(upstream.id);
-			const tracked = before === undefined ? states.createTracked(upstream, now) : {...before, upstream};
+			const tracked = before === undefined ? states.createTrackedUpstream(upstream, now) : {...before, upstream};
 			return [upstream.id, tracked];
 		}));
-		return settle({...state, upstreams: next});
+		return createUnchanged({...state, upstreams: next});
 	},
-	ejected: (state, event, circumstances) => changeTracked(state, event.upstream, tracked =>
-		grants.eject(tracked, {...circumstances, point: operatingPoints.OPERATING_POINTS[state.operatingPoint]})),
-	readmitted: (state, event, {now}) => changeTracked(state, event.upstream, tracked => grants.readmit(tracked, now)),
-	refused: (state, {upstream}, {now}) => changeTracked(state, upstream, tracked =>
-		grants.refuse(tracked, now + operatingPoints.OPERATING_POINTS[state.operatingPoint].denialMilliseconds)),
-	'health-hint': (state, {upstream, isHealthy}) => changeTracked(state, upstream, tracked => ({
+	ejected: (state, event, circumstances) => changeUpstream(state, event.upstream, tracked =>
+		grants.applyEjection(tracked, {...circumstances, point: operatingPoints.OPERATING_POINTS[state.operatingPoint]})),
+	readmitted: (state, event, {now}) => changeUpstream(state, event.upstream, tracked => grants.applyReadmission(tracked, now)),
+	refused: (state, {upstream}, {now}) => changeUpstream(state, upstream, tracked =>
+		grants.applyRefusal(tracked, now + operatingPoints.OPERATING_POINTS[state.operatingPoint].refusalBackoffMilliseconds)),
+	'health-hint': (state, {upstream, isHealthy}) => changeUpstream(state, upstream, tracked => ({
 		tracked: {...tracked, isReportedHealthy: isHealthy},
 		effects: [],
 	})),
-	discount: (state, {upstream, count}) => changeTracked(state, upstream, tracked => ({
-		tracked: grants.discount(tracked, count),
+	discount: (state, {upstream, count}) => changeUpstream(state, upstream, tracked => ({
+		tracked: grants.withdrawFailures(tracked, count),
 		effects: [],
 	})),
-	configured: (state, {operatingPoint}) => settle({...state, operatingPoint}),
+	configured: (state, {operatingPoint}) => createUnchanged({...state, operatingPoint}),
 };
 
 /**
 Advances detection by one event.
 */
-export const stepDetection: core.Step<states.Detection, events.Event, events.Effect> = (state, event, circumstances) => {
+export const stepDetection: core.Step<states.DetectionState, events.Event, events.Effect> = (state, event, circumstances) => {
 	const handler = HANDLERS[event.kind] as (
-		state: states.Detection,
+		state: states.DetectionState,
 		event: events.Event,
 		circumstances: core.Circumstances,
 	) => events.Transition;
 	return handler(state, event, circumstances);
 };
 
-function settle(state: states.Detection): events.Transition {
+function createUnchanged(state: states.DetectionState): events.Transition {
 	return {state, effects: []};
 }
 
-function changeTracked(
-	state: states.Detection,
+function changeUpstream(
+	state: states.DetectionState,
 	id: core.UpstreamId,
-	change: (tracked: states.Tracked) => phases.Change,
+	change: (tracked: states.TrackedUpstream) => phases.PhaseChange,
 ): events.Transition {
 	const before = state.upstreams.get(id);
 	if (before === undefined) {
-		return settle(state);
+		return createUnchanged(state);
 	}
 
 	const {tracked, effects} = change(before);
 	return {state: {...state, upstreams: new Map(state.upstreams).set(id, tracked)}, effects};
 }
 
-function tick(state: states.Detection, {now, random}: core.Circumstances): events.Transition {
+function tick(state: states.DetectionState, {now, random}: core.Circumstances): events.Transition {
 	const point = operatingPoints.OPERATING_POINTS[state.operatingPoint];
-	const known = receive(state, now);
-	const measurement = measuring.measure(known, now);
+	const withHosts = recordReceivedSummaries(state, now);
+	const measurement = measurements.measure(withHosts, now);
 	const suspects = getSuspects(measurement, point);
-	const isShared = suspects.length > getSharedLimit(measurement.upstreams);
-	const effects: events.Effect[] = isShared ? [{kind: 'report-shared', suspects}] : [];
-	const upstreams = new Map<core.UpstreamId, states.Tracked>();
+	const isSharedCause = suspects.length > getSharedLimit(measurement.upstreams);
+	const effects: events.Effect[] = isSharedCause ? [{kind: 'report-shared', suspects}] : [];
+	const upstreams = new Map<core.UpstreamId, states.TrackedUpstream>();
 	for (const [id, before] of measurement.upstreams) {
 		const change = phases.advancePhase(before, {
 			now,
 			random,
 			point,
 			measurement,
-			isShared,
+			isSharedCause,
 		});
 		upstreams.set(id, change.tracked);
 		effects.push(...change.effects);
 	}
 
 	const {host} = state;
-	const steered = steering.steer(upstreams, {
+	const steeringChange = steering.updateSteering(upstreams, {
 		host,
 		point,
 		membership: measurement.membership,
@@ -116,26 +116,26 @@
 	});
 	return {
 		state: {
-			...known,
-			upstreams: steered.upstreams,
+			...withHosts,
+			upstreams: steeringChange.upstreams,
 			pending: [],
-			tickedAt: now,
-			reported: {isShared, isSelf: steered.isSelfFault},
+			lastTickAt: now,
+			reported: {isSharedCause, isSelfFault: steeringChange.isSelfFault},
 		},
-		effects: orderEffects(dropReported([...effects, ...steered.effects], state.reported), upstreams),
+		effects: orderEffects(dropRepeatedReports([...effects, ...steeringChange.effects], state.reported), upstreams),
 	};
 }
 
 // Reports go to operators: one when it begins, not one for each tick.
-function dropReported(
+function dropRepeatedReports(
 	effects: readonly events.Effect[],
-	{isShared, isSelf}: states.Detection['reported'],
+	{isSharedCause: isShared, isSelfFault: isSelf}: states.DetectionState['reported'],
 ): readonly events.Effect[] {
 	return effects.filter(({kind}) => !(kind === 'report-shared' && isShared) && !(kind === 'report-self' && isSelf));
 }
 
 function getSuspects(
-	{upstreams, membership}: measuring.Measurement,
+	{upstreams, membership}: measurements.Measurement,
 	point: operatingPoints.OperatingPoint,
 ): core.UpstreamId[] {
 	return upstreams.values()
@@ -144,16 +144,16 @@
 		.toArray();
 }
 
-function getSharedLimit(upstreams: ReadonlyMap<core.UpstreamId, states.Tracked>): number {
+function getSharedLimit(upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>): number {
 	const serving = upstreams.values().filter(({upstream}) => upstream.state === 'serving').toArray();
-	return Math.max(1, Math.floor(serving.length * constants.SHARED_SHARE));
+	return Math.max(1, Math.floor(serving.length * constants.SHARED_CAUSE_FRACTION));
 }
 
 // When the floor leaves room for some of the requests only, those with the most evidence should come first, and among
 // equals those whose health endpoint agrees.
 function orderEffects(
 	effects: readonly events.Effect[],
-	upstreams: ReadonlyMap<core.UpstreamId, states.Tracked>,
+	upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>,
 ): readonly events.Effect[] {
 	const getRank = (effect: events.Effect): number => {
 		if (effect.kind !== 'request-ejection') {
@@ -173,25 +173,25 @@
 
 // Notes the hosts of the pending summaries, and forgets those that are silent: a host that left must not stay in the
 // groups, it would make a group look as if it had hosts outside. Groups are formed anew only when the hosts change.
-function receive(state: states.Detection, now: number): states.Detection {
-	const received = new Map(state.received);
+function recordReceivedSummaries(state: states.DetectionState, now: number): states.DetectionState {
+	const lastSummaries = new Map(state.lastSummaries);
 	let isChanged = false;
 	for (const {host, failureDomain, epoch, sequence} of state.pending) {
-		isChanged ||= received.get(host)?.failureDomain !== failureDomain;
-		received.set(host, {
-			failureDomain, epoch, sequence, at: now,
+		isChanged ||= lastSummaries.get(host)?.failureDomain !== failureDomain;
+		lastSummaries.set(host, {
+			failureDomain, epoch, sequence, receivedAt: now,
 		});
 	}
 
-	for (const [host, {at}] of received) {
-		if (!(now - at > constants.SILENCE_MILLISECONDS)) {
+	for (const [host, {receivedAt}] of lastSummaries) {
+		if (!(now - receivedAt > constants.SILENT_HOST_MILLISECONDS)) {
 			continue;
 		}
 
-		received.delete(host);
+		lastSummaries.delete(host);
 		isChanged = true;
 	}
 
-	const domains = (): groups.Hosts => new Map(received.entries().map(([host, {failureDomain}]) => [host, failureDomain]));
-	return {...state, received, membership: isChanged ? groups.getMembership(domains()) : state.membership};
+	const getFailureDomains = (): groups.FailureDomains => new Map(lastSummaries.entries().map(([host, {failureDomain}]) => [host, failureDomain]));
+	return {...state, lastSummaries, membership: isChanged ? groups.createMembership(getFailureDomains()) : state.membership};
 }
--- a/packages/wagtailroute-detection/src/events.ts
+++ b/packages/wagtailroute-detection/src/events.ts
@@ -75,4 +75,4 @@
 /**
 Transition of detection.
 */
-export type Transition = core.Transition<states.Detection, Effect>;
+export type Transition = core.Transition<states.DetectionState, Effect>;
--- a/packages/wagtailroute-detection/src/weighing.ts
+++ b/packages/wagtailroute-detection/src/evidence-update.ts
@@ -18,53 +18,53 @@
 /**
 What the weighing may know besides the upstreams.
 */
-export type Context = {
+export type UpdateContext = {
 	readonly host: core.HostId;
 	readonly point: operatingPoints.OperatingPoint;
 	readonly samples: ReadonlyMap<core.UpstreamId, SamplesByHost>;
-	readonly membership: groups.Membership;
+	readonly membership: groups.GroupMembership;
 	readonly now: number;
 };
 
 /**
 Adds the samples of a tick to the evidence.
 */
-export function weigh(
-	upstreams: ReadonlyMap<core.UpstreamId, states.Tracked>,
-	context: Context,
-): ReadonlyMap<core.UpstreamId, states.Tracked> {
-	const peers = states.getPeers(upstreams, context.now);
+export function updateEvidence(
+	upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>,
+	context: UpdateContext,
+): ReadonlyMap<core.UpstreamId, states.TrackedUpstream> {
+	const peers = states.getPeerWindows(upstreams, context.now);
 	const rateBaselines = symptoms.mapSymptoms(symptom => baselines.createRateBaseline(peers, symptom));
 	const outsideGroups = context.membership.groups;
-	return states.mapTracked(upstreams, tracked => {
+	return states.mapUpstreams(upstreams, tracked => {
 		const byHost = context.samples.get(tracked.upstream.id);
 		if (byHost === undefined || byHost.size === 0) {
 			return tracked;
 		}
 
 		const normalRates = symptoms.mapSymptoms(symptom => Math.max(
-			context.point.normalRates[symptom],
-			context.point.tolerance * rateBaselines[symptom](tracked.upstream.id),
+			context.point.minNormalRates[symptom],
+			context.point.peerRateFactor * rateBaselines[symptom](tracked.upstream.id),
 		));
 		return {
 			...tracked,
 			normalRates,
-			standing: addToStanding(tracked, byHost, {context, normalRates, outsideGroups}),
+			evidence: addToEvidence(tracked, byHost, {context, normalRates, outsideGroups}),
 		};
 	});
 }
 
-type Weights = {
-	readonly context: Context;
-	readonly normalRates: states.Tracked['normalRates'];
-	readonly outsideGroups: readonly groups.Group[];
+type UpdateOptions = {
+	readonly context: UpdateContext;
+	readonly normalRates: states.TrackedUpstream['normalRates'];
+	readonly outsideGroups: readonly groups.HostGroup[];
 };
 
-function addToStanding(tracked: states.Tracked, byHost: SamplesByHost, weights: Weights): states.Standing {
+function addToEvidence(tracked: states.TrackedUpstream, byHost: SamplesByHost, weights: UpdateOptions): states.UpstreamEvidence {
 	const {context, outsideGroups} = weights;
-	const {pooled, own, outside} = tracked.standing;
+	const {pooled, own, outside} = tracked.evidence;
 	const isCold = states.isRamping(tracked, context.now);
-	const add = (statistics: symptoms.Statistics, added: symptoms.Samples): symptoms.Statistics =>
+	const add = (statistics: symptoms.EvidenceBySymptom, added: symptoms.Samples): symptoms.EvidenceBySymptom =>
 		addSamples(statistics, added, weights, isCold);
 	const all = symptoms.sumSamples(byHost.values());
 	const nextPooled = add(pooled, all);
@@ -72,7 +72,7 @@
 	// Most steps of most upstreams: nothing speaks against it. Without evidence of all hosts together, that of a part of them
 	// asks for nothing, and it gathers anew with that of all.
 	if (symptoms.isEmpty(nextPooled)) {
-		return symptoms.isEmpty(nextOwn) ? states.EMPTY_STANDING : {...states.EMPTY_STANDING, own: nextOwn};
+		return symptoms.isEmpty(nextOwn) ? states.EMPTY_UPSTREAM_EVIDENCE : {...states.EMPTY_UPSTREAM_EVIDENCE, own: nextOwn};
 	}
 
 	const byGroup = sumByGroup(byHost, context.membership);
@@ -82,13 +82,13 @@
 		outside: new Map(outsideGroups.map(group => {
 			const inside = byGroup.get(group);
 			const added = inside === undefined ? all : symptoms.subtractSamples(all, inside);
-			return [group, add(outside.get(group) ?? symptoms.EMPTY_STATISTICS, added)];
+			return [group, add(outside.get(group) ?? symptoms.EMPTY_EVIDENCE, added)];
 		})),
 	};
 }
 
-function sumByGroup(byHost: SamplesByHost, membership: groups.Membership): ReadonlyMap<groups.Group, symptoms.Samples> {
-	const sums = new Map<groups.Group, symptoms.Samples>();
+function sumByGroup(byHost: SamplesByHost, membership: groups.GroupMembership): ReadonlyMap<groups.HostGroup, symptoms.Samples> {
+	const sums = new Map<groups.HostGroup, symptoms.Samples>();
 	for (const [host, samples] of byHost) {
 		for (const group of membership.byHost.get(host) ?? []) {
 			const before = sums.get(group);
@@ -99,7 +99,7 @@
 	return sums;
 }
 
-function addSamples(statistics: symptoms.Statistics, added: symptoms.Samples, weights: Weights, isCold: boolean): symptoms.Statistics {
+function addSamples(statistics: symptoms.EvidenceBySymptom, added: symptoms.Samples, weights: UpdateOptions, isCold: boolean): symptoms.EvidenceBySymptom {
 	const errors = addSymptom(statistics, added, 'errors', {weights, isCold});
 	const slowness = addSymptom(statistics, added, 'slowness', {weights, isCold});
 	const stalls = addSymptom(statistics, added, 'stalls', {weights, isCold});
@@ -108,17 +108,17 @@
 }
 
 function addSymptom(
-	statistics: symptoms.Statistics,
+	statistics: symptoms.EvidenceBySymptom,
 	added: symptoms.Samples,
 	symptom: symptoms.Symptom,
-	{weights, isCold}: {readonly weights: Weights; readonly isCold: boolean},
-): symptoms.Evidence {
+	{weights, isCold}: {readonly weights: UpdateOptions; readonly isCold: boolean},
+): symptoms.SymptomEvidence {
 	const {context: {point}, normalRates} = weights;
 	const next = symptoms.addSample(statistics[symptom], symptom, {
 		sample: added[symptom],
 		normalRate: normalRates[symptom],
-		gain: point.threshold * point.gainShare,
-		ceiling: point.threshold * constants.CEILING_RATIO,
+		maxGain: point.threshold * point.maxGainFraction,
+		maxEvidence: point.threshold * constants.MAX_EVIDENCE_RATIO,
 	});
 	return isCold ? next.map((value, index) => index === next.length - 1 ? value : 0) : next;
 }
--- a/packages/wagtailroute-detection/src/findings.ts
+++ b/packages/wagtailroute-detection/src/findings.ts
@@ -5,7 +5,7 @@
 import * as constants from './constants.ts';
 import * as groups from './groups.ts';
 import * as latencies from './latencies.ts';
-import type * as measuring from './measuring.ts';
+import type * as measurements from './measurement.ts';
 import type * as operatingPoints from './operating-points.ts';
 import type * as events from './events.ts';
 import type * as states from './state.ts';
@@ -15,52 +15,52 @@
 Evidence in nats that an upstream is sick for hosts of any group: the pooled evidence, bounded by what the hosts outside
 each group see. A group is passed over while the others send too few requests to tell.
 */
-export function getEvidence(
-	{standing, windows}: states.Tracked,
+export function getConfirmedEvidence(
+	{evidence, windows}: states.TrackedUpstream,
 	symptom: symptoms.Symptom,
-	membership: groups.Membership,
+	membership: groups.GroupMembership,
 ): number {
-	let evidence = symptoms.getStrongest(standing.pooled[symptom]);
-	if (evidence === 0) {
+	let confirmed = symptoms.getStrongestEvidence(evidence.pooled[symptom]);
+	if (confirmed === 0) {
 		return 0;
 	}
 
-	for (const [group, statistics] of standing.outside) {
+	for (const [group, outsideEvidence] of evidence.outside) {
 		const requests = countRequests(windows.requests, host => groups.isOutside(membership, host, group));
-		if (requests >= constants.OUTSIDE_MINIMUM_REQUESTS) {
-			evidence = Math.min(evidence, symptoms.getStrongest(statistics[symptom]) / constants.OUTSIDE_SHARE);
+		if (requests >= constants.MIN_OUTSIDE_REQUESTS) {
+			confirmed = Math.min(confirmed, symptoms.getStrongestEvidence(outsideEvidence[symptom]) / constants.MIN_OUTSIDE_EVIDENCE_FRACTION);
 		}
 	}
 
-	return evidence;
+	return confirmed;
 }
 
 /**
 Whether the upstream has half the evidence of an ejection.
 */
 export function isSuspect(
-	tracked: states.Tracked,
+	tracked: states.TrackedUpstream,
 	point: operatingPoints.OperatingPoint,
-	membership: groups.Membership,
+	membership: groups.GroupMembership,
 ): boolean {
-	const least = point.threshold * constants.SUSPECT_SHARE;
+	const least = point.threshold * constants.SUSPECT_EVIDENCE_FRACTION;
 	return symptoms.SYMPTOMS.some(symptom =>
-		symptoms.getStrongest(tracked.standing.pooled[symptom]) >= least
-		&& getEvidence(tracked, symptom, membership) >= least);
+		symptoms.getStrongestEvidence(tracked.evidence.pooled[symptom]) >= least
+		&& getConfirmedEvidence(tracked, symptom, membership) >= least);
 }
 
 /**
 Returns the finding that calls for an ejection, if any symptom does.
 */
 export function getFinding(
-	tracked: states.Tracked,
+	tracked: states.TrackedUpstream,
 	point: operatingPoints.OperatingPoint,
-	measurement: measuring.Measurement,
+	measurement: measurements.Measurement,
 ): events.Finding | undefined {
 	const symptom = symptoms.SYMPTOMS.find(candidate =>
-		symptoms.getStrongest(tracked.standing.pooled[candidate]) >= point.threshold
-		&& getEvidence(tracked, candidate, measurement.membership) >= point.threshold
-		&& isPresent(tracked, candidate)
+		symptoms.getStrongestEvidence(tracked.evidence.pooled[candidate]) >= point.threshold
+		&& getConfirmedEvidence(tracked, candidate, measurement.membership) >= point.threshold
+		&& isShortRateElevated(tracked, candidate)
 		&& isLargeEnough(tracked, candidate, point, measurement));
 	return symptom === undefined ? undefined : createFinding(tracked, symptom, point, measurement);
 }
@@ -72,12 +72,12 @@
 Whether the symptom still shows in the latest requests. A healthy server that paused leaves evidence of slowness behind
 for about a second, and would be ejected after it recovered.
 */
-export function isCurrent({windows, normalRates}: states.Tracked, symptom: symptoms.Symptom): boolean {
+export function isInstantRateElevated({windows, normalRates}: states.TrackedUpstream, symptom: symptoms.Symptom): boolean {
 	if (symptom === 'errors') {
 		return true;
 	}
 
-	const least = Math.min(constants.CURRENT_CEILING, normalRates[symptom] * constants.CURRENT_RATIO);
+	const least = Math.min(constants.MAX_REQUIRED_INSTANT_RATE, normalRates[symptom] * constants.INSTANT_RATE_RATIO);
 	const {count, bad} = windows.instant[symptom];
 	return bad >= count * least;
 }
@@ -86,51 +86,51 @@
 Whether this host alone can't reach the upstream while the others do.
 */
 export function isPathFault(
-	{standing, windows}: states.Tracked,
+	{evidence, windows}: states.TrackedUpstream,
 	host: core.HostId,
 	point: operatingPoints.OperatingPoint,
-	membership: groups.Membership,
+	membership: groups.GroupMembership,
 ): boolean {
 	return PATH_SYMPTOMS.some(symptom => {
 		// A broken path fails nearly all requests. Against a milder alternative, each host would steer away from a sick
 		// upstream by itself, and leave no evidence to eject it.
-		if (standing.own[symptom].at(-1)! < point.steerThreshold) {
+		if (evidence.own[symptom].at(-1)! < point.steeringThreshold) {
 			return false;
 		}
 
 		const others = countRequests(windows.requests, other => other !== host);
 		const outside = membership.groups
 			.filter(group => !groups.isOutside(membership, host, group))
-			.map(group => symptoms.getStrongest((standing.outside.get(group) ?? symptoms.EMPTY_STATISTICS)[symptom]));
-		return others >= constants.OUTSIDE_MINIMUM_REQUESTS
-			&& Math.min(...outside) < point.threshold * constants.OUTSIDE_HEALTHY_SHARE;
+			.map(group => symptoms.getStrongestEvidence((evidence.outside.get(group) ?? symptoms.EMPTY_EVIDENCE)[symptom]));
+		return others >= constants.MIN_OUTSIDE_REQUESTS
+			&& Math.min(...outside) < point.threshold * constants.MAX_HEALTHY_OUTSIDE_FRACTION;
 	});
 }
 
-function isPresent({windows, normalRates}: states.Tracked, symptom: symptoms.Symptom): boolean {
-	return symptoms.getRate(windows.short.samples[symptom]) >= normalRates[symptom] * constants.PRESENT_RATIO;
+function isShortRateElevated({windows, normalRates}: states.TrackedUpstream, symptom: symptoms.Symptom): boolean {
+	return symptoms.getRate(windows.short.samples[symptom]) >= normalRates[symptom] * constants.SHORT_RATE_RATIO;
 }
 
 // Slowness must also be a matter of size: many slightly slow requests are evidence, but no reason to eject.
 function isLargeEnough(
-	tracked: states.Tracked,
+	tracked: states.TrackedUpstream,
 	symptom: symptoms.Symptom,
 	point: operatingPoints.OperatingPoint,
-	measurement: measuring.Measurement,
+	measurement: measurements.Measurement,
 ): boolean {
 	return symptom !== 'slowness'
-		|| getMedian(tracked) >= measurement.getPeersMedian(tracked.upstream.id) * point.slownessRatio;
+		|| getMedian(tracked) >= measurement.getPeersMedian(tracked.upstream.id) * point.minSlownessRatio;
 }
 
 function createFinding(
-	tracked: states.Tracked,
+	tracked: states.TrackedUpstream,
 	symptom: symptoms.Symptom,
 	point: operatingPoints.OperatingPoint,
-	measurement: measuring.Measurement,
+	measurement: measurements.Measurement,
 ): events.Finding {
 	return {
 		symptom,
-		evidence: getEvidence(tracked, symptom, measurement.membership),
+		evidence: getConfirmedEvidence(tracked, symptom, measurement.membership),
 		threshold: point.threshold,
 		rate: symptoms.getRate(tracked.windows.short.samples[symptom]),
 		normalRate: tracked.normalRates[symptom],
@@ -140,7 +140,7 @@
 	};
 }
 
-function getMedian({windows}: states.Tracked): number {
+function getMedian({windows}: states.TrackedUpstream): number {
 	return latencies.getQuantile(windows.short.latencies, 0.5);
 }
 
--- a/packages/wagtailroute-detection/src/floor.ts
+++ b/packages/wagtailroute-detection/src/floor.ts
@@ -5,14 +5,14 @@
 
 export {
 	getEjectionAllowance,
-	getRequiredHealthy as getRequiredUpstreams,
+	getRequiredHealthy,
 	type HealthyFloor,
-	type UpstreamCounts as Population,
+	type UpstreamCounts,
 } from 'wagtailroute-core';
 
 /**
 Says whether one more ejection may be granted.
 */
-export function isGrantAllowed(counts: core.UpstreamCounts): boolean {
+export function isEjectionAllowed(counts: core.UpstreamCounts): boolean {
 	return core.getEjectionAllowance(counts) >= 1;
 }
--- a/packages/wagtailroute-detection/src/grants.ts
+++ b/packages/wagtailroute-detection/src/grants.ts
@@ -10,30 +10,30 @@
 /**
 Takes an ejection that was granted, to this host or another.
 */
-export function eject(
-	tracked: states.Tracked,
-	context: Pick<phases.Context, 'now' | 'random' | 'point'>,
-): phases.Change {
+export function applyEjection(
+	tracked: states.TrackedUpstream,
+	context: Pick<phases.PhaseContext, 'now' | 'random' | 'point'>,
+): phases.PhaseChange {
 	const {phase} = tracked;
 	if (phase.kind !== 'serving' && phase.kind !== 'requested') {
 		return {tracked, effects: []};
 	}
 
-	const isForgiven = context.now - phase.since > constants.FORGIVE_MILLISECONDS;
-	const ejections = isForgiven ? 1 : tracked.ejections + 1;
+	const isCountReset = context.now - phase.since > constants.EJECTION_COUNT_RESET_MILLISECONDS;
+	const ejections = isCountReset ? 1 : tracked.ejections + 1;
 	return {tracked: phases.startEjection(tracked, ejections, context), effects: []};
 }
 
 /**
 Takes a re-admission.
 */
-export function readmit(tracked: states.Tracked, now: number): phases.Change {
+export function applyReadmission(tracked: states.TrackedUpstream, now: number): phases.PhaseChange {
 	if (tracked.phase.kind === 'serving' || tracked.phase.kind === 'requested') {
 		return {tracked, effects: []};
 	}
 
 	return {
-		tracked: {...tracked, phase: {kind: 'serving', since: now, heldUntil: now}, standing: states.EMPTY_STANDING},
+		tracked: {...tracked, phase: {kind: 'serving', since: now, nextRequestAt: now}, evidence: states.EMPTY_UPSTREAM_EVIDENCE},
 		effects: tracked.phase.kind === 'ejected' ? [] : [{kind: 'end-trial', upstream: tracked.upstream.id}],
 	};
 }
@@ -41,13 +41,13 @@
 /**
 Takes the refusal of an ejection: this host prefers other upstreams for a while, and asks again after it.
 */
-export function refuse(tracked: states.Tracked, until: number): phases.Change {
+export function applyRefusal(tracked: states.TrackedUpstream, until: number): phases.PhaseChange {
 	if (tracked.phase.kind !== 'requested') {
 		return {tracked, effects: []};
 	}
 
 	return {
-		tracked: {...tracked, phase: {kind: 'serving', since: tracked.phase.since, heldUntil: until}},
+		tracked: {...tracked, phase: {kind: 'serving', since: tracked.phase.since, nextRequestAt: until}},
 		effects: [{
 			kind: 'steer-away',
 			upstream: tracked.upstream.id,
@@ -60,16 +60,16 @@
 /**
 Withdraws failures that a request caused and not the upstream.
 */
-export function discount(tracked: states.Tracked, count: number): states.Tracked {
-	const withdraw = (statistics: symptoms.Statistics): symptoms.Statistics => ({
+export function withdrawFailures(tracked: states.TrackedUpstream, count: number): states.TrackedUpstream {
+	const withdraw = (statistics: symptoms.EvidenceBySymptom): symptoms.EvidenceBySymptom => ({
 		...statistics,
 		errors: symptoms.withdrawFailures(statistics.errors, 'errors', count, tracked.normalRates.errors),
 	});
-	const {pooled, own, outside} = tracked.standing;
+	const {pooled, own, outside} = tracked.evidence;
 	return {
 		...tracked,
-		windows: windows.discountFailures(tracked.windows, count),
-		standing: {
+		windows: windows.withdrawFailures(tracked.windows, count),
+		evidence: {
 			pooled: withdraw(pooled),
 			own: withdraw(own),
 			outside: new Map(outside.entries().map(([group, statistics]) => [group, withdraw(statistics)])),
--- a/packages/wagtailroute-detection/src/groups.ts
+++ b/packages/wagtailroute-detection/src/groups.ts
@@ -10,43 +10,43 @@
 /**
 Name of a group.
 */
-export type Group = string;
+export type HostGroup = string;
 
 /**
 Failure domains of the hosts that send summaries.
 */
-export type Hosts = ReadonlyMap<core.HostId, core.FailureDomain>;
+export type FailureDomains = ReadonlyMap<core.HostId, core.FailureDomain>;
 
 /**
 Groups of each host.
 */
-export type Membership = {
-	readonly byHost: ReadonlyMap<core.HostId, readonly Group[]>;
+export type GroupMembership = {
+	readonly byHost: ReadonlyMap<core.HostId, readonly HostGroup[]>;
 	/**
 	Groups that leave other hosts outside. A group of all hosts says nothing.
 	*/
-	readonly groups: readonly Group[];
+	readonly groups: readonly HostGroup[];
 };
 
 /**
 Membership without hosts.
 */
-export const NO_MEMBERSHIP: Membership = {byHost: new Map(), groups: []};
+export const EMPTY_MEMBERSHIP: GroupMembership = {byHost: new Map(), groups: []};
 
 /**
 Returns the groups of each host.
 */
-export function getMembership(hosts: Hosts): Membership {
+export function createMembership(hosts: FailureDomains): GroupMembership {
 	const ordered = [...hosts].toSorted(([left], [right]) => compareNames(left, right));
-	const byHost = new Map(ordered.map(([host, failureDomain], rank): [core.HostId, readonly Group[]] => [
+	const byHost = new Map(ordered.map(([host, failureDomain], rank): [core.HostId, readonly HostGroup[]] => [
 		host,
-		[`part ${rank % constants.HOST_PARTS}`, `failure domain ${failureDomain}`],
+		[`part ${rank % constants.HOST_PARTITIONS}`, `failure domain ${failureDomain}`],
 	]));
 	return {byHost, groups: listGroups(byHost)};
 }
 
-function listGroups(membership: Membership['byHost']): readonly Group[] {
-	const sizes = new Map<Group, number>();
+function listGroups(membership: GroupMembership['byHost']): readonly HostGroup[] {
+	const sizes = new Map<HostGroup, number>();
 	for (const groups of membership.values()) {
 		for (const group of groups) {
 			sizes.set(group, (sizes.get(group) ?? 0) + 1);
@@ -59,7 +59,7 @@
 /**
 Whether the host is outside the group.
 */
-export function isOutside(membership: Membership, host: core.HostId, group: Group): boolean {
+export function isOutside(membership: GroupMembership, host: core.HostId, group: HostGroup): boolean {
 	return membership.byHost.get(host)?.includes(group) !== true;
 }
 
--- a/packages/wagtailroute-detection/src/index.ts
+++ b/packages/wagtailroute-detection/src/index.ts
@@ -2,10 +2,10 @@
 Detection of sick upstreams from the traffic of all hosts that carry a service, and the floor that bounds ejections.
 */
 export {
-	createDetection,
-	type Detection,
+	createDetectionState,
+	type DetectionState,
 	type Phase,
-	type Tracked,
+	type TrackedUpstream,
 	type Upstream,
 } from './state.ts';
 export type {
@@ -15,28 +15,28 @@
 	Transition,
 } from './events.ts';
 export {stepDetection} from './detection.ts';
-export {decodeUpstreams, encodeUpstreams} from './codec.ts';
-export {createEvidence, type Evidence, type Ticket} from './evidence.ts';
+export {decodeUpstreamSummaries, encodeUpstreamSummaries} from './codec.ts';
+export {createEvidenceCollector, type EvidenceCollector, type InFlightRequest} from './evidence-collector.ts';
 export {
 	FAILURE_KINDS,
 	type FailureKind,
-	type Result,
+	type RequestResult,
 	type Summary,
 	type UpstreamSummary,
 } from './summaries.ts';
 export {
 	getEjectionAllowance,
-	getRequiredUpstreams,
+	getRequiredHealthy,
 	type HealthyFloor,
-	isGrantAllowed,
-	type Population,
+	isEjectionAllowed,
+	type UpstreamCounts,
 } from './floor.ts';
 export {OPERATING_POINTS, type OperatingPoint, type OperatingPointName} from './operating-points.ts';
 export {type Symptom} from './symptoms.ts';
-export {getTickMilliseconds} from './activity.ts';
+export {getTickIntervalMilliseconds} from './tick-interval.ts';
 export {
-	QUIET_SUMMARY_MILLISECONDS,
-	QUIET_TICK_MILLISECONDS,
-	SUMMARY_MILLISECONDS,
-	TICK_MILLISECONDS,
+	QUIET_SUMMARY_INTERVAL_MILLISECONDS,
+	QUIET_TICK_INTERVAL_MILLISECONDS,
+	ALERTED_SUMMARY_INTERVAL_MILLISECONDS,
+	TICK_INTERVAL_MILLISECONDS,
 } from './constants.ts';
--- a/packages/wagtailroute-detection/src/latencies.ts
+++ b/packages/wagtailroute-detection/src/latencies.ts
@@ -11,7 +11,7 @@
 /**
 Upper end of the first bucket, in milliseconds.
 */
-const FIRST_MILLISECONDS = 0.5;
+const FIRST_BUCKET_MILLISECONDS = 0.5;
 
 /**
 Number of buckets: the last one takes all above about 100 seconds.
@@ -26,36 +26,36 @@
 /**
 A histogram without samples.
 */
-export const EMPTY_HISTOGRAM: Histogram = createEmpty();
+export const EMPTY_HISTOGRAM: Histogram = createEmptyHistogram();
 
 /**
 Counts by bucket without the empty ones: pairs of bucket and count, flattened. A bucket may come several times.
 */
-export type Pairs = readonly number[];
+export type SparseHistogram = readonly number[];
 
 /**
 Bucket of a latency.
 */
 export function getBucket(milliseconds: number): number {
-	if (!(milliseconds > FIRST_MILLISECONDS)) {
+	if (!(milliseconds > FIRST_BUCKET_MILLISECONDS)) {
 		return 0;
 	}
 
-	const bucket = Math.ceil(Math.log2(milliseconds / FIRST_MILLISECONDS) * BUCKETS_PER_OCTAVE);
+	const bucket = Math.ceil(Math.log2(milliseconds / FIRST_BUCKET_MILLISECONDS) * BUCKETS_PER_OCTAVE);
 	return Math.min(BUCKET_COUNT - 1, bucket);
 }
 
 /**
 Upper end of a bucket in milliseconds.
 */
-export function getUpperEnd(bucket: number): number {
-	return FIRST_MILLISECONDS * (2 ** (bucket / BUCKETS_PER_OCTAVE));
+export function getBucketUpperBound(bucket: number): number {
+	return FIRST_BUCKET_MILLISECONDS * (2 ** (bucket / BUCKETS_PER_OCTAVE));
 }
 
 /**
 Scales a histogram and adds pairs to it.
 */
-export function scaleAndAdd(histogram: Histogram, factor: number, added: Pairs): Histogram {
+export function scaleAndAdd(histogram: Histogram, factor: number, added: SparseHistogram): Histogram {
 	const next = [...histogram];
 	for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
 		next[bucket]! *= factor;
@@ -101,7 +101,7 @@
 /**
 Number of samples.
 */
-export function getTotal(histogram: Histogram): number {
+export function getSampleCount(histogram: Histogram): number {
 	let total = 0;
 	for (const count of histogram) {
 		total += count;
@@ -113,7 +113,7 @@
 /**
 Bucket that holds the quantile; 0 when there are no samples.
 */
-export function getQuantileBucket(histogram: Histogram, quantile: number, total = getTotal(histogram)): number {
+export function getQuantileBucket(histogram: Histogram, quantile: number, total = getSampleCount(histogram)): number {
 	const wanted = total * quantile;
 	let seen = 0;
 	for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
@@ -130,13 +130,13 @@
 Upper end, in milliseconds, of the bucket that holds the quantile.
 */
 export function getQuantile(histogram: Histogram, quantile: number): number {
-	return getUpperEnd(getQuantileBucket(histogram, quantile));
+	return getBucketUpperBound(getQuantileBucket(histogram, quantile));
 }
 
 /**
 Bucket that holds the median of two histograms together; 0 when there are no samples.
 */
-export function getCommonMedianBucket(left: Histogram, right: Histogram, total = getTotal(left) + getTotal(right)): number {
+export function getMergedMedianBucket(left: Histogram, right: Histogram, total = getSampleCount(left) + getSampleCount(right)): number {
 	const wanted = total / 2;
 	let seen = 0;
 	for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
@@ -152,7 +152,7 @@
 /**
 Number of samples in pairs, and of those in buckets above the given one.
 */
-export function countPairs(pairs: Pairs, bucket: number): {readonly count: number; readonly above: number} {
+export function countSparseSamples(pairs: SparseHistogram, bucket: number): {readonly count: number; readonly above: number} {
 	let count = 0;
 	let above = 0;
 	for (let index = 0; index + 1 < pairs.length; index += 2) {
@@ -166,7 +166,7 @@
 
 // An array that holds whole numbers only is converted, and copied whole, at the first fraction written to it. Histograms
 // are copied in each step, so the empty one is made an array of fractions from the start.
-function createEmpty(): Histogram {
+function createEmptyHistogram(): Histogram {
 	const empty = Array.from({length: BUCKET_COUNT}, () => 0.5);
 	return empty.fill(0);
 }
--- a/packages/wagtailroute-detection/src/measuring.ts
+++ b/packages/wagtailroute-detection/src/measurement.ts
@@ -9,71 +9,71 @@
 import * as operatingPoints from './operating-points.ts';
 import * as states from './state.ts';
 import * as symptoms from './symptoms.ts';
-import * as weighing from './weighing.ts';
+import * as evidenceUpdates from './evidence-update.ts';
 import * as windows from './windows.ts';
 
 /**
 Upstreams after the summaries were taken in, and the peers' median latency in milliseconds for each.
 */
 export type Measurement = {
-	readonly upstreams: ReadonlyMap<core.UpstreamId, states.Tracked>;
+	readonly upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>;
 	readonly getPeersMedian: (upstream: core.UpstreamId) => number;
 	/**
 	What was seen of the upstream in this tick.
 	*/
 	readonly getSamples: (upstream: core.UpstreamId) => symptoms.Samples;
-	readonly membership: groups.Membership;
+	readonly membership: groups.GroupMembership;
 };
 
 /**
 Takes the pending summaries into the record of each upstream.
 */
-export function measure(state: states.Detection, now: number): Measurement {
-	const elapsed = now - (state.tickedAt ?? now);
-	const seen = observations.collectObservations(state.pending);
-	const withLatencies = states.mapTracked(state.upstreams, tracked => ({
+export function measure(state: states.DetectionState, now: number): Measurement {
+	const elapsed = now - (state.lastTickAt ?? now);
+	const observed = observations.collectObservations(state.pending);
+	const withLatencies = states.mapUpstreams(state.upstreams, tracked => ({
 		...tracked,
 		windows: windows.addLatencies(
 			tracked.windows,
 			states.isRamping(tracked, now)
 				? []
-				: observations.mergeLatencies(seen.get(tracked.upstream.id)),
+				: observations.mergeLatencies(observed.get(tracked.upstream.id)),
 			elapsed,
 		),
 	}));
-	const baseline = baselines.createLatencyBaseline(states.getPeers(withLatencies, now));
-	const samples = new Map(withLatencies.values().map((tracked): [core.UpstreamId, weighing.SamplesByHost] => {
+	const baseline = baselines.createLatencyBaseline(states.getPeerWindows(withLatencies, now));
+	const samples = new Map(withLatencies.values().map((tracked): [core.UpstreamId, evidenceUpdates.SamplesByHost] => {
 		const {id} = tracked.upstream;
-		const byHost = seen.get(id);
-		const getLimits = () => states.isRamping(tracked, now) ? undefined : baseline.getLimits(id);
-		return [id, byHost === undefined ? NO_SAMPLES : classify(byHost, getLimits(), baseline.isDistressed)];
+		const byHost = observed.get(id);
+		const getLatencyLimits = () => states.isRamping(tracked, now) ? undefined : baseline.getLimits(id);
+		return [id, byHost === undefined ? NO_SAMPLES : classify(byHost, getLatencyLimits(), baseline.isServiceSlow)];
 	}));
-	const withSamples = states.mapTracked(withLatencies, tracked => ({
+	const withSamples = states.mapUpstreams(withLatencies, tracked => ({
 		...tracked,
 		windows: windows.addSamples(tracked.windows, samples.get(tracked.upstream.id)!, elapsed),
 	}));
 	const {membership} = state;
 	return {
-		upstreams: weighing.weigh(withSamples, {
+		upstreams: evidenceUpdates.updateEvidence(withSamples, {
 			host: state.host,
 			point: operatingPoints.OPERATING_POINTS[state.operatingPoint],
 			samples,
 			membership,
 			now,
 		}),
-		getPeersMedian: id => latencies.getUpperEnd(baseline.getLimits(id)?.median ?? 0),
+		getPeersMedian: id => latencies.getBucketUpperBound(baseline.getLimits(id)?.median ?? 0),
 		getSamples: id => symptoms.sumSamples(samples.get(id)?.values() ?? []),
 		membership,
 	};
 }
 
-const NO_SAMPLES: weighing.SamplesByHost = new Map();
+const NO_SAMPLES: evidenceUpdates.SamplesByHost = new Map();
 
 function classify(
 	byHost: ReadonlyMap<core.HostId, observations.Observation>,
-	limits: baselines.Limits | undefined,
+	limits: baselines.LatencyLimits | undefined,
 	isDistressed: boolean,
-): weighing.SamplesByHost {
+): evidenceUpdates.SamplesByHost {
 	const samples = new Map<core.HostId, symptoms.Samples>();
 	for (const [host, observation] of byHost) {
 		samples.set(host, classifyObservation(observation, limits, isDistressed));
@@ -84,7 +84,7 @@
 
 function classifyObservation(
 	{successes, failures, timeouts, latencies: pairs}: observations.Observation,
-	limits: baselines.Limits | undefined,
+	limits: baselines.LatencyLimits | undefined,
 	isDistressed: boolean,
 ): symptoms.Samples {
 	// When the whole service is slow, timeouts come in bursts, here first and there next: they are the load's doing.
@@ -94,10 +94,10 @@
 		return {...symptoms.EMPTY_SAMPLES, errors};
 	}
 
-	const {count, above} = latencies.countPairs(pairs, limits.slow);
+	const {count, above} = latencies.countSparseSamples(pairs, limits.slow);
 	return {
 		errors,
 		slowness: {count, bad: above},
-		stalls: {count, bad: above === 0 ? 0 : latencies.countPairs(pairs, limits.stalled).above},
+		stalls: {count, bad: above === 0 ? 0 : latencies.countSparseSamples(pairs, limits.stalled).above},
 	};
 }
--- a/packages/wagtailroute-detection/src/observations.ts
+++ b/packages/wagtailroute-detection/src/observations.ts
@@ -15,7 +15,7 @@
 	*/
 	readonly failures: number;
 	readonly timeouts: number;
-	readonly latencies: latencies.Pairs;
+	readonly latencies: latencies.SparseHistogram;
 };
 
 /**
@@ -42,7 +42,7 @@
 		for (const upstream of summary.upstreams) {
 			const byHost = collected.get(upstream.id) ?? new Map<core.HostId, Observation>();
 			const before = byHost.get(summary.host);
-			const observation = readObservation(upstream);
+			const observation = createObservation(upstream);
 			byHost.set(summary.host, before === undefined ? observation : mergeObservations(before, observation));
 			collected.set(upstream.id, byHost);
 		}
@@ -54,7 +54,7 @@
 /**
 Latencies that all hosts saw.
 */
-export function mergeLatencies(byHost: ReadonlyMap<core.HostId, Observation> | undefined): latencies.Pairs {
+export function mergeLatencies(byHost: ReadonlyMap<core.HostId, Observation> | undefined): latencies.SparseHistogram {
 	const pairs: number[] = [];
 	for (const {latencies: seen} of byHost?.values() ?? []) {
 		pairs.push(...seen);
@@ -72,7 +72,7 @@
 	};
 }
 
-function readObservation(upstream: summaries.UpstreamSummary): Observation {
+function createObservation(upstream: summaries.UpstreamSummary): Observation {
 	let failures = 0;
 	for (const kind in upstream.failures) {
 		if (Object.hasOwn(upstream.failures, kind)) {
--- a/packages/wagtailroute-detection/src/operating-points.ts
+++ b/packages/wagtailroute-detection/src/operating-points.ts
@@ -23,40 +23,40 @@
 	Largest gain of evidence in one tick, as a part of the threshold. One burst, such as all slots reset at once, must not
 	be enough.
 	*/
-	readonly gainShare: number;
+	readonly maxGainFraction: number;
 	/**
 	Factor on the peers' rate that still counts as normal.
 	*/
-	readonly tolerance: number;
+	readonly peerRateFactor: number;
 	/**
 	Rates that count as normal whatever the peers show.
 	*/
-	readonly normalRates: Readonly<Record<symptoms.Symptom, number>>;
+	readonly minNormalRates: Readonly<Record<symptoms.Symptom, number>>;
 	/**
 	Smallest ratio of the median latency to that of the peers for slowness.
 	*/
-	readonly slownessRatio: number;
+	readonly minSlownessRatio: number;
 	/**
 	How long a finding must last, in milliseconds: longer than a pause of a healthy server.
 	*/
-	readonly dwellMilliseconds: Readonly<Record<symptoms.Symptom, number>>;
+	readonly minFindingMilliseconds: Readonly<Record<symptoms.Symptom, number>>;
 	/**
 	Evidence of this host alone, for the hardest alternative, that makes it steer away, in nats.
 	*/
-	readonly steerThreshold: number;
+	readonly steeringThreshold: number;
 	/**
 	First wait before a trial, in milliseconds; it doubles with each ejection up to the ceiling.
 	*/
-	readonly ejectionMilliseconds: number;
-	readonly ejectionCeilingMilliseconds: number;
+	readonly initialEjectionMilliseconds: number;
+	readonly maxEjectionMilliseconds: number;
 	/**
 	Good requests on trial that ask for re-admission.
 	*/
-	readonly trialRequests: number;
+	readonly requiredTrialSuccesses: number;
 	/**
 	Wait after a denied grant before asking again, in milliseconds.
 	*/
-	readonly denialMilliseconds: number;
+	readonly refusalBackoffMilliseconds: number;
 };
 
 /**
@@ -65,28 +65,28 @@
 export const OPERATING_POINTS: Readonly<Record<OperatingPointName, OperatingPoint>> = {
 	fast: {
 		threshold: 14,
-		gainShare: 0.6,
-		tolerance: 1.5,
-		normalRates: {errors: 0.005, slowness: 0.16, stalls: 0.005},
-		slownessRatio: 1.4,
-		dwellMilliseconds: {errors: 0, slowness: 1000, stalls: 500},
-		steerThreshold: 6,
-		ejectionMilliseconds: 5000,
-		ejectionCeilingMilliseconds: 300_000,
-		trialRequests: 15,
-		denialMilliseconds: 2000,
+		maxGainFraction: 0.6,
+		peerRateFactor: 1.5,
+		minNormalRates: {errors: 0.005, slowness: 0.16, stalls: 0.005},
+		minSlownessRatio: 1.4,
+		minFindingMilliseconds: {errors: 0, slowness: 1000, stalls: 500},
+		steeringThreshold: 6,
+		initialEjectionMilliseconds: 5000,
+		maxEjectionMilliseconds: 300_000,
+		requiredTrialSuccesses: 15,
+		refusalBackoffMilliseconds: 2000,
 	},
 	careful: {
 		threshold: 16,
-		gainShare: 0.4,
-		tolerance: 2,
-		normalRates: {errors: 0.005, slowness: 0.2, stalls: 0.005},
-		slownessRatio: 1.4,
-		dwellMilliseconds: {errors: 0, slowness: 1600, stalls: 1000},
-		steerThreshold: 6,
-		ejectionMilliseconds: 10_000,
-		ejectionCeilingMilliseconds: 600_000,
-		trialRequests: 30,
-		denialMilliseconds: 5000,
+		maxGainFraction: 0.4,
+		peerRateFactor: 2,
+		minNormalRates: {errors: 0.005, slowness: 0.2, stalls: 0.005},
+		minSlownessRatio: 1.4,
+		minFindingMilliseconds: {errors: 0, slowness: 1600, stalls: 1000},
+		steeringThreshold: 6,
+		initialEjectionMilliseconds: 10_000,
+		maxEjectionMilliseconds: 600_000,
+		requiredTrialSuccesses: 30,
+		refusalBackoffMilliseconds: 5000,
 	},
 };
--- a/packages/wagtailroute-detection/src/phases.ts
+++ b/packages/wagtailroute-detection/src/phases.ts
@@ -3,7 +3,7 @@
 */
 import * as constants from './constants.ts';
 import * as findings from './findings.ts';
-import type * as measuring from './measuring.ts';
+import type * as measurements from './measurement.ts';
 import type * as operatingPoints from './operating-points.ts';
 import type * as events from './events.ts';
 import * as states from './state.ts';
@@ -12,54 +12,54 @@
 /**
 What a phase may know at a tick.
 */
-export type Context = {
+export type PhaseContext = {
 	readonly now: number;
 	readonly random: () => number;
 	readonly point: operatingPoints.OperatingPoint;
-	readonly measurement: measuring.Measurement;
+	readonly measurement: measurements.Measurement;
 	/**
 	So many upstreams look sick at once that the cause is shared: nothing is ejected.
 	*/
-	readonly isShared: boolean;
+	readonly isSharedCause: boolean;
 };
 
 /**
 Next record of an upstream, and what is to be done.
 */
-export type Change = {
-	readonly tracked: states.Tracked;
+export type PhaseChange = {
+	readonly tracked: states.TrackedUpstream;
 	readonly effects: readonly events.Effect[];
 };
 
 type Handlers = {
 	readonly [Kind in states.Phase['kind']]: (
-		tracked: states.Tracked,
+		tracked: states.TrackedUpstream,
 		phase: Extract<states.Phase, {kind: Kind}>,
-		context: Context,
-	) => Change;
+		context: PhaseContext,
+	) => PhaseChange;
 };
 
 const HANDLERS: Handlers = {
 	serving(tracked, phase, context) {
-		if (tracked.upstream.state === 'draining' || context.now < phase.heldUntil) {
-			return keep(tracked);
+		if (tracked.upstream.state === 'draining' || context.now < phase.nextRequestAt) {
+			return createUnchanged(tracked);
 		}
 
 		const finding = findings.getFinding(tracked, context.point, context.measurement);
 		if (finding === undefined) {
-			return keep(phase.foundAt === undefined ? tracked : {...tracked, phase: {...phase, foundAt: undefined}});
+			return createUnchanged(phase.findingSince === undefined ? tracked : {...tracked, phase: {...phase, findingSince: undefined}});
 		}
 
 		// Evidence gathered while all got worse says nothing about this one: without the reset it would eject a healthy
 		// upstream as soon as the others recover.
-		if (context.isShared) {
-			return keep({...tracked, standing: states.EMPTY_STANDING});
+		if (context.isSharedCause) {
+			return createUnchanged({...tracked, evidence: states.EMPTY_UPSTREAM_EVIDENCE});
 		}
 
-		const foundAt = phase.foundAt ?? context.now;
-		const isLasting = context.now - foundAt >= context.point.dwellMilliseconds[finding.symptom];
-		if (!isLasting || !findings.isCurrent(tracked, finding.symptom)) {
-			return keep({...tracked, phase: {...phase, foundAt}});
+		const findingSince = phase.findingSince ?? context.now;
+		const isLasting = context.now - findingSince >= context.point.minFindingMilliseconds[finding.symptom];
+		if (!isLasting || !findings.isInstantRateElevated(tracked, finding.symptom)) {
+			return createUnchanged({...tracked, phase: {...phase, findingSince}});
 		}
 
 		return {
@@ -68,52 +68,52 @@
 		};
 	},
 	requested(tracked, phase, {now}) {
-		const next: states.Phase = isOverdue(phase.since, now)
-			? {kind: 'serving', since: phase.since, heldUntil: now}
+		const next: states.Phase = isGrantTimedOut(phase.since, now)
+			? {kind: 'serving', since: phase.since, nextRequestAt: now}
 			: phase;
-		return keep({...tracked, phase: next});
+		return createUnchanged({...tracked, phase: next});
 	},
 	ejected(tracked, phase, {now}) {
 		if (now < phase.until) {
-			return keep(tracked);
+			return createUnchanged(tracked);
 		}
 
 		return {
-			tracked: {...tracked, phase: {kind: 'trial', good: 0}, standing: states.EMPTY_STANDING},
+			tracked: {...tracked, phase: {kind: 'trial', good: 0}, evidence: states.EMPTY_UPSTREAM_EVIDENCE},
 			effects: [{kind: 'start-trial', upstream: tracked.upstream.id}],
 		};
 	},
 	trial(tracked, phase, context) {
 		const {id} = tracked.upstream;
-		const evidence = getStrongestOfAll(tracked.standing.pooled);
-		if (evidence >= context.point.threshold * constants.TRIAL_SHARE) {
+		const evidence = getStrongestOfAllSymptoms(tracked.evidence.pooled);
+		if (evidence >= context.point.threshold * constants.TRIAL_FAILURE_EVIDENCE_FRACTION) {
 			return {
 				tracked: startEjection(tracked, tracked.ejections + 1, context),
 				effects: [{kind: 'end-trial', upstream: id}],
 			};
 		}
 
-		const good = countGood(phase.good, context.measurement.getSamples(id));
-		const isRecovered = good >= context.point.trialRequests
-			&& evidence < context.point.threshold * constants.READMISSION_SHARE;
-		return isRecovered
+		const good = countGoodRequests(phase.good, context.measurement.getSamples(id));
+		const hasRecovered = good >= context.point.requiredTrialSuccesses
+			&& evidence < context.point.threshold * constants.READMISSION_EVIDENCE_FRACTION;
+		return hasRecovered
 			? requestReadmission(tracked, context.now)
-			: keep({...tracked, phase: {kind: 'trial', good}});
+			: createUnchanged({...tracked, phase: {kind: 'trial', good}});
 	},
 	readmitting(tracked, phase, {now}) {
-		return isOverdue(phase.since, now) ? requestReadmission(tracked, now) : keep(tracked);
+		return isGrantTimedOut(phase.since, now) ? requestReadmission(tracked, now) : createUnchanged(tracked);
 	},
 };
 
 /**
 Advances an upstream at a tick.
 */
-export function advancePhase(tracked: states.Tracked, context: Context): Change {
+export function advancePhase(tracked: states.TrackedUpstream, context: PhaseContext): PhaseChange {
 	const handler = HANDLERS[tracked.phase.kind] as (
-		tracked: states.Tracked,
+		tracked: states.TrackedUpstream,
 		phase: states.Phase,
-		context: Context,
-	) => Change;
+		context: PhaseContext,
+	) => PhaseChange;
 	return handler(tracked, tracked.phase, context);
 }
 
@@ -122,43 +122,43 @@
 upstream gets less and less work.
 */
 export function startEjection(
-	tracked: states.Tracked,
+	tracked: states.TrackedUpstream,
 	ejections: number,
-	{now, random, point}: Pick<Context, 'now' | 'random' | 'point'>,
-): states.Tracked {
-	const doubled = point.ejectionMilliseconds * (2 ** (ejections - 1));
-	const wait = Math.min(point.ejectionCeilingMilliseconds, doubled);
+	{now, random, point}: Pick<PhaseContext, 'now' | 'random' | 'point'>,
+): states.TrackedUpstream {
+	const doubledMilliseconds = point.initialEjectionMilliseconds * (2 ** (ejections - 1));
+	const ejectionMilliseconds = Math.min(point.maxEjectionMilliseconds, doubledMilliseconds);
 	// Spread over 20%, so that the hosts don't start their trials in one burst.
-	const until = now + (wait * (0.9 + (0.2 * random())));
+	const until = now + (ejectionMilliseconds * (0.9 + (0.2 * random())));
 	return {
 		...tracked,
 		phase: {kind: 'ejected', until},
-		standing: states.EMPTY_STANDING,
+		evidence: states.EMPTY_UPSTREAM_EVIDENCE,
 		ejections,
 	};
 }
 
-function requestReadmission(tracked: states.Tracked, now: number): Change {
+function requestReadmission(tracked: states.TrackedUpstream, now: number): PhaseChange {
 	return {
 		tracked: {...tracked, phase: {kind: 'readmitting', since: now}},
 		effects: [{kind: 'request-readmission', upstream: tracked.upstream.id}],
 	};
 }
 
-function keep(tracked: states.Tracked): Change {
+function createUnchanged(tracked: states.TrackedUpstream): PhaseChange {
 	return {tracked, effects: []};
 }
 
-function isOverdue(since: number, now: number): boolean {
+function isGrantTimedOut(since: number, now: number): boolean {
 	return now - since >= constants.GRANT_TIMEOUT_MILLISECONDS;
 }
 
-function countGood(before: number, {errors, slowness}: symptoms.Samples): number {
+function countGoodRequests(before: number, {errors, slowness}: symptoms.Samples): number {
 	const bad = errors.bad + slowness.bad;
 	const good = Math.max(0, errors.count - bad);
-	return Math.max(0, before + good - (bad * constants.TRIAL_PENALTY));
+	return Math.max(0, before + good - (bad * constants.TRIAL_FAILURE_PENALTY));
 }
 
-function getStrongestOfAll(statistics: symptoms.Statistics): number {
-	return Math.max(...symptoms.SYMPTOMS.map(symptom => symptoms.getStrongest(statistics[symptom])));
+function getStrongestOfAllSymptoms(statistics: symptoms.EvidenceBySymptom): number {
+	return Math.max(...symptoms.SYMPTOMS.map(symptom => symptoms.getStrongestEvidence(statistics[symptom])));
 }
--- a/packages/wagtailroute-detection/src/counts.ts
+++ b/packages/wagtailroute-detection/src/request-counts.ts
@@ -7,63 +7,63 @@
 /**
 Counts of one upstream. Mutable: they change with each request.
 */
-export type Counts = {
+export type RequestCounts = {
 	successes: number;
 	failures: Partial<Record<summaries.FailureKind, number>>;
 	sheds: number;
 	latencies: Map<number, number>;
-	urgent: number;
+	urgentEvents: number;
 };
 
 /**
 Creates counts of nothing.
 */
-export function createCounts(): Counts {
+export function createRequestCounts(): RequestCounts {
 	return {
-		successes: 0, failures: {}, sheds: 0, latencies: new Map(), urgent: 0,
+		successes: 0, failures: {}, sheds: 0, latencies: new Map(), urgentEvents: 0,
 	};
 }
 
 /**
 Counts how a request ended. `isQuiet` says that nothing was lately seen against the upstream.
 */
-export function countResult(counts: Counts, result: Recorded, isQuiet: boolean): void {
+export function countResult(counts: RequestCounts, result: CountedResult, isQuiet: boolean): void {
 	if (isQuiet && FAILURES.has(result)) {
-		forgetSuccesses(counts);
+		dropEarlierSuccesses(counts);
 	}
 
-	const recorder = RECORDERS[result] as (counts: Counts, result: Recorded) => void;
+	const recorder = RECORDERS[result] as (counts: RequestCounts, result: CountedResult) => void;
 	recorder(counts, result);
 }
 
 /**
 Counts a latency in its bucket.
 */
-export function countLatency({latencies}: Counts, bucket: number): void {
+export function countLatency({latencies}: RequestCounts, bucket: number): void {
 	latencies.set(bucket, (latencies.get(bucket) ?? 0) + 1);
 }
 
-const FAILURES: ReadonlySet<summaries.Result> = new Set(summaries.FAILURE_KINDS);
+const FAILURES: ReadonlySet<summaries.RequestResult> = new Set(summaries.FAILURE_KINDS);
 
 // A summary doesn't say what came first. Successes before the first failure of a quiet stretch have no evidence to reduce;
 // told together with it they would take most of it back, and a server that has just failed would be found seconds later.
-function forgetSuccesses(counts: Counts): void {
+function dropEarlierSuccesses(counts: RequestCounts): void {
 	if (Object.keys(counts.failures).length === 0) {
 		counts.successes = 0;
 	}
 }
 
-function countFailure(counts: Counts, kind: summaries.FailureKind): void {
+function countFailure(counts: RequestCounts, kind: summaries.FailureKind): void {
 	counts.failures[kind] = (counts.failures[kind] ?? 0) + 1;
-	counts.urgent++;
+	counts.urgentEvents++;
 }
 
 /**
 Results that count; a cancelled request says nothing.
 */
-export type Recorded = Exclude<summaries.Result, 'cancelled'>;
+export type CountedResult = Exclude<summaries.RequestResult, 'cancelled'>;
 
-const RECORDERS: {readonly [Kind in Recorded]: (counts: Counts, result: Kind) => void} = {
+const RECORDERS: {readonly [Kind in CountedResult]: (counts: RequestCounts, result: Kind) => void} = {
 	success(counts) {
 		counts.successes++;
 	},
@@ -80,7 +80,7 @@
 /**
 Tells what was counted.
 */
-export function writeSummary(id: core.UpstreamId, counts: Counts): summaries.UpstreamSummary {
+export function createUpstreamSummary(id: core.UpstreamId, counts: RequestCounts): summaries.UpstreamSummary {
 	return {
 		id,
 		successes: counts.successes,
--- a/packages/wagtailroute-detection/src/state.ts
+++ b/packages/wagtailroute-detection/src/state.ts
@@ -37,28 +37,28 @@
 export type ServingPhase = {
 	readonly kind: 'serving';
 	readonly since: number;
-	readonly heldUntil: number;
-	readonly foundAt?: number;
+	readonly nextRequestAt: number;
+	readonly findingSince?: number;
 };
 
 /**
 Evidence against an upstream: of all hosts, of this host alone, and of the hosts outside each group.
 */
-export type Standing = {
-	readonly pooled: symptoms.Statistics;
-	readonly own: symptoms.Statistics;
+export type UpstreamEvidence = {
+	readonly pooled: symptoms.EvidenceBySymptom;
+	readonly own: symptoms.EvidenceBySymptom;
 	/**
 	Empty while there is no pooled evidence.
 	*/
-	readonly outside: ReadonlyMap<groups.Group, symptoms.Statistics>;
+	readonly outside: ReadonlyMap<groups.HostGroup, symptoms.EvidenceBySymptom>;
 };
 
 /**
 No evidence.
 */
-export const EMPTY_STANDING: Standing = {
-	pooled: symptoms.EMPTY_STATISTICS,
-	own: symptoms.EMPTY_STATISTICS,
+export const EMPTY_UPSTREAM_EVIDENCE: UpstreamEvidence = {
+	pooled: symptoms.EMPTY_EVIDENCE,
+	own: symptoms.EMPTY_EVIDENCE,
 	outside: new Map(),
 };
 
@@ -68,18 +68,18 @@
 */
 export type Steering = {
 	readonly suspectedAt: number | undefined;
-	readonly until: number;
-	readonly count: number;
+	readonly steeringUntil: number;
+	readonly consecutiveCount: number;
 };
 
 /**
 What is known of one upstream.
 */
-export type Tracked = {
+export type TrackedUpstream = {
 	readonly upstream: Upstream;
 	readonly phase: Phase;
 	readonly windows: windows.Windows;
-	readonly standing: Standing;
+	readonly evidence: UpstreamEvidence;
 	/**
 	Rates that counted as normal in the last tick.
 	*/
@@ -99,12 +99,12 @@
 };
 
 /**
-State of detection.
+What one host knows about the upstreams of one service.
 */
-export type Detection = {
+export type DetectionState = {
 	readonly host: core.HostId;
 	readonly operatingPoint: operatingPoints.OperatingPointName;
-	readonly upstreams: ReadonlyMap<core.UpstreamId, Tracked>;
+	readonly upstreams: ReadonlyMap<core.UpstreamId, TrackedUpstream>;
 	/**
 	Summaries since the last tick.
 	*/
@@ -112,59 +112,59 @@
 	/**
 	Latest summary of each host that a tick took in; those in `pending` are later.
 	*/
-	readonly received: ReadonlyMap<core.HostId, Reception>;
+	readonly lastSummaries: ReadonlyMap<core.HostId, ReceivedSummary>;
 	/**
 	Groups of the hosts in `received`.
 	*/
-	readonly membership: groups.Membership;
-	readonly tickedAt: number | undefined;
+	readonly membership: groups.GroupMembership;
+	readonly lastTickAt: number | undefined;
 	/**
 	What was reported and still holds: each is reported once.
 	*/
-	readonly reported: {readonly isShared: boolean; readonly isSelf: boolean};
+	readonly reported: {readonly isSharedCause: boolean; readonly isSelfFault: boolean};
 };
 
 /**
 Latest summary of a host.
 */
-export type Reception = {
+export type ReceivedSummary = {
 	readonly failureDomain: core.FailureDomain;
 	readonly epoch: number;
 	readonly sequence: number;
-	readonly at: number;
+	readonly receivedAt: number;
 };
 
 /**
 Creates the state of a host that has seen nothing.
 */
-export function createDetection({host, operatingPoint}: {
+export function createDetectionState({host, operatingPoint}: {
 	readonly host: core.HostId;
 	readonly operatingPoint: operatingPoints.OperatingPointName;
-}): Detection {
+}): DetectionState {
 	return {
 		host,
 		operatingPoint,
 		upstreams: new Map(),
 		pending: [],
-		received: new Map(),
-		membership: groups.NO_MEMBERSHIP,
-		tickedAt: undefined,
-		reported: {isShared: false, isSelf: false},
+		lastSummaries: new Map(),
+		membership: groups.EMPTY_MEMBERSHIP,
+		lastTickAt: undefined,
+		reported: {isSharedCause: false, isSelfFault: false},
 	};
 }
 
 /**
 Creates the record of an upstream that was just announced.
 */
-export function createTracked(upstream: Upstream, now: number): Tracked {
+export function createTrackedUpstream(upstream: Upstream, now: number): TrackedUpstream {
 	return {
 		upstream,
-		phase: {kind: 'serving', since: now, heldUntil: now},
+		phase: {kind: 'serving', since: now, nextRequestAt: now},
 		windows: windows.EMPTY_WINDOWS,
-		standing: EMPTY_STANDING,
+		evidence: EMPTY_UPSTREAM_EVIDENCE,
 		normalRates: {errors: 0, slowness: 0, stalls: 0},
 		ejections: 0,
-		steering: {suspectedAt: undefined, until: now, count: 0},
+		steering: {suspectedAt: undefined, steeringUntil: now, consecutiveCount: 0},
 		isReportedHealthy: true,
 	};
 }
@@ -172,24 +172,24 @@
 /**
 Whether the upstream is still warming up: its latency is no evidence, and neither are rare errors.
 */
-export function isRamping({upstream}: Tracked, now: number): boolean {
-	return upstream.rampStartedAt !== undefined && now - upstream.rampStartedAt < constants.RAMP_MILLISECONDS;
+export function isRamping({upstream}: TrackedUpstream, now: number): boolean {
+	return upstream.rampStartedAt !== undefined && now - upstream.rampStartedAt < constants.RAMP_DURATION_MILLISECONDS;
 }
 
 /**
 Applies a change to each upstream.
 */
-export function mapTracked(
-	upstreams: ReadonlyMap<core.UpstreamId, Tracked>,
-	change: (tracked: Tracked) => Tracked,
-): ReadonlyMap<core.UpstreamId, Tracked> {
+export function mapUpstreams(
+	upstreams: ReadonlyMap<core.UpstreamId, TrackedUpstream>,
+	change: (tracked: TrackedUpstream) => TrackedUpstream,
+): ReadonlyMap<core.UpstreamId, TrackedUpstream> {
 	return new Map(upstreams.entries().map(([id, tracked]) => [id, change(tracked)]));
 }
 
 /**
 Windows of the upstreams that are in service and warm: those that others are compared with.
 */
-export function getPeers(upstreams: ReadonlyMap<core.UpstreamId, Tracked>, now: number): ReadonlyMap<core.UpstreamId, windows.Windows> {
+export function getPeerWindows(upstreams: ReadonlyMap<core.UpstreamId, TrackedUpstream>, now: number): ReadonlyMap<core.UpstreamId, windows.Windows> {
 	const inService = upstreams.values().filter(tracked =>
 		tracked.upstream.state === 'serving'
 		&& (tracked.phase.kind === 'serving' || tracked.phase.kind === 'requested')
--- a/packages/wagtailroute-detection/src/steering.ts
+++ b/packages/wagtailroute-detection/src/steering.ts
@@ -5,7 +5,7 @@
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
 import * as findings from './findings.ts';
-import type * as measuring from './measuring.ts';
+import type * as measurements from './measurement.ts';
 import type * as operatingPoints from './operating-points.ts';
 import type * as events from './events.ts';
 import type * as states from './state.ts';
@@ -15,7 +15,7 @@
 Upstreams after this host decided where to steer, and what is to be done.
 */
 export type SteeringChange = {
-	readonly upstreams: ReadonlyMap<core.UpstreamId, states.Tracked>;
+	readonly upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>;
 	readonly effects: readonly events.Effect[];
 	/**
 	This host hardly reaches any upstream.
@@ -26,12 +26,12 @@
 /**
 Decides where this host steers away.
 */
-export function steer(
-	upstreams: ReadonlyMap<core.UpstreamId, states.Tracked>,
+export function updateSteering(
+	upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>,
 	{host, point, membership, now}: {
 		readonly host: core.HostId;
 		readonly point: operatingPoints.OperatingPoint;
-		readonly membership: measuring.Measurement['membership'];
+		readonly membership: measurements.Measurement['membership'];
 		readonly now: number;
 	},
 ): SteeringChange {
@@ -44,16 +44,16 @@
 			next.set(id, {...tracked, steering: {...tracked.steering, suspectedAt}});
 		}
 
-		if (suspectedAt !== undefined && now - suspectedAt >= constants.STEER_DELAY_MILLISECONDS) {
+		if (suspectedAt !== undefined && now - suspectedAt >= constants.STEERING_DELAY_MILLISECONDS) {
 			unreachable.push(id);
 		}
 	}
 
 	// A host that reaches hardly any upstream has nowhere to steer to: its own network is at fault, and it should leave
 	// the directory. Steering would only push all of its work onto the few that it still reaches.
-	const steered = next.values().filter(({steering}) => now < steering.until).map(({upstream}) => upstream.id);
+	const steered = next.values().filter(({steering}) => now < steering.steeringUntil).map(({upstream}) => upstream.id);
 	const avoided = [...new Set([...steered, ...unreachable])];
-	const isSelfFault = avoided.length > 1 && avoided.length > upstreams.size * constants.SELF_FAULT_SHARE;
+	const isSelfFault = avoided.length > 1 && avoided.length > upstreams.size * constants.SELF_FAULT_FRACTION;
 	const effects: events.Effect[] = isSelfFault
 		? [{kind: 'report-self', unreachable: avoided}]
 		: unreachable.map(id => startSteering(next, id, now));
@@ -61,20 +61,20 @@
 }
 
 function startSteering(
-	upstreams: Map<core.UpstreamId, states.Tracked>,
+	upstreams: Map<core.UpstreamId, states.TrackedUpstream>,
 	id: core.UpstreamId,
 	now: number,
 ): events.Effect {
 	const tracked = upstreams.get(id)!;
 	const {steering} = tracked;
-	const isInRow = now - steering.until < constants.STEER_CEILING_MILLISECONDS;
-	const count = isInRow ? steering.count + 1 : 1;
-	const wait = Math.min(constants.STEER_CEILING_MILLISECONDS, constants.STEER_MILLISECONDS * (2 ** (count - 1)));
-	const until = now + wait;
+	const isConsecutive = now - steering.steeringUntil < constants.MAX_STEERING_MILLISECONDS;
+	const consecutiveCount = isConsecutive ? steering.consecutiveCount + 1 : 1;
+	const durationMilliseconds = Math.min(constants.MAX_STEERING_MILLISECONDS, constants.INITIAL_STEERING_MILLISECONDS * (2 ** (consecutiveCount - 1)));
+	const until = now + durationMilliseconds;
 	upstreams.set(id, {
 		...tracked,
-		standing: {...tracked.standing, own: symptoms.EMPTY_STATISTICS},
-		steering: {suspectedAt: undefined, until, count},
+		evidence: {...tracked.evidence, own: symptoms.EMPTY_EVIDENCE},
+		steering: {suspectedAt: undefined, steeringUntil: until, consecutiveCount},
 	});
 	return {
 		kind: 'steer-away',
--- a/packages/wagtailroute-detection/src/summaries.ts
+++ b/packages/wagtailroute-detection/src/summaries.ts
@@ -12,7 +12,7 @@
 /**
 How a request ended at an upstream. `shed` is a 503 with the outcome not-run: a healthy server's answer to overload.
 */
-export type Result = 'success' | FailureKind | 'shed' | 'cancelled';
+export type RequestResult = 'success' | FailureKind | 'shed' | 'cancelled';
 
 /**
 All failure kinds.
--- a/packages/wagtailroute-detection/src/symptoms.ts
+++ b/packages/wagtailroute-detection/src/symptoms.ts
@@ -31,12 +31,12 @@
 /**
 Evidence in nats against each alternative of a symptom.
 */
-export type Evidence = readonly number[];
+export type SymptomEvidence = readonly number[];
 
 /**
 Evidence for all symptoms.
 */
-export type Statistics = Readonly<Record<Symptom, Evidence>>;
+export type EvidenceBySymptom = Readonly<Record<Symptom, SymptomEvidence>>;
 
 /**
 Alternatives: extra chance, above the normal rate, that a request of a sick upstream shows the symptom. The lowest ones
@@ -61,19 +61,19 @@
 /**
 No evidence.
 */
-export const EMPTY_STATISTICS: Statistics = {errors: [0, 0, 0], slowness: [0, 0], stalls: [0, 0]};
+export const EMPTY_EVIDENCE: EvidenceBySymptom = {errors: [0, 0, 0], slowness: [0, 0], stalls: [0, 0]};
 
 // Keeps the logarithms finite when the peers nearly all fail.
-const HIGHEST_RATE = 0.98;
+const MAX_RATE = 0.98;
 
 // Keeps the logarithms finite before the first tick set a normal rate.
-const LEAST_RATE = 0.001;
+const MIN_RATE = 0.001;
 
 /**
 Log likelihood ratio in nats of a sample: sick, with the extra chance, against normal.
 */
-export function getLikelihoodRatio(sample: Sample, normalRate: number, extra: number): number {
-	const normal = Math.min(normalRate, HIGHEST_RATE);
+export function getLogLikelihoodRatio(sample: Sample, normalRate: number, extra: number): number {
+	const normal = Math.min(normalRate, MAX_RATE);
 	const sick = 1 - ((1 - normal) * (1 - extra));
 	const good = sample.count - sample.bad;
 	return (sample.bad * Math.log(sick / normal)) + (good * Math.log((1 - sick) / (1 - normal)));
@@ -84,22 +84,22 @@
 upstream isn't held by old evidence for long.
 */
 export function addSample(
-	evidence: Evidence,
+	evidence: SymptomEvidence,
 	symptom: Symptom,
-	{sample, normalRate, gain, ceiling}: {
+	{sample, normalRate, maxGain: gain, maxEvidence: ceiling}: {
 		readonly sample: Sample;
 		readonly normalRate: number;
-		readonly gain: number;
-		readonly ceiling: number;
+		readonly maxGain: number;
+		readonly maxEvidence: number;
 	},
-): Evidence {
+): SymptomEvidence {
 	// Nearly all samples of a healthy service: no evidence before, and none to add.
 	if (sample.bad === 0 && (sample.count === 0 || isZero(evidence))) {
 		return evidence;
 	}
 
 	return evidence.map((value, index) => {
-		const ratio = getLikelihoodRatio(sample, normalRate, ALTERNATIVES[symptom][index]!);
+		const ratio = getLogLikelihoodRatio(sample, normalRate, ALTERNATIVES[symptom][index]!);
 		return Math.min(ceiling, Math.max(0, value + Math.min(gain, ratio)));
 	});
 }
@@ -107,7 +107,7 @@
 /**
 Strongest evidence for a symptom.
 */
-export function getStrongest(evidence: Evidence): number {
+export function getStrongestEvidence(evidence: SymptomEvidence): number {
 	return Math.max(...evidence);
 }
 
@@ -149,7 +149,7 @@
 export function sumSamples(all: Iterable<Samples>): Samples {
 	let sum = EMPTY_SAMPLES;
 	for (const samples of all) {
-		sum = sum === EMPTY_SAMPLES ? samples : addAll(sum, samples);
+		sum = sum === EMPTY_SAMPLES ? samples : mergeAll(sum, samples);
 	}
 
 	return sum;
@@ -169,7 +169,7 @@
 /**
 Whether nothing speaks for any alternative.
 */
-export function isEmpty({errors, slowness, stalls}: Statistics): boolean {
+export function isEmpty({errors, slowness, stalls}: EvidenceBySymptom): boolean {
 	return isZero(errors) && isZero(slowness) && isZero(stalls);
 }
 
@@ -183,14 +183,14 @@
 /**
 Takes back what failures that are no evidence added.
 */
-export function withdrawFailures(evidence: Evidence, symptom: Symptom, count: number, normalRate: number): Evidence {
+export function withdrawFailures(evidence: SymptomEvidence, symptom: Symptom, count: number, normalRate: number): SymptomEvidence {
 	return evidence.map((value, index) => {
-		const added = getLikelihoodRatio({count, bad: count}, Math.max(normalRate, LEAST_RATE), ALTERNATIVES[symptom][index]!);
+		const added = getLogLikelihoodRatio({count, bad: count}, Math.max(normalRate, MIN_RATE), ALTERNATIVES[symptom][index]!);
 		return Math.max(0, value - added);
 	});
 }
 
-function isZero(evidence: Evidence): boolean {
+function isZero(evidence: SymptomEvidence): boolean {
 	for (const value of evidence) {
 		if (value !== 0) {
 			return false;
@@ -200,7 +200,7 @@
 	return true;
 }
 
-function addAll(left: Samples, right: Samples): Samples {
+function mergeAll(left: Samples, right: Samples): Samples {
 	return {
 		errors: mergeSamples(left.errors, right.errors),
 		slowness: mergeSamples(left.slowness, right.slowness),
--- a/packages/wagtailroute-detection/src/activity.ts
+++ b/packages/wagtailroute-detection/src/tick-interval.ts
@@ -11,20 +11,20 @@
 Returns the recommended time from the last tick to the next one, in milliseconds. The short one when there are failures to
 weigh, evidence has gathered, or a phase waits for requests or answers.
 */
-export function getTickMilliseconds(state: states.Detection): number {
-	const least = operatingPoints.OPERATING_POINTS[state.operatingPoint].threshold * constants.ACTIVE_SHARE;
-	const isActive = hasFailures(state.pending) || state.upstreams.values().some(tracked => isUnsettled(tracked, least));
-	return isActive ? constants.TICK_MILLISECONDS : constants.QUIET_TICK_MILLISECONDS;
+export function getTickIntervalMilliseconds(state: states.DetectionState): number {
+	const least = operatingPoints.OPERATING_POINTS[state.operatingPoint].threshold * constants.ACTIVE_EVIDENCE_FRACTION;
+	const isActive = hasFailures(state.pending) || state.upstreams.values().some(tracked => isUpstreamActive(tracked, least));
+	return isActive ? constants.TICK_INTERVAL_MILLISECONDS : constants.QUIET_TICK_INTERVAL_MILLISECONDS;
 }
 
-function hasFailures(pending: states.Detection['pending']): boolean {
+function hasFailures(pending: states.DetectionState['pending']): boolean {
 	return pending.some(({upstreams}) => upstreams.some(({failures}) => Object.keys(failures).length > 0));
 }
 
-function isUnsettled({phase, standing, steering}: states.Tracked, least: number): boolean {
-	const isWaiting = phase.kind === 'serving' ? phase.foundAt !== undefined : phase.kind !== 'ejected';
+function isUpstreamActive({phase, evidence, steering}: states.TrackedUpstream, least: number): boolean {
+	const isWaiting = phase.kind === 'serving' ? phase.findingSince !== undefined : phase.kind !== 'ejected';
 	return isWaiting
 		|| steering.suspectedAt !== undefined
-		|| symptoms.SYMPTOMS.some(symptom => symptoms.getStrongest(standing.pooled[symptom]) >= least
-			|| symptoms.getStrongest(standing.own[symptom]) >= least);
+		|| symptoms.SYMPTOMS.some(symptom => symptoms.getStrongestEvidence(evidence.pooled[symptom]) >= least
+			|| symptoms.getStrongestEvidence(evidence.own[symptom]) >= least);
 }
--- a/packages/wagtailroute-detection/src/varints.ts
+++ b/packages/wagtailroute-detection/src/varints.ts
@@ -21,14 +21,14 @@
 	readonly readNumber: () => number;
 	readonly readFixed: (length: number) => number;
 	readonly isAtEnd: () => boolean;
-	readonly isBroken: () => boolean;
+	readonly isMalformed: () => boolean;
 };
 
-const BYTE = 256;
-const MORE = 128;
+const BYTE_RANGE = 256;
+const CONTINUATION_BIT = 128;
 
 // A longer number doesn't come from a writer.
-const LONGEST_NUMBER_BYTES = 7;
+const MAX_NUMBER_BYTES = 7;
 
 /**
 Creates a writer.
@@ -37,18 +37,18 @@
 	const bytes: number[] = [];
 	return {
 		writeNumber(value) {
-			let rest = value;
-			while (rest >= MORE) {
-				bytes.push((rest % MORE) + MORE);
-				rest = Math.floor(rest / MORE);
+			let remaining = value;
+			while (remaining >= CONTINUATION_BIT) {
+				bytes.push((remaining % CONTINUATION_BIT) + CONTINUATION_BIT);
+				remaining = Math.floor(remaining / CONTINUATION_BIT);
 			}
 
-			bytes.push(rest);
+			bytes.push(remaining);
 		},
 		writeFixed(value, length) {
-			for (let index = 0, rest = value; index < length; index++) {
-				bytes.push(rest % BYTE);
-				rest = Math.floor(rest / BYTE);
+			for (let index = 0, remaining = value; index < length; index++) {
+				bytes.push(remaining % BYTE_RANGE);
+				remaining = Math.floor(remaining / BYTE_RANGE);
 			}
 		},
 		getBytes: () => bytes,
@@ -71,10 +71,10 @@
 	return {
 		readNumber() {
 			let value = 0;
-			for (let index = 0; index < LONGEST_NUMBER_BYTES; index++) {
+			for (let index = 0; index < MAX_NUMBER_BYTES; index++) {
 				const byte = readByte();
-				value += (byte % MORE) * (MORE ** index);
-				if (byte < MORE) {
+				value += (byte % CONTINUATION_BIT) * (CONTINUATION_BIT ** index);
+				if (byte < CONTINUATION_BIT) {
 					return value;
 				}
 			}
@@ -85,12 +85,12 @@
 		readFixed(length) {
 			let value = 0;
 			for (let index = 0; index < length; index++) {
-				value += readByte() * (BYTE ** index);
+				value += readByte() * (BYTE_RANGE ** index);
 			}
 
 			return value;
 		},
 		isAtEnd: () => position >= bytes.length,
-		isBroken: () => isBroken,
+		isMalformed: () => isBroken,
 	};
 }
--- a/packages/wagtailroute-detection/src/windows.ts
+++ b/packages/wagtailroute-detection/src/windows.ts
@@ -15,7 +15,7 @@
 	/**
 	Number of samples in `latencies`: asked for many times in each step.
 	*/
-	readonly total: number;
+	readonly latencyCount: number;
 };
 
 /**
@@ -28,7 +28,7 @@
 	readonly requests: ReadonlyMap<core.HostId, number>;
 };
 
-const EMPTY_WINDOW: Window = {samples: symptoms.EMPTY_SAMPLES, latencies: latencies.EMPTY_HISTOGRAM, total: 0};
+const EMPTY_WINDOW: Window = {samples: symptoms.EMPTY_SAMPLES, latencies: latencies.EMPTY_HISTOGRAM, latencyCount: 0};
 
 /**
 Windows that have seen nothing.
@@ -39,19 +39,19 @@
 };
 
 // Below this many requests a host is dropped, so that hosts that left don't fill the table.
-const FORGOTTEN_COUNT = 0.01;
+const MIN_HOST_REQUESTS = 0.01;
 
 /**
 Adds latencies, and lets those that were there decay by the elapsed time.
 */
-export function addLatencies(windows: Windows, added: latencies.Pairs, elapsed: number): Windows {
-	const {count} = latencies.countPairs(added, 0);
+export function addLatencies(windows: Windows, added: latencies.SparseHistogram, elapsed: number): Windows {
+	const {count} = latencies.countSparseSamples(added, 0);
 	const add = (window: Window, length: number): Window => {
 		const decay = getDecay(elapsed, length);
 		return {
 			samples: window.samples,
 			latencies: latencies.scaleAndAdd(window.latencies, decay, added),
-			total: (window.total * decay) + count,
+			latencyCount: (window.latencyCount * decay) + count,
 		};
 	};
 
@@ -75,7 +75,7 @@
 	const add = (window: Window, length: number): Window => ({
 		samples: symptoms.scaleAndAddAll(window.samples, getDecay(elapsed, length), pooled),
 		latencies: window.latencies,
-		total: window.total,
+		latencyCount: window.latencyCount,
 	});
 	return {
 		instant: symptoms.scaleAndAddAll(windows.instant, getDecay(elapsed, constants.INSTANT_WINDOW_MILLISECONDS), pooled),
@@ -88,7 +88,7 @@
 /**
 Takes failures out of the windows, as far as they are there.
 */
-export function discountFailures(windows: Windows, count: number): Windows {
+export function withdrawFailures(windows: Windows, count: number): Windows {
 	const discount = (samples: symptoms.Samples): symptoms.Samples => {
 		const {errors} = samples;
 		const taken = Math.min(count, errors.bad);
@@ -112,10 +112,10 @@
 	added: ReadonlyMap<core.HostId, symptoms.Samples>,
 	elapsed: number,
 ): Windows['requests'] {
-	const decay = getDecay(elapsed, constants.HOST_WINDOW_MILLISECONDS);
+	const decay = getDecay(elapsed, constants.HOST_REQUESTS_WINDOW_MILLISECONDS);
 	const next = new Map<core.HostId, number>();
 	for (const [host, count] of requests) {
-		if (count * decay > FORGOTTEN_COUNT) {
+		if (count * decay > MIN_HOST_REQUESTS) {
 			next.set(host, count * decay);
 		}
 	}
--- a/packages/wagtailroute-host/src/detecting.ts
+++ b/packages/wagtailroute-host/src/detecting.ts
@@ -169,7 +169,7 @@
 */
 function getPeriods(services: number): WatchPeriods {
 	return {
-		summary: Math.max(detection.QUIET_SUMMARY_MILLISECONDS, services * MILLISECONDS_PER_SECOND / SUMMARIES_PER_SECOND),
-		step: Math.max(detection.QUIET_TICK_MILLISECONDS, services * MILLISECONDS_PER_SECOND / STEPS_PER_SECOND),
+		summary: Math.max(detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS, services * MILLISECONDS_PER_SECOND / SUMMARIES_PER_SECOND),
+		step: Math.max(detection.QUIET_TICK_INTERVAL_MILLISECONDS, services * MILLISECONDS_PER_SECOND / STEPS_PER_SECOND),
 	};
 }
--- a/packages/wagtailroute-host/src/detection-mail.ts
+++ b/packages/wagtailroute-host/src/detection-mail.ts
@@ -41,7 +41,7 @@
 
 	const read = ({host, failureDomain, epoch: theirs, told}: Letter) => {
 		for (const [service, sequence, text] of told) {
-			const upstreams = detection.decodeUpstreams(text, announcing.getUpstreams(service).map(({id}) => id), theirs);
+			const upstreams = detection.decodeUpstreamSummaries(text, announcing.getUpstreams(service).map(({id}) => id), theirs);
 			if (upstreams !== undefined) {
 				onSummary(service, {
 					host, failureDomain, epoch: theirs, sequence, upstreams,
@@ -52,7 +52,7 @@
 
 	return {
 		add(service, {sequence, upstreams}) {
-			const told = [service, sequence, detection.encodeUpstreams(upstreams, epoch)] as const;
+			const told = [service, sequence, detection.encodeUpstreamSummaries(upstreams, epoch)] as const;
 			const carriers = store.read(state => state.carriers.get(service) ?? []);
 			const others = carriers.filter(id => id !== settings.hostId);
 			for (const carrier of others) {
--- a/packages/wagtailroute-host/src/watches.ts
+++ b/packages/wagtailroute-host/src/watches.ts
@@ -68,7 +68,7 @@
 	readonly onChange: () => void;
 };
 
-const RESULTS: Readonly<Record<proxy.AttemptEnding, detection.Result>> = {
+const RESULTS: Readonly<Record<proxy.AttemptEnding, detection.RequestResult>> = {
 	success: 'success',
 	'server-error': 'status',
 	shed: 'shed',
@@ -98,10 +98,10 @@
 	const {announcing, grants, leases, onChange} = plan;
 	const service = plan.entry.name;
 	const log = context.log('detection');
-	const tickets = new WeakMap<proxy.Target, detection.Ticket>();
+	const tickets = new WeakMap<proxy.Target, detection.InFlightRequest>();
 	const rampStarts = new Map<core.UpstreamId, number>();
 	const avoidedUntil = new Map<core.UpstreamId, number>();
-	const evidence = detection.createEvidence({host: settings.hostId, failureDomain: settings.failureDomain, epoch: plan.epoch});
+	const evidence = detection.createEvidenceCollector({host: settings.hostId, failureDomain: settings.failureDomain, epoch: plan.epoch});
 	const createdAt = now();
 	let reportedAt = 0;
 	let steppedAt = 0;
@@ -134,8 +134,8 @@
 		leases.poll();
 	};
 
-	const machine = runMachine<detection.Detection, detection.Event, detection.Effect>({
-		initial: detection.createDetection({host: settings.hostId, operatingPoint: plan.entry.detection}),
+	const machine = runMachine<detection.DetectionState, detection.Event, detection.Effect>({
+		initial: detection.createDetectionState({host: settings.hostId, operatingPoint: plan.entry.detection}),
 		step: detection.stepDetection,
 		circumstances: () => ({now: now(), random}),
 		onDefect: context.fail,
@@ -207,14 +207,14 @@
 	};
 
 	const stepWhenDue = (time: number, quietMilliseconds: number) => {
-		if (time - steppedAt < (hasFailures || isActive ? detection.TICK_MILLISECONDS : quietMilliseconds)) {
+		if (time - steppedAt < (hasFailures || isActive ? detection.TICK_INTERVAL_MILLISECONDS : quietMilliseconds)) {
 			return;
 		}
 
 		steppedAt = time;
 		hasFailures = false;
 		machine.send({kind: 'tick'});
-		isActive = detection.getTickMilliseconds(machine.read()) === detection.TICK_MILLISECONDS;
+		isActive = detection.getTickIntervalMilliseconds(machine.read()) === detection.TICK_INTERVAL_MILLISECONDS;
 	};
 
 	refresh();
@@ -222,11 +222,11 @@
 		send: machine.send,
 		refresh,
 		takeSummary(summary) {
-			evidence.hear(summary, now());
+			evidence.applySummary(summary, now());
 			takeSummary(summary);
 		},
 		tick(time, periods) {
-			const summary = evidence.takeDue(time, periods.summary);
+			const summary = evidence.collectDueSummary(time, periods.summary);
 			if (summary !== undefined) {
 				takeSummary(summary);
 				plan.sendSummary(summary);
--- a/scripts/capacity/detection.ts
+++ b/scripts/capacity/detection.ts
@@ -32,8 +32,8 @@
 	const random = utils.createRandom(SEED);
 	const ids = Array.from({length: upstreams}, (_, index) => `service-1234-upstream-${index}`);
 	const evidences = Array.from({length: CARRIERS}, (_, index) =>
-		detection.createEvidence({host: `entry-${1000 + index}`, failureDomain: `domain-${index}`, epoch: index}));
-	let state = detection.createDetection({host: 'entry-1000', operatingPoint: 'fast'});
+		detection.createEvidenceCollector({host: `entry-${1000 + index}`, failureDomain: `domain-${index}`, epoch: index}));
+	let state = detection.createDetectionState({host: 'entry-1000', operatingPoint: 'fast'});
 	let now = 0;
 	const step = (event: detection.Event) => {
 		const transition = detection.stepDetection(state, event, {now, random});
@@ -44,14 +44,14 @@
 	const cost = {
 		bytes: 0, summaries: 0, summaryMicroseconds: 0, ticks: 0, tickMicroseconds: 0,
 	};
-	const summarize = (evidence: detection.Evidence) => {
+	const summarize = (evidence: detection.EvidenceCollector) => {
 		for (let request = 0; request < REQUESTS; request++) {
 			evidence.record(ids[utils.pickIndex(random, upstreams)]!, 'success', 5 + (random() * 40));
 		}
 
-		const summary = evidence.takeSummary(now)!;
+		const summary = evidence.collectSummary(now)!;
 		// As the host's letters carry it.
-		cost.bytes += JSON.stringify(['service-1234', summary.sequence, detection.encodeUpstreams(summary.upstreams, SEED)]).length;
+		cost.bytes += JSON.stringify(['service-1234', summary.sequence, detection.encodeUpstreamSummaries(summary.upstreams, SEED)]).length;
 		cost.summaries++;
 		cost.summaryMicroseconds += measureMicroseconds(() => {
 			step({kind: 'summary', summary});
@@ -99,7 +99,7 @@
 	return states.length === COPIES ? Math.round(bytes / COPIES) : NaN;
 }
 
-function createFilled(copy: number, upstreams: number): detection.Detection {
+function createFilled(copy: number, upstreams: number): detection.DetectionState {
 	const random = utils.createRandom(SEED);
 	const ids = Array.from({length: upstreams}, (_unused, index) => `service-${copy}-upstream-${index}`);
 	const events: detection.Event[] = [
@@ -117,7 +117,7 @@
 			},
 		})),
 	];
-	let state = detection.createDetection({host: 'entry-1000', operatingPoint: 'fast'});
+	let state = detection.createDetectionState({host: 'entry-1000', operatingPoint: 'fast'});
 	for (const event of events) {
 		state = detection.stepDetection(state, event, {now: 0, random}).state;
 	}
