--- a/packages/wagtailroute-detection/src/detection.ts
+++ b/packages/wagtailroute-detection/src/detection.ts
@@ -30,7 +30,7 @@
 		const before = state.pending.findLast(({host}) => host === summary.host) ?? state.lastSummaries.get(summary.host);
 		// A summary that comes again, or late, would count its requests twice.
 		const isKnown = before?.epoch === summary.epoch && before.sequence >= summary.sequence;
-		return createUnchanged(isKnown ? state : {...state, pending: [...state.pending, summary]});
+		return createTransition(isKnown ? state : {...state, pending: [...state.pending, summary]});
 	},
 	tick: (state, _event, circumstances) => tick(state, circumstances),
 	'upstreams-changed'(state, {upstreams}, {now}) {
@@ -39,7 +39,7 @@
 			const tracked = before === undefined ? states.createTrackedUpstream(upstream, now) : {...before, upstream};
 			return [upstream.id, tracked];
 		}));
-		return createUnchanged({...state, upstreams: next});
+		return createTransition({...state, upstreams: next});
 	},
 	ejected: (state, event, circumstances) => changeUpstream(state, event.upstream, tracked =>
 		grants.applyEjection(tracked, {...circumstances, point: operatingPoints.OPERATING_POINTS[state.operatingPoint]})),
@@ -51,10 +51,10 @@
 		effects: [],
 	})),
 	discount: (state, {upstream, count}) => changeUpstream(state, upstream, tracked => ({
-		tracked: grants.withdrawFailures(tracked, count),
+		tracked: grants.withdrawUpstreamFailures(tracked, count),
 		effects: [],
 	})),
-	configured: (state, {operatingPoint}) => createUnchanged({...state, operatingPoint}),
+	configured: (state, {operatingPoint}) => createTransition({...state, operatingPoint}),
 };
 
 /**
@@ -69,7 +69,7 @@
 	return handler(state, event, circumstances);
 };
 
-function createUnchanged(state: states.DetectionState): events.Transition {
+function createTransition(state: states.DetectionState): events.Transition {
 	return {state, effects: []};
 }
 
@@ -80,7 +80,7 @@
 ): events.Transition {
 	const before = state.upstreams.get(id);
 	if (before === undefined) {
-		return createUnchanged(state);
+		return createTransition(state);
 	}
 
 	const {tracked, effects} = change(before);
--- a/packages/wagtailroute-detection/src/grants.ts
+++ b/packages/wagtailroute-detection/src/grants.ts
@@ -60,7 +60,7 @@
 /**
 Withdraws failures that a request caused and not the upstream.
 */
-export function withdrawFailures(tracked: states.TrackedUpstream, count: number): states.TrackedUpstream {
+export function withdrawUpstreamFailures(tracked: states.TrackedUpstream, count: number): states.TrackedUpstream {
 	const withdraw = (statistics: symptoms.EvidenceBySymptom): symptoms.EvidenceBySymptom => ({
 		...statistics,
 		errors: symptoms.withdrawFailures(statistics.errors, 'errors', count, tracked.normalRates.errors),
--- a/packages/wagtailroute-detection/src/phases.ts
+++ b/packages/wagtailroute-detection/src/phases.ts
@@ -42,24 +42,24 @@
 const HANDLERS: Handlers = {
 	serving(tracked, phase, context) {
 		if (tracked.upstream.state === 'draining' || context.now < phase.nextRequestAt) {
-			return createUnchanged(tracked);
+			return createChange(tracked);
 		}
 
 		const finding = findings.getFinding(tracked, context.point, context.measurement);
 		if (finding === undefined) {
-			return createUnchanged(phase.findingSince === undefined ? tracked : {...tracked, phase: {...phase, findingSince: undefined}});
+			return createChange(phase.findingSince === undefined ? tracked : {...tracked, phase: {...phase, findingSince: undefined}});
 		}
 
 		// Evidence gathered while all got worse says nothing about this one: without the reset it would eject a healthy
 		// upstream as soon as the others recover.
 		if (context.isSharedCause) {
-			return createUnchanged({...tracked, evidence: states.EMPTY_UPSTREAM_EVIDENCE});
+			return createChange({...tracked, evidence: states.EMPTY_UPSTREAM_EVIDENCE});
 		}
 
 		const findingSince = phase.findingSince ?? context.now;
 		const isLasting = context.now - findingSince >= context.point.minFindingMilliseconds[finding.symptom];
 		if (!isLasting || !findings.isInstantRateElevated(tracked, finding.symptom)) {
-			return createUnchanged({...tracked, phase: {...phase, findingSince}});
+			return createChange({...tracked, phase: {...phase, findingSince}});
 		}
 
 		return {
@@ -71,11 +71,11 @@
 		const next: states.Phase = isGrantTimedOut(phase.since, now)
 			? {kind: 'serving', since: phase.since, nextRequestAt: now}
 			: phase;
-		return createUnchanged({...tracked, phase: next});
+		return createChange({...tracked, phase: next});
 	},
 	ejected(tracked, phase, {now}) {
 		if (now < phase.until) {
-			return createUnchanged(tracked);
+			return createChange(tracked);
 		}
 
 		return {
@@ -98,10 +98,10 @@
 			&& evidence < context.point.threshold * constants.READMISSION_EVIDENCE_FRACTION;
 		return hasRecovered
 			? requestReadmission(tracked, context.now)
-			: createUnchanged({...tracked, phase: {kind: 'trial', good}});
+			: createChange({...tracked, phase: {kind: 'trial', good}});
 	},
 	readmitting(tracked, phase, {now}) {
-		return isGrantTimedOut(phase.since, now) ? requestReadmission(tracked, now) : createUnchanged(tracked);
+		return isGrantTimedOut(phase.since, now) ? requestReadmission(tracked, now) : createChange(tracked);
 	},
 };
 
@@ -145,7 +145,7 @@
 	};
 }
 
-function createUnchanged(tracked: states.TrackedUpstream): PhaseChange {
+function createChange(tracked: states.TrackedUpstream): PhaseChange {
 	return {tracked, effects: []};
 }
 
