--- a/packages/wagtailroute-fleet/src/group.ts
+++ b/packages/wagtailroute-fleet/src/group.ts
@@ -155,9 +155,9 @@
 			random: context.random,
 			schedule: context.schedule,
 			// A host that starts with an empty disk later on joins the group; it must not create a second one.
-			...settings.isFirstStart && {first: {hosts: settings.seeds.map(seed => seed.id)}},
+			...settings.isFirstStart && {initialMembers: {hosts: settings.seeds.map(seed => seed.id)}},
 			getSeeds: () => options.listSeeds(),
-			settings: {commandBytesMost: MAX_COMMAND_BYTES},
+			settings: {maxCommandBytes: MAX_COMMAND_BYTES},
 			onStopped(failure) {
 				reopen(failure.message);
 			},
@@ -182,9 +182,9 @@
 		updateUnreachable(unreachableSince, status, {running: running.map(({host}) => host), now: context.now()});
 		const wanted = replication.chooseMembers({
 			members: status.members,
-			running,
+			runningHosts: running,
 			isReplaceable: host => context.now() - (unreachableSince.get(host) ?? Infinity) > REPLACE_MEMBER_DELAY_MILLISECONDS,
-			votersMost: MAX_VOTERS,
+			maxVoters: MAX_VOTERS,
 		});
 		const changed = await group!.reconcile(wanted);
 		if (changed.isOk() && changed.value !== undefined) {
--- a/packages/wagtailroute-host/src/control.ts
+++ b/packages/wagtailroute-host/src/control.ts
@@ -136,7 +136,7 @@
 		random: context.random,
 		schedule: context.schedule,
 		// Given at every start: the group creates itself once, and a wiped host joins as a new member.
-		first: {hosts: initialControl.map(initial => initial.id)},
+		initialMembers: {hosts: initialControl.map(initial => initial.id)},
 		getSeeds: () => getControlHosts(context),
 		onStopped(failure) {
 			failures[name] = failure.message;
--- a/packages/wagtailroute-host/src/voters.ts
+++ b/packages/wagtailroute-host/src/voters.ts
@@ -23,9 +23,9 @@
 	noteGone(context, running);
 	return replication.chooseMembers({
 		members: status.members,
-		running: running.map(({id, failureDomain}) => ({host: id, failureDomain})),
+		runningHosts: running.map(({id, failureDomain}) => ({host: id, failureDomain})),
 		isReplaceable: host => isReplaceable(context, host),
-		votersMost: MAXIMUM_VOTERS,
+		maxVoters: MAXIMUM_VOTERS,
 	});
 }
 
--- a/packages/wagtailroute-replication/src/__tests__/unit/checks.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/checks.ts
@@ -8,7 +8,7 @@
 /**
 A state machine that any difference in the sequence of commands shows in.
 */
-export type Machine = {readonly index: number; readonly chain: number};
+export type ChainMachine = {readonly index: number; readonly chain: number};
 
 /**
 Thrown when something doesn't hold.
@@ -30,11 +30,11 @@
 	/**
 	Highest index that a caller knows to be accepted or has read.
 	*/
-	floor: number;
+	minReadIndex: number;
 	lastAcknowledged: number;
 };
 
-export const EMPTY_MACHINE: Machine = {index: 0, chain: 7};
+export const INITIAL_MACHINE: ChainMachine = {index: 0, chain: 7};
 
 const CHAIN_FACTOR = 31;
 const CHAIN_MODULUS = 1_000_003;
@@ -59,7 +59,7 @@
 		commands: new Map(),
 		refused: new Set(),
 		reads: new Map(),
-		floor: 0,
+		minReadIndex: 0,
 		lastAcknowledged: 0,
 	};
 }
@@ -97,7 +97,7 @@
 /**
 Applies a command to a state machine and checks that it went through the same states as the others.
 */
-export function applyCommand(checks: Checks, machine: Machine, index: number, command: number): Machine {
+export function applyCommand(checks: Checks, machine: ChainMachine, index: number, command: number): ChainMachine {
 	check(index > machine.index, `entry ${index} was applied twice`);
 	for (let between = machine.index + 1; between < index; between++) {
 		check(!checks.committed.get(between)?.includes('"kind":"command"'), `entry ${between} was not applied`);
@@ -112,34 +112,34 @@
 /**
 Checks a state that came by snapshot.
 */
-export function checkRestored(checks: Checks, machine: Machine): void {
+export function checkRestored(checks: Checks, machine: ChainMachine): void {
 	check((checks.chains.get(machine.index) ?? machine.chain) === machine.chain, 'a snapshot holds another state');
 }
 
 /**
 Checks an answer to a read or a proposal; says whether it was a read that succeeded.
 */
-export function checkAnswer(checks: Checks, machine: Machine, id: string, answer: replication.Answer): boolean {
+export function checkAnswer(checks: Checks, machine: ChainMachine, id: string, answer: replication.Answer): boolean {
 	const command = checks.commands.get(id);
 	const isRefused = answer.outcome === 'not-leader' || answer.outcome === 'refused';
 	if (command !== undefined && isRefused) {
 		checks.refused.add(command);
 	}
 
-	const readFloor = checks.reads.get(id);
-	if (readFloor === undefined || answer.outcome !== 'done') {
+	const minIndex = checks.reads.get(id);
+	if (minIndex === undefined || answer.outcome !== 'done') {
 		return false;
 	}
 
-	check(machine.index >= readFloor, `a read went back from entry ${readFloor} to ${machine.index}`);
-	checks.floor = Math.max(checks.floor, machine.index);
+	check(machine.index >= minIndex, `a read went back from entry ${minIndex} to ${machine.index}`);
+	checks.minReadIndex = Math.max(checks.minReadIndex, machine.index);
 	return true;
 }
 
 /**
 Checks the healed group.
 */
-export function checkEnd(checks: Checks, machines: readonly Machine[]): void {
+export function checkEnd(checks: Checks, machines: readonly ChainMachine[]): void {
 	for (const machine of machines) {
 		check(machine.index >= checks.lastAcknowledged, 'an acknowledged change is lost');
 		check(machine.chain === machines[0]!.chain, 'the state machines differ');
--- a/packages/wagtailroute-replication/src/__tests__/unit/cluster.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/cluster.ts
@@ -29,7 +29,7 @@
 export type Node = {
 	readonly host: string;
 	disk: replication.DurableState;
-	machine: checking.Machine;
+	machine: checking.ChainMachine;
 	writes: replication.Write[];
 	replica: replication.Replica | undefined;
 };
@@ -43,12 +43,12 @@
 	readonly random: utils.Random;
 	readonly checks: checking.Checks;
 	readonly counts: Counts;
-	readonly cuts: Set<string>;
-	readonly first: readonly replication.Member[];
+	readonly cutLinks: Set<string>;
+	readonly initialMembers: readonly replication.Member[];
 	/**
 	Elections start after a delay that the network often brings, so that terms change all the time.
 	*/
-	readonly isHasty: boolean;
+	readonly hasShortTimeouts: boolean;
 	network: replication.Message[];
 	now: number;
 	nextId: number;
@@ -56,20 +56,20 @@
 
 const SNAPSHOT_BYTES = 40;
 const COMMAND_BYTES = 5;
-const HASTY = {
-	heartbeatMs: 80, idleHeartbeatMs: 120, learnerHeartbeatMs: 150, electionTimeoutMinMs: 200, electionTimeoutMaxMs: 500,
+const SHORT_TIMEOUTS = {
+	heartbeatIntervalMs: 80, idleHeartbeatIntervalMs: 120, learnerHeartbeatIntervalMs: 150, minElectionTimeoutMs: 200, maxElectionTimeoutMs: 500,
 };
 
 /**
 Creates hosts that are all voters of a new group.
 */
 export function createCluster(seed: number, hostCount: number, mutation: Mutation): Cluster {
-	const first = Array.from({length: hostCount}, (_, at) => ({id: `h${at}~first`, role: 'voter'} as const));
+	const initialMembers = Array.from({length: hostCount}, (_, at) => ({id: `h${at}~first`, role: 'voter'} as const));
 	const cluster: Cluster = {
-		nodes: first.map(({id}) => ({
+		nodes: initialMembers.map(({id}) => ({
 			host: replication.getMemberHost(id),
-			disk: replication.createDurableState(id, first),
-			machine: checking.EMPTY_MACHINE,
+			disk: replication.createDurableState(id, initialMembers),
+			machine: checking.INITIAL_MACHINE,
 			writes: [],
 			replica: undefined,
 		})),
@@ -79,15 +79,15 @@
 		counts: {
 			acknowledged: 0, reads: 0, crashes: 0, wipes: 0, repairs: 0, snapshots: 0,
 		},
-		cuts: new Set(),
-		first,
-		isHasty: seed % 2 === 1,
+		cutLinks: new Set(),
+		initialMembers,
+		hasShortTimeouts: seed % 2 === 1,
 		network: [],
 		now: 0,
 		nextId: 0,
 	};
 	for (const node of cluster.nodes) {
-		boot(cluster, node);
+		start(cluster, node);
 	}
 
 	return cluster;
@@ -96,11 +96,11 @@
 /**
 Starts a process from its disk. Small limits make snapshots and compactions frequent.
 */
-export function boot(cluster: Cluster, node: Node): void {
+export function start(cluster: Cluster, node: Node): void {
 	const settings = replication.createSettings({
-		group: 'g', self: node.disk.self, compactionBytesMin: 60, retainedEntries: 3, ...(cluster.isHasty && HASTY),
+		group: 'g', self: node.disk.self, minCompactionBytes: 60, retainedEntries: 3, ...(cluster.hasShortTimeouts && SHORT_TIMEOUTS),
 	});
-	node.machine = (node.disk.snapshot.state ?? checking.EMPTY_MACHINE) as checking.Machine;
+	node.machine = (node.disk.snapshot.state ?? checking.INITIAL_MACHINE) as checking.ChainMachine;
 	node.replica = replication.createReplica(settings, node.disk, cluster);
 }
 
@@ -156,10 +156,10 @@
 
 		counts.acknowledged++;
 		checks.lastAcknowledged = Math.max(checks.lastAcknowledged, token.index);
-		checks.floor = Math.max(checks.floor, token.index);
+		checks.minReadIndex = Math.max(checks.minReadIndex, token.index);
 	},
 	restore({checks}, node, {snapshot}) {
-		node.machine = snapshot.state as checking.Machine;
+		node.machine = snapshot.state as checking.ChainMachine;
 		checking.checkRestored(checks, node.machine);
 	},
 	answer({checks, counts}, node, {id, answer}) {
@@ -184,7 +184,7 @@
 	const from = replication.getMemberHost(message.from);
 	const to = replication.getMemberHost(message.to);
 	const node = cluster.nodes.find(item => item.host === to)!;
-	if (node.replica === undefined || cluster.cuts.has(`${from}>${to}`)) {
+	if (node.replica === undefined || cluster.cutLinks.has(`${from}>${to}`)) {
 		return;
 	}
 
@@ -221,7 +221,7 @@
 Says whether every list of members, in logs, on disks or in flight, keeps a quorum of intact voters when this host loses its
 disk. Beyond that no group can go on.
 */
-function canWipe(cluster: Cluster, wiped: Node): boolean {
+function canWipeDisk(cluster: Cluster, wiped: Node): boolean {
 	const intact = new Set(cluster.nodes.filter(node => node !== wiped).map(node => node.disk.self));
 	return listMembers(cluster).every(members => {
 		const voters = members.filter(member => member.role === 'voter');
@@ -244,17 +244,17 @@
 /**
 Ends a process, takes its disk and starts it anew, if the group can do without.
 */
-export function wipe(cluster: Cluster, node: Node): void {
-	if (!canWipe(cluster, node)) {
+export function wipeDisk(cluster: Cluster, node: Node): void {
+	if (!canWipeDisk(cluster, node)) {
 		return;
 	}
 
 	crash(cluster, node);
 	cluster.counts.wipes++;
 	node.disk = cluster.mutation === 'kept-identity'
-		? replication.createDurableState(node.disk.self, cluster.first)
+		? replication.createDurableState(node.disk.self, cluster.initialMembers)
 		: replication.createDurableState(`${node.host}~${++cluster.nextId}`, []);
-	boot(cluster, node);
+	start(cluster, node);
 }
 
 /**
@@ -273,7 +273,7 @@
 export function read(cluster: Cluster, node: Node): void {
 	const {checks, mutation} = cluster;
 	const id = String(++cluster.nextId);
-	checks.reads.set(id, checks.floor);
+	checks.reads.set(id, checks.minReadIndex);
 	if (mutation === 'unconfirmed-read') {
 		checking.checkAnswer(checks, node.machine, id, {outcome: 'done', token: {term: 0, index: 0}});
 	} else {
@@ -298,7 +298,7 @@
 /**
 Moves the clock.
 */
-export function advance(cluster: Cluster, milliseconds: number): void {
+export function advanceTime(cluster: Cluster, milliseconds: number): void {
 	cluster.now += milliseconds;
 	for (const node of cluster.nodes) {
 		if (node.replica !== undefined && replication.getNextTick(node.replica) <= cluster.now) {
--- a/packages/wagtailroute-replication/src/__tests__/unit/engine.test.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/engine.test.ts
@@ -8,7 +8,7 @@
 /**
 A replica whose writes are confirmed only on demand.
 */
-class Bench {
+class ReplicaHarness {
 	now = 0;
 	random = () => 0;
 	state: replication.Replica;
@@ -54,7 +54,7 @@
 	/**
 	Takes the lead; the own log is durable.
 	*/
-	lead(): void {
+	becomeLeader(): void {
 		this.campaign([B, C]);
 		this.persist();
 		this.persist();
@@ -66,7 +66,7 @@
 		});
 	}
 
-	change(change: replication.MembershipChange): unknown {
+	requestChange(change: replication.MembershipChange): unknown {
 		return this.run({kind: 'change-members', id: 'x', change}).find(effect => effect.kind === 'answer')?.answer;
 	}
 }
@@ -83,108 +83,108 @@
 
 // Symptom: a term with two leaders. Sequence: a host votes, crashes before the sync, votes again.
 test('a vote is answered once it is durable, and given once a term', t => {
-	const bench = new Bench();
+	const harness = new ReplicaHarness();
 	const request = {kind: 'vote', lastIndex: 0, lastTerm: 0};
 	// The term itself is known and durable already.
-	bench.receive(D, 1, {...request, lastTerm: -1});
-	bench.persist();
-	t.deepEqual(getSent(bench.receive(B, 1, request)), []);
-	t.like(getSent(bench.persist())[0], {kind: 'vote-answer', granted: true, to: B});
-	t.like(getSent(bench.receive(C, 1, request))[0], {kind: 'vote-answer', granted: false, to: C});
-	t.like(getSent(bench.receive(B, 1, request))[0], {kind: 'vote-answer', granted: true, to: B});
+	harness.receive(D, 1, {...request, lastTerm: -1});
+	harness.persist();
+	t.deepEqual(getSent(harness.receive(B, 1, request)), []);
+	t.like(getSent(harness.persist())[0], {kind: 'vote-answer', granted: true, to: B});
+	t.like(getSent(harness.receive(C, 1, request))[0], {kind: 'vote-answer', granted: false, to: C});
+	t.like(getSent(harness.receive(B, 1, request))[0], {kind: 'vote-answer', granted: true, to: B});
 });
 
 // Symptom: as above. Sequence: a candidate counts itself, leads, crashes, and votes for another in the same term.
 test('the own vote counts once it is durable', t => {
-	const bench = new Bench();
-	bench.campaign([B, C]);
-	t.is(bench.state.role, 'candidate');
-	bench.persist();
-	t.is(bench.state.role, 'leader');
+	const harness = new ReplicaHarness();
+	harness.campaign([B, C]);
+	t.is(harness.state.role, 'candidate');
+	harness.persist();
+	t.is(harness.state.role, 'leader');
 });
 
 // Symptom: elections while a leader serves. Sequence: a host that is heard but hears nobody asks for votes.
 test('votes are ignored while a leader is heard', t => {
-	const bench = new Bench();
-	bench.receive(B, 1, {
+	const harness = new ReplicaHarness();
+	harness.receive(B, 1, {
 		kind: 'append', previousIndex: 0, previousTerm: 0, entries: [], commit: 0, round: 0,
 	});
-	bench.persist();
+	harness.persist();
 	for (const kind of ['vote', 'pre-vote']) {
-		t.deepEqual(bench.receive(C, 5, {kind, lastIndex: 9, lastTerm: 4}), []);
+		t.deepEqual(harness.receive(C, 5, {kind, lastIndex: 9, lastTerm: 4}), []);
 	}
 
-	t.is(bench.state.term, 1);
-	bench.now += 1000;
-	t.like(getSent(bench.receive(C, 5, {kind: 'pre-vote', lastIndex: 9, lastTerm: 4}))[0], {granted: true});
+	t.is(harness.state.term, 1);
+	harness.now += 1000;
+	t.like(getSent(harness.receive(C, 5, {kind: 'pre-vote', lastIndex: 9, lastTerm: 4}))[0], {granted: true});
 });
 
 // Symptom: an accepted change is gone. Sequence: a follower acknowledges entries and crashes before the sync.
 test('entries are acknowledged once they are durable', t => {
-	const bench = new Bench();
+	const harness = new ReplicaHarness();
 	const append = {
 		kind: 'append', previousIndex: 0, previousTerm: 0, entries: [createEntry(1, 1)], commit: 0, round: 0,
 	};
-	t.deepEqual(getSent(bench.receive(B, 1, append)), []);
-	t.like(getSent(bench.persist())[0], {kind: 'append-answer', accepted: true, match: 1});
+	t.deepEqual(getSent(harness.receive(B, 1, append)), []);
+	t.like(getSent(harness.persist())[0], {kind: 'append-answer', accepted: true, match: 1});
 });
 
 // Symptom: a leader commits what its own disk doesn't hold. Sequence: entries are replaced; then it leads before their sync.
 test('replaced entries are not durable', t => {
-	const bench = new Bench(VOTERS, {term: 1, entries: [1, 2, 3].map(index => createEntry(index, 1))});
-	t.is(bench.state.durableIndex, 3);
-	bench.receive(B, 2, {
+	const harness = new ReplicaHarness(VOTERS, {term: 1, entries: [1, 2, 3].map(index => createEntry(index, 1))});
+	t.is(harness.state.durableIndex, 3);
+	harness.receive(B, 2, {
 		kind: 'append', previousIndex: 1, previousTerm: 1, entries: [createEntry(2, 2), createEntry(3, 2)], commit: 0, round: 0,
 	});
-	t.is(bench.state.durableIndex, 1);
-	bench.persist();
-	t.is(bench.state.durableIndex, 3);
+	t.is(harness.state.durableIndex, 1);
+	harness.persist();
+	t.is(harness.state.durableIndex, 3);
 });
 
 // Symptom: a committed entry is replaced. Sequence: a leader counts copies of an entry of an older term, and crashes; another
 // leader of a term between the two replaces it (figure 8 of the Raft paper).
 test('an entry of an older term is committed only through one of this term', t => {
-	const bench = new Bench(VOTERS, {term: 1, entries: [createEntry(1, 1)]});
-	bench.lead();
-	bench.answer(B, 1);
-	bench.answer(C, 1);
-	bench.answer(D, 1);
-	t.is(bench.state.commit, 0);
-	bench.answer(B, 2);
-	bench.answer(C, 2);
-	t.is(bench.state.commit, 2);
+	const harness = new ReplicaHarness(VOTERS, {term: 1, entries: [createEntry(1, 1)]});
+	harness.becomeLeader();
+	harness.answer(B, 1);
+	harness.answer(C, 1);
+	harness.answer(D, 1);
+	t.is(harness.state.commit, 0);
+	harness.answer(B, 2);
+	harness.answer(C, 2);
+	t.is(harness.state.commit, 2);
 });
 
 // Symptom: two quorums without a common member. Sequence: two leaders each have an uncommitted change of the members.
 test('members change one at a time, and not before the term has a commit', t => {
-	const bench = new Bench();
-	bench.lead();
+	const harness = new ReplicaHarness();
+	harness.becomeLeader();
 	const add: replication.MembershipChange = {kind: 'add-learner', member: 'f~1'};
-	t.like(bench.change(add), {outcome: 'refused', reason: 'term-not-committed'});
-	bench.answer(B, 1);
-	bench.answer(C, 1);
-	t.is(bench.change(add), undefined);
-	t.like(bench.change({kind: 'remove', member: B}), {outcome: 'refused', reason: 'change-in-progress'});
-	bench.persist();
-	bench.answer(B, 2);
-	bench.answer(C, 2);
-	t.like(bench.change({kind: 'promote', member: 'f~1'}), {outcome: 'refused', reason: 'not-caught-up'});
-	bench.answer('f~1', 2);
-	t.is(bench.change({kind: 'promote', member: 'f~1'}), undefined);
+	t.like(harness.requestChange(add), {outcome: 'refused', reason: 'term-not-committed'});
+	harness.answer(B, 1);
+	harness.answer(C, 1);
+	t.is(harness.requestChange(add), undefined);
+	t.like(harness.requestChange({kind: 'remove', member: B}), {outcome: 'refused', reason: 'change-in-progress'});
+	harness.persist();
+	harness.answer(B, 2);
+	harness.answer(C, 2);
+	t.like(harness.requestChange({kind: 'promote', member: 'f~1'}), {outcome: 'refused', reason: 'not-caught-up'});
+	harness.answer('f~1', 2);
+	t.is(harness.requestChange({kind: 'promote', member: 'f~1'}), undefined);
 });
 
 // Symptom: a follower gets nothing new for as long as the leader lives. Sequence: each message with entries is lost, the
 // empty ones arrive, until the window is full.
 test('entries that are lost again and again are sent again', t => {
-	const bench = new Bench();
-	bench.lead();
-	bench.answer(B, 1);
-	bench.answer(C, 1);
-	bench.run({kind: 'propose', proposals: [{id: 'x', command: 'x', bytes: 3}]});
+	const harness = new ReplicaHarness();
+	harness.becomeLeader();
+	harness.answer(B, 1);
+	harness.answer(C, 1);
+	harness.run({kind: 'propose', proposals: [{id: 'x', command: 'x', bytes: 3}]});
 	for (let round = 0; round < 20; round++) {
-		bench.now += 150;
-		const sent = [...getSent(bench.run({kind: 'tick'})), ...getSent(bench.answer(B, 1))];
-		bench.answer(C, 1);
+		harness.now += 150;
+		const sent = [...getSent(harness.run({kind: 'tick'})), ...getSent(harness.answer(B, 1))];
+		harness.answer(C, 1);
 		const isSentAgain = sent.some(message => message.to === B && message.kind === 'append' && message.entries.length === 1);
 		// The first heartbeat after an acknowledgement waits one more.
 		t.true(isSentAgain || round === 0, `round ${round}`);
@@ -193,11 +193,11 @@
 
 // Symptom: a wiped host counts for quorums. Sequence: messages to its old identity reach its new process.
 test('messages to another identity of the host are ignored', t => {
-	const bench = new Bench();
-	const before = bench.state;
+	const harness = new ReplicaHarness();
+	const before = harness.state;
 	const message = {
 		group: 'g', from: B, to: 'a~0', term: 9, kind: 'vote', lastIndex: 9, lastTerm: 9,
 	} as const;
-	t.deepEqual(bench.run({kind: 'receive', message}), []);
-	t.is(bench.state.term, before.term);
+	t.deepEqual(harness.run({kind: 'receive', message}), []);
+	t.is(harness.state.term, before.term);
 });
--- a/packages/wagtailroute-replication/src/__tests__/unit/explorer.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/explorer.ts
@@ -15,8 +15,8 @@
 
 type Cluster = clusters.Cluster;
 
-const IN_FLIGHT_MAX = 150;
-const CONVERGENCE_ROUNDS = 400;
+const MAX_IN_FLIGHT_MESSAGES = 150;
+const MAX_CONVERGENCE_ROUNDS = 400;
 const FIRST_CHECK_ROUND = 100;
 const PROPOSAL_ROUND = 60;
 
@@ -28,7 +28,7 @@
 	let violation: string | undefined;
 	try {
 		for (let count = 0; count < actions; count++) {
-			act(cluster);
+			runRandomAction(cluster);
 		}
 
 		converge(cluster);
@@ -73,16 +73,16 @@
 /**
 Cuts a host off: it is not heard, hears nobody, or both.
 */
-function cutOff(cluster: Cluster): void {
+function isolateHost(cluster: Cluster): void {
 	const {host} = pick(cluster, cluster.nodes);
 	const way = utils.pickIndex(cluster.random, 3);
 	for (const other of cluster.nodes) {
 		if (way !== 0) {
-			cluster.cuts.add(`${host}>${other.host}`);
+			cluster.cutLinks.add(`${host}>${other.host}`);
 		}
 
 		if (way !== 1) {
-			cluster.cuts.add(`${other.host}>${host}`);
+			cluster.cutLinks.add(`${other.host}>${host}`);
 		}
 	}
 }
@@ -104,7 +104,7 @@
 		clusters.persist(cluster, pick(cluster, cluster.nodes), 1 + utils.pickIndex(cluster.random, 3));
 	}],
 	[60, cluster => {
-		clusters.advance(cluster, cluster.random() * 200);
+		clusters.advanceTime(cluster, cluster.random() * 200);
 	}],
 	[50, cluster => {
 		for (const node of clusters.getLeaders(cluster)) {
@@ -125,56 +125,56 @@
 	[30, cluster => {
 		const node = pick(cluster, cluster.nodes);
 		if (node.replica === undefined) {
-			clusters.boot(cluster, node);
+			clusters.start(cluster, node);
 		}
 	}],
 	[3, cluster => {
-		clusters.wipe(cluster, pick(cluster, cluster.nodes));
+		clusters.wipeDisk(cluster, pick(cluster, cluster.nodes));
 	}],
 	[4, cluster => {
-		cluster.cuts.add(`${pick(cluster, cluster.nodes).host}>${pick(cluster, cluster.nodes).host}`);
+		cluster.cutLinks.add(`${pick(cluster, cluster.nodes).host}>${pick(cluster, cluster.nodes).host}`);
 	}],
-	[2, cutOff],
+	[2, isolateHost],
 	[8, cluster => {
-		cluster.cuts.clear();
+		cluster.cutLinks.clear();
 	}],
 	[30, reconcile],
 ];
 
-const WEIGHT = ACTIONS.reduce((sum, [weight]) => sum + weight, 0);
+const TOTAL_WEIGHT = ACTIONS.reduce((sum, [weight]) => sum + weight, 0);
 
-function act(cluster: Cluster): void {
-	let at = cluster.random() * WEIGHT;
+function runRandomAction(cluster: Cluster): void {
+	let at = cluster.random() * TOTAL_WEIGHT;
 	const [, run] = ACTIONS.find(([weight]) => {
 		at -= weight;
 		return at < 0;
 	})!;
 	run(cluster);
-	cluster.network = cluster.network.slice(-IN_FLIGHT_MAX);
+	cluster.network = cluster.network.slice(-MAX_IN_FLIGHT_MESSAGES);
 }
 
 function converge(cluster: Cluster): void {
-	cluster.cuts.clear();
+	cluster.cutLinks.clear();
 	for (const node of cluster.nodes) {
 		if (node.replica === undefined) {
-			clusters.boot(cluster, node);
+			clusters.start(cluster, node);
 		}
 	}
 
-	for (let round = 0; round < CONVERGENCE_ROUNDS; round++) {
+	for (let round = 0; round < MAX_CONVERGENCE_ROUNDS; round++) {
 		if (round > FIRST_CHECK_ROUND && isConverged(cluster)) {
 			break;
 		}
 
-		passRound(cluster, round === PROPOSAL_ROUND);
+		runRound(cluster, round === PROPOSAL_ROUND);
 	}
 
 	checking.check(isConverged(cluster), 'the healed group did not converge');
 	checking.checkEnd(cluster.checks, cluster.nodes.map(node => node.machine));
 }
 
-function passRound(cluster: Cluster, hasProposal: boolean): void {
-	clusters.advance(cluster, 50);
+function runRound(cluster: Cluster, hasProposal: boolean): void {
+	clusters.advanceTime(cluster, 50);
 	for (let hop = 0; hop < 4; hop++) {
 		for (const message of cluster.network.splice(0)) {
 			clusters.deliver(cluster, message);
--- a/packages/wagtailroute-replication/src/__tests__/unit/fake-hosts.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/fake-hosts.ts
@@ -21,11 +21,11 @@
 	/**
 	Links that lose everything, written `from>to`.
 	*/
-	readonly cuts: Set<string>;
+	readonly cutLinks: Set<string>;
 	readonly start: (
 		host: string,
 		store: replication.Store,
-		first?: replication.FirstMembers,
+		initialMembers?: replication.InitialMembers,
 		settings?: replication.GroupOptions['settings'],
 	) => Promise<FakeHost>;
 	/**
@@ -35,7 +35,7 @@
 	/**
 	Moves the clock, in steps of 10 ms.
 	*/
-	readonly run: (milliseconds: number) => Promise<void>;
+	readonly advance: (milliseconds: number) => Promise<void>;
 	readonly getLeader: () => FakeHost;
 	/**
 	Moves the clock until the promise is settled.
@@ -47,13 +47,13 @@
 	readonly repair: (wanted: readonly string[]) => Promise<void>;
 };
 
-const STEP_MS = 10;
-const ROUNDS = 1000;
+const STEP_MILLISECONDS = 10;
+const MAX_ROUNDS = 1000;
 
 /**
 Lets promises settle; the real disk needs turns of the loop.
 */
-async function rest(): Promise<void> {
+async function runEventLoopTurn(): Promise<void> {
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
@@ -65,7 +65,7 @@
 export function createFakeHosts(seed: number): FakeHosts {
 	const random = utils.createRandom(seed);
 	const hosts = new Map<string, FakeHost>();
-	const cuts = new Set<string>();
+	const cutLinks = new Set<string>();
 	const timers = new Set<{readonly at: number; readonly run: () => void}>();
 	let now = 0;
 
@@ -77,12 +77,12 @@
 		}
 	};
 
-	const run = async (milliseconds: number) => {
+	const advance = async (milliseconds: number) => {
 		const end = now + milliseconds;
 		while (now < end) {
-			now += STEP_MS;
+			now += STEP_MILLISECONDS;
 			fireTimers();
-			await rest(); // eslint-disable-line no-await-in-loop -- time passes step by step.
+			await runEventLoopTurn(); // eslint-disable-line no-await-in-loop -- time passes step by step.
 		}
 	};
 
@@ -96,12 +96,12 @@
 		const done = promise.finally(() => {
 			progress.isSettled = true;
 		});
-		for (let round = 0; round < ROUNDS; round++) {
+		for (let round = 0; round < MAX_ROUNDS; round++) {
 			if (progress.isSettled) {
 				break;
 			}
 
-			await run(STEP_MS); // eslint-disable-line no-await-in-loop -- time passes step by step.
+			await advance(STEP_MILLISECONDS); // eslint-disable-line no-await-in-loop -- time passes step by step.
 		}
 
 		return done;
@@ -109,14 +109,14 @@
 
 	return {
 		hosts,
-		cuts,
-		async start(host, store, first, settings) {
+		cutLinks,
+		async start(host, store, initialMembers, settings) {
 			const values: unknown[] = [];
 			const created: results.Result<replication.Group, replication.StoreFailure> = await replication.createGroup({
 				group: 'g',
 				host,
 				store,
-				first,
+				initialMembers,
 				settings,
 				stateMachine: {
 					apply(command) {
@@ -131,7 +131,7 @@
 				send(to, message) {
 					const copy = structuredClone(message);
 					queueMicrotask(() => {
-						if (hosts.has(host) && !cuts.has(`${host}>${to}`)) {
+						if (hosts.has(host) && !cutLinks.has(`${host}>${to}`)) {
 							hosts.get(to)?.group.receive(copy);
 						}
 					});
@@ -156,14 +156,14 @@
 			hosts.delete(host);
 			await stopped.group.close();
 		},
-		run,
+		advance,
 		getLeader,
 		settle,
 		async repair(wanted) {
 			for (let round = 0; round < 20; round++) {
 				const reconciled = getLeader()?.group.reconcile(wanted.map(host => ({host, role: 'voter'})));
 				await settle(Promise.resolve(reconciled)); // eslint-disable-line no-await-in-loop -- step by step.
-				await run(500); // eslint-disable-line no-await-in-loop -- time passes step by step.
+				await advance(500); // eslint-disable-line no-await-in-loop -- time passes step by step.
 			}
 		},
 	};
--- a/packages/wagtailroute-replication/src/__tests__/unit/group.test.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/group.test.ts
@@ -7,7 +7,7 @@
 
 const SEED = 11;
 const NAMES = ['a', 'b', 'c', 'd', 'e'] as const;
-const FIRST: replication.FirstMembers = {hosts: NAMES};
+const FIRST: replication.InitialMembers = {hosts: NAMES};
 
 async function startAll() {
 	const world = fakeHosts.createFakeHosts(SEED);
@@ -17,7 +17,7 @@
 		await start(name); // eslint-disable-line no-await-in-loop -- in order.
 	}
 
-	await world.run(3000);
+	await world.advance(3000);
 	return {world, disks, start};
 }
 
@@ -73,10 +73,10 @@
 		await start(name); // eslint-disable-line no-await-in-loop
 	}
 
-	await world.run(6000);
+	await world.advance(6000);
 	t.true(world.hosts.values().every(host => host.group.getStatus().role !== 'leader'));
 	await start('d');
-	await world.run(4000);
+	await world.advance(4000);
 	await world.repair(NAMES);
 	t.deepEqual(world.hosts.get('a')!.values, ['kept']);
 });
@@ -91,21 +91,21 @@
 			const old = world.getLeader();
 			const name = old.group.getStatus().leader!;
 			for (const other of NAMES) {
-				world.cuts.add(isHeard ? '' : `${name}>${other}`);
-				world.cuts.add(isHearing ? '' : `${other}>${name}`);
+				world.cutLinks.add(isHeard ? '' : `${name}>${other}`);
+				world.cutLinks.add(isHearing ? '' : `${other}>${name}`);
 			}
 
 			const lost = old.group.propose('lost');
 			const read = old.group.readBarrier();
-			await world.run(6000);
+			await world.advance(6000);
 			t.not(old.group.getStatus().role, 'leader');
 			t.like(await lost, {error: {kind: 'unknown'}});
 			t.like(await read, {error: {kind: 'not-leader'}});
 			const accepted = await world.settle(world.getLeader().group.propose('new'));
 			t.true(accepted.isOk());
 			const {term} = world.getLeader().group.getStatus();
-			world.cuts.clear();
-			await world.run(3000);
+			world.cutLinks.clear();
+			await world.advance(3000);
 			// The host that comes back doesn't depose the leader.
 			t.is(world.getLeader().group.getStatus().term, term);
 			t.is(old.values.at(-1), 'new');
@@ -124,7 +124,7 @@
 	const answer = await world.settle(leader.group.propose('x'));
 	t.is(leader.group.getStatus().role, 'failed');
 	t.true(answer.isErr());
-	await world.run(4000);
+	await world.advance(4000);
 	t.like(await world.settle(leader.group.propose('y')), {error: {kind: 'refused', reason: 'replica-failed'}});
 	const accepted = await world.settle(world.getLeader().group.propose('z'));
 	t.true(accepted.isOk());
@@ -148,7 +148,7 @@
 		const disk = fakeDisk.createFakeDisk();
 		const first = {hosts: ['a']};
 		const {group, values} = await world.start('a', replication.createDurableStore('folder', disk), first); // eslint-disable-line no-await-in-loop
-		await world.run(3000); // eslint-disable-line no-await-in-loop
+		await world.advance(3000); // eslint-disable-line no-await-in-loop
 		for (let done = 0; done < changes; done += 50) {
 			const batch = Array.from({length: 50}, async (_, at) => group.propose({key: at, value: `${'v'.repeat(100)}${done}`}));
 			await world.settle(Promise.all(batch)); // eslint-disable-line no-await-in-loop
@@ -158,7 +158,7 @@
 
 		await world.stop('a'); // eslint-disable-line no-await-in-loop
 		const again = await world.start('a', replication.createDurableStore('folder', disk)); // eslint-disable-line no-await-in-loop
-		await world.run(3000); // eslint-disable-line no-await-in-loop
+		await world.advance(3000); // eslint-disable-line no-await-in-loop
 		t.deepEqual(again.values.slice(-50), values);
 		sizes.push(disk.getFile().content.length);
 		await world.stop('a'); // eslint-disable-line no-await-in-loop
@@ -173,8 +173,8 @@
 	// Sequence: the catalogue grows beyond a megabyte.
 	// Cause: the engine had one bound for the commands of all groups.
 	const world = fakeHosts.createFakeHosts(SEED);
-	await world.start('a', replication.createDurableStore('folder', fakeDisk.createFakeDisk()), {hosts: ['a']}, {commandBytesMost: 3_000_000});
-	await world.run(3000);
+	await world.start('a', replication.createDurableStore('folder', fakeDisk.createFakeDisk()), {hosts: ['a']}, {maxCommandBytes: 3_000_000});
+	await world.advance(3000);
 	const answer = await world.settle(world.getLeader().group.propose('x'.repeat(2_000_000)));
 	t.true(answer.isOk());
 	const refused = await world.settle(world.getLeader().group.propose('x'.repeat(3_000_000)));
--- a/packages/wagtailroute-replication/src/__tests__/unit/voters.test.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/voters.test.ts
@@ -49,9 +49,9 @@
 				...voters.map(host => ({id: replication.createMemberId(host, '1'), role: 'voter'} as const)),
 				...learners.map(host => ({id: replication.createMemberId(host, '1'), role: 'learner'} as const)),
 			],
-			running: running.map(host => ({host, failureDomain: host})),
+			runningHosts: running.map(host => ({host, failureDomain: host})),
 			isReplaceable: host => gone.includes(host),
-			votersMost: 5,
+			maxVoters: 5,
 		});
 		const getHosts = (role: 'voter' | 'learner') => chosen.filter(item => item.role === role).map(({host}) => host).toSorted((left, right) => left.localeCompare(right));
 		t.deepEqual(getHosts('voter'), [...wanted.voters]);
@@ -62,11 +62,11 @@
 test('new voters come from the failure domains with the fewest', t => {
 	const chosen = replication.chooseMembers({
 		members: [{id: 'a~1', role: 'voter'}, {id: 'b~1', role: 'voter'}],
-		running: [
+		runningHosts: [
 			{host: 'a', failureDomain: 'x'}, {host: 'b', failureDomain: 'x'}, {host: 'c', failureDomain: 'x'}, {host: 'd', failureDomain: 'y'},
 		],
 		isReplaceable: () => false,
-		votersMost: 3,
+		maxVoters: 3,
 	});
 	t.deepEqual(chosen.filter(item => item.role === 'voter').map(({host}) => host), ['a', 'b', 'd']);
 });
--- a/packages/wagtailroute-replication/src/bench/network.ts
+++ b/packages/wagtailroute-replication/src/bench/network.ts
@@ -26,7 +26,7 @@
 	/**
 	Measuring each message's JSON takes time: set when bytes are wanted, unset when time is.
 	*/
-	isMeasured: boolean;
+	isCountingBytes: boolean;
 	now: number;
 	inFlight: replication.Message[];
 	readonly random: utils.Random;
@@ -38,23 +38,23 @@
 Creates a group of so many members, the first of them voters, and lets it elect a leader.
 */
 export function createNetwork(members: number, voters: number, seed = SEED): Network {
-	const list = Array.from({length: members}, (_, at): replication.Member => ({
+	const initialMembers = Array.from({length: members}, (_, at): replication.Member => ({
 		id: replication.createMemberId(`control-${at}`, 'a1b2c3d4e5f6'), role: at < voters ? 'voter' : 'learner',
 	}));
 	const network: Network = {
 		replicas: new Map(),
 		traffic: createTraffic(),
-		isMeasured: false,
+		isCountingBytes: false,
 		now: 0,
 		inFlight: [],
 		random: utils.createRandom(seed),
 	};
-	for (const {id} of list) {
+	for (const {id} of initialMembers) {
 		const settings = replication.createSettings({group: 'catalogue', self: id});
-		network.replicas.set(id, replication.createReplica(settings, replication.createDurableState(id, list), network));
+		network.replicas.set(id, replication.createReplica(settings, replication.createDurableState(id, initialMembers), network));
 	}
 
-	pass(network, 5000);
+	advanceTime(network, 5000);
 	return network;
 }
 
@@ -129,7 +129,7 @@
 function send(network: Network, from: replication.MemberId, message: replication.Message): void {
 	network.inFlight.push(message);
 	network.traffic.messages++;
-	if (!network.isMeasured) {
+	if (!network.isCountingBytes) {
 		return;
 	}
 
@@ -141,7 +141,7 @@
 /**
 Lets time pass.
 */
-export function pass(network: Network, milliseconds: number): void {
+export function advanceTime(network: Network, milliseconds: number): void {
 	const end = network.now + milliseconds;
 	while (network.now < end) {
 		network.now++;
--- a/packages/wagtailroute-replication/src/bench/replication.ts
+++ b/packages/wagtailroute-replication/src/bench/replication.ts
@@ -47,48 +47,48 @@
 	readonly most: number;
 };
 
-const SIZES = [3, 5, 7, 28];
-const VOTERS_MAX = 5;
-const IDLE_MS = 60_000;
-const COMMANDS = 500;
-const BATCH = 100;
-const COMMAND_MS = 20;
-const CHANGES = [100, 1000, 10_000];
-const KEYS = 200;
+const GROUP_SIZES = [3, 5, 7, 28];
+const MAX_VOTERS = 5;
+const IDLE_MILLISECONDS = 60_000;
+const COMMAND_COUNT = 500;
+const BATCH_SIZE = 100;
+const COMMAND_INTERVAL_MILLISECONDS = 20;
+const CHANGE_COUNTS = [100, 1000, 10_000];
+const KEY_COUNT = 200;
 const VALUE = 'v'.repeat(200);
-const MICROSECONDS = 1000;
-const RESTARTS = 20;
-const FAILOVERS = 400;
-const WAIT_MS = 5;
+const UNIT_FACTOR = 1000;
+const RESTART_RUNS = 20;
+const FAILOVER_RUNS = 400;
+const LEADER_POLL_MILLISECONDS = 5;
 
 /**
 Measures groups of 3, 5, 7 and 28 members.
 */
 export function benchGroups(): GroupRow[] {
 	// The first run warms the code up.
-	measureGroup(VOTERS_MAX);
-	return SIZES.map(members => measureGroup(members));
+	measureGroup(MAX_VOTERS);
+	return GROUP_SIZES.map(members => measureGroup(members));
 }
 
 function measureGroup(members: number): GroupRow {
-	const voters = Math.min(VOTERS_MAX, members);
+	const voters = Math.min(MAX_VOTERS, members);
 	const network = networks.createNetwork(members, voters);
 	const leader = networks.getLeader(network);
 	const idle = measure(network, () => {
-		networks.pass(network, IDLE_MS);
+		networks.advanceTime(network, IDLE_MILLISECONDS);
 	});
 	const single = measure(network, () => {
-		for (let count = 0; count < COMMANDS; count++) {
+		for (let count = 0; count < COMMAND_COUNT; count++) {
 			propose(network, leader, count, 1);
 		}
 	});
 	const batched = measure(network, () => {
-		for (let count = 0; count < COMMANDS; count++) {
-			propose(network, leader, count, BATCH);
+		for (let count = 0; count < COMMAND_COUNT; count++) {
+			propose(network, leader, count, BATCH_SIZE);
 		}
 	});
-	const seconds = IDLE_MS / MICROSECONDS;
-	const idleCost = idle.milliseconds * MICROSECONDS;
+	const seconds = IDLE_MILLISECONDS / UNIT_FACTOR;
+	const idleCost = idle.milliseconds * UNIT_FACTOR;
 	return {
 		members,
 		voters,
@@ -100,8 +100,8 @@
 		bytesPerCommand: single.bytes / single.applied,
 		messagesPerBatchedCommand: batched.messages / batched.applied,
 		bytesPerBatchedCommand: batched.bytes / batched.applied,
-		microsecondsPerCommand: single.milliseconds * MICROSECONDS / single.applied,
-		leaderMicrosecondsPerCommand: single.leaderMilliseconds * MICROSECONDS / single.applied,
+		microsecondsPerCommand: single.milliseconds * UNIT_FACTOR / single.applied,
+		leaderMicrosecondsPerCommand: single.leaderMilliseconds * UNIT_FACTOR / single.applied,
 		// One message out and one back.
 		microsecondsPerHeartbeat: idleCost / (idle.messages / 2),
 	};
@@ -111,22 +111,22 @@
 Runs the same twice, once for the bytes and once for the time.
 */
 function measure(network: networks.Network, action: () => void): networks.Traffic {
-	network.isMeasured = true;
+	network.isCountingBytes = true;
 	networks.resetTraffic(network);
 	action();
 	const {bytes, leaderBytes} = network.traffic;
-	network.isMeasured = false;
+	network.isCountingBytes = false;
 	networks.resetTraffic(network);
 	action();
 	return {...network.traffic, bytes, leaderBytes};
 }
 
 function propose(network: networks.Network, leader: replication.MemberId, count: number, batch: number): void {
-	const command = {key: `service-${count % KEYS}`, value: VALUE};
+	const command = {key: `service-${count % KEY_COUNT}`, value: VALUE};
 	const bytes = JSON.stringify(command).length;
 	const proposals = Array.from({length: batch}, (_, at) => ({id: `${count}.${at}`, command, bytes}));
 	networks.run(network, leader, {kind: 'propose', proposals});
-	networks.pass(network, COMMAND_MS);
+	networks.advanceTime(network, COMMAND_INTERVAL_MILLISECONDS);
 }
 
 /**
@@ -144,24 +144,24 @@
 Measures failovers; the leader ends at another moment between two heartbeats in each run.
 */
 export function benchFailover(): FailoverRow {
-	const times = Array.from({length: FAILOVERS}, (_, run) => measureFailover(run)).toSorted((one, other) => one - other);
+	const times = Array.from({length: FAILOVER_RUNS}, (_, run) => measureFailover(run)).toSorted((one, other) => one - other);
 	return {
-		runs: FAILOVERS,
-		median: times[FAILOVERS / 2]!,
-		p99: times[Math.floor(FAILOVERS * 0.99)]!,
+		runs: FAILOVER_RUNS,
+		median: times[FAILOVER_RUNS / 2]!,
+		p99: times[Math.floor(FAILOVER_RUNS * 0.99)]!,
 		longest: times.at(-1)!,
 	};
 }
 
 function measureFailover(run: number): number {
-	const network = networks.createNetwork(VOTERS_MAX, VOTERS_MAX, run);
-	networks.pass(network, run % FAILOVERS);
+	const network = networks.createNetwork(MAX_VOTERS, MAX_VOTERS, run);
+	networks.advanceTime(network, run % FAILOVER_RUNS);
 	const leader = networks.getLeader(network);
 	const {term} = network.replicas.get(leader)!;
 	network.replicas.delete(leader);
 	const startedAt = network.now;
-	while (!network.replicas.values().some(replica => replica.term > term && replica.role === 'leader' && replica.commit >= replica.termStart)) {
-		networks.pass(network, 1);
+	while (!network.replicas.values().some(replica => replica.term > term && replica.role === 'leader' && replica.commit >= replica.termStartIndex)) {
+		networks.advanceTime(network, 1);
 	}
 
 	return network.now - startedAt;
@@ -171,7 +171,7 @@
 Bounds of the figures of groups: cost grows with the number of members and no faster.
 */
 export function getGroupBounds(rows: readonly GroupRow[]): readonly Bound[] {
-	const small = rows.find(row => row.members === VOTERS_MAX)!;
+	const small = rows.find(row => row.members === MAX_VOTERS)!;
 	const large = rows.at(-1)!;
 	const followers = (large.members - 1) / (small.members - 1);
 	return [
@@ -199,7 +199,7 @@
 */
 export async function benchRestarts(): Promise<RestartRow[]> {
 	const rows: RestartRow[] = [];
-	for (const changes of [CHANGES[0]!, ...CHANGES]) {
+	for (const changes of [CHANGE_COUNTS[0]!, ...CHANGE_COUNTS]) {
 		rows.push(await measureRestart(changes)); // eslint-disable-line no-await-in-loop -- one at a time, for the time's sake.
 	}
 
@@ -211,15 +211,15 @@
 	const folder = await fs.mkdtemp(path.join(os.tmpdir(), 'replication-bench-'));
 	const group = await openLeader(folder);
 	const startedAt = performance.now();
-	for (let done = 0; done < changes; done += BATCH) {
-		const batch = Array.from({length: BATCH}, async (_, at) => group.propose({key: `service-${(done + at) % KEYS}`, value: VALUE}));
+	for (let done = 0; done < changes; done += BATCH_SIZE) {
+		const batch = Array.from({length: BATCH_SIZE}, async (_, at) => group.propose({key: `service-${(done + at) % KEY_COUNT}`, value: VALUE}));
 		await Promise.all(batch); // eslint-disable-line no-await-in-loop -- batch by batch.
 	}
 
-	const commandsPerSecond = changes / (performance.now() - startedAt) * MICROSECONDS;
+	const commandsPerSecond = changes / (performance.now() - startedAt) * UNIT_FACTOR;
 	await group.close();
 	const times: number[] = [];
-	for (let count = 0; count < RESTARTS; count++) {
+	for (let count = 0; count < RESTART_RUNS; count++) {
 		times.push(await measureStart(folder)); // eslint-disable-line no-await-in-loop -- one at a time.
 	}
 
@@ -272,7 +272,7 @@
 				clearTimeout(timer);
 			};
 		},
-		first: {hosts: ['control-0']},
+		initialMembers: {hosts: ['control-0']},
 	});
 	return created.unwrap();
 }
@@ -281,7 +281,7 @@
 	const group = await open(folder);
 	while (group.getStatus().role !== 'leader') {
 		await new Promise(resolve => { // eslint-disable-line no-await-in-loop -- until it leads.
-			setTimeout(resolve, WAIT_MS);
+			setTimeout(resolve, LEADER_POLL_MILLISECONDS);
 		});
 	}
 
--- a/packages/wagtailroute-replication/src/committing.ts
+++ b/packages/wagtailroute-replication/src/committing.ts
@@ -9,12 +9,12 @@
 import type * as messages from './messages.ts';
 import type * as replica from './replica.ts';
 import * as sending from './sending.ts';
-import type * as work from './work.ts';
+import type * as steps from './step.ts';
 
 /**
 Takes a follower's answer.
 */
-export function receiveAppendAnswer(step: work.Work, message: messages.AppendAnswer): void {
+export function receiveAppendAnswer(step: steps.StepContext, message: messages.AppendAnswer): void {
 	const {draft} = step;
 	const progress = draft.progress.get(message.from);
 	const isExpected = draft.role === 'leader' && message.term === draft.term;
@@ -22,19 +22,19 @@
 		return;
 	}
 
-	const heard = {...progress, heardAt: step.now, round: Math.max(progress.round, message.round)};
-	const next = message.accepted ? acceptAnswer(heard, message) : rejectAnswer(heard, message);
+	const responded = {...progress, lastResponseAt: step.now, confirmedReadRound: Math.max(progress.confirmedReadRound, message.round)};
+	const next = message.accepted ? applyAcceptedAnswer(responded, message) : applyRejectedAnswer(responded, message);
 	draft.progress.set(message.from, next);
-	sending.sendMissing(step, message.from);
+	sending.sendMissingEntries(step, message.from);
 }
 
-function acceptAnswer(progress: replica.Progress, message: messages.AppendAnswer): replica.Progress {
-	const match = Math.max(progress.match, message.match);
+function applyAcceptedAnswer(progress: replica.Progress, message: messages.AppendAnswer): replica.Progress {
+	const match = Math.max(progress.matchIndex, message.match);
 	return {
 		...progress,
-		match,
-		next: Math.max(progress.next, match + 1),
-		sent: progress.sent.filter(last => last > match),
+		matchIndex: match,
+		nextIndex: Math.max(progress.nextIndex, match + 1),
+		inFlightIndexes: progress.inFlightIndexes.filter(last => last > match),
 		isProbing: false,
 	};
 }
@@ -43,16 +43,16 @@
 Goes back to where the logs may agree. A rejection of something other than the current probe is late and is ignored:
 each would otherwise start another resend.
 */
-function rejectAnswer(progress: replica.Progress, message: messages.AppendAnswer): replica.Progress {
-	const isLate = message.previousIndex <= progress.match || (progress.isProbing && message.previousIndex !== progress.next - 1);
+function applyRejectedAnswer(progress: replica.Progress, message: messages.AppendAnswer): replica.Progress {
+	const isLate = message.previousIndex <= progress.matchIndex || (progress.isProbing && message.previousIndex !== progress.nextIndex - 1);
 	if (isLate) {
 		return progress;
 	}
 
 	return {
 		...progress,
-		next: Math.max(progress.match + 1, Math.min(message.previousIndex, message.match + 1)),
-		sent: [],
+		nextIndex: Math.max(progress.matchIndex + 1, Math.min(message.previousIndex, message.match + 1)),
+		inFlightIndexes: [],
 		isProbing: true,
 	};
 }
@@ -60,9 +60,9 @@
 /**
 Says whether a voter answered this leader within the shortest election timeout.
 */
-export function isHeard(state: Pick<replica.Replica, 'settings' | 'progress'>, id: members.MemberId, now: number): boolean {
-	const heardAt = state.progress.get(id)?.heardAt ?? -Infinity;
-	return id === state.settings.self || now - heardAt < state.settings.electionTimeoutMinMs;
+export function isRecentlyActive(state: Pick<replica.Replica, 'settings' | 'progress'>, id: members.MemberId, now: number): boolean {
+	const lastResponseAt = state.progress.get(id)?.lastResponseAt ?? -Infinity;
+	return id === state.settings.self || now - lastResponseAt < state.settings.minElectionTimeoutMs;
 }
 
 /**
@@ -71,9 +71,9 @@
 A leader that is heard but hears nobody, or is cut off, would otherwise believe in itself for hours: callers would wait
 on proposals that can't be committed, and the others could not elect a leader while they hear its heartbeats.
 */
-export function checkQuorum(step: work.Work): void {
+export function checkQuorum(step: steps.StepContext): void {
 	const {draft} = step;
-	if (!members.isQuorum(draft.members, id => isHeard(draft, id, step.now))) {
+	if (!members.isQuorum(draft.members, id => isRecentlyActive(draft, id, step.now))) {
 		election.becomeFollower(step, draft.term, null);
 	}
 }
@@ -82,14 +82,14 @@
 Advances the commit index to the highest entry of this term that a quorum holds durably; the leader counts itself only up
 to what its own store confirmed.
 */
-export function advanceCommit(step: work.Work): void {
+export function advanceCommit(step: steps.StepContext): void {
 	const {draft} = step;
 	const matches = members.getVoters(draft.members)
-		.map(voter => voter.id === draft.settings.self ? draft.durableIndex : draft.progress.get(voter.id)!.match)
+		.map(voter => voter.id === draft.settings.self ? draft.durableIndex : draft.progress.get(voter.id)!.matchIndex)
 		.toSorted((one, other) => other - one);
-	const agreed = matches[members.getQuorum(matches.length) - 1] ?? 0;
-	if (agreed > draft.commit && log.getTerm(draft, agreed) === draft.term) {
-		draft.commit = agreed;
+	const quorumIndex = matches[members.getQuorum(matches.length) - 1] ?? 0;
+	if (quorumIndex > draft.commit && log.getTerm(draft, quorumIndex) === draft.term) {
+		draft.commit = quorumIndex;
 	}
 }
 
@@ -100,10 +100,10 @@
 that doesn't know it yet would otherwise give an old state. Before its first commit in the term a leader doesn't know what
 was committed before it, so reads wait for that too.
 */
-export function advanceReads(step: work.Work): void {
+export function advanceReads(step: steps.StepContext): void {
 	finishReads(step);
 	const {draft} = step;
-	const canStart = draft.activeReads.length === 0 && draft.queuedReads.length > 0 && draft.commit >= draft.termStart;
+	const canStart = draft.activeReads.length === 0 && draft.queuedReads.length > 0 && draft.commit >= draft.termStartIndex;
 	if (!canStart) {
 		return;
 	}
@@ -111,14 +111,14 @@
 	draft.readRound++;
 	draft.activeReads = draft.queuedReads;
 	draft.queuedReads = [];
-	sending.broadcastRound(step);
+	sending.broadcastReadRound(step);
 	finishReads(step);
 }
 
-function finishReads(step: work.Work): void {
+function finishReads(step: steps.StepContext): void {
 	const {draft} = step;
 	const isConfirmed = members.isQuorum(draft.members, id =>
-		id === draft.settings.self || draft.progress.get(id)!.round >= draft.readRound);
+		id === draft.settings.self || draft.progress.get(id)!.confirmedReadRound >= draft.readRound);
 	if (!isConfirmed) {
 		return;
 	}
@@ -134,22 +134,22 @@
 /**
 Hands out the committed entries in order, each once, with the proposals that wait for them.
 */
-export function applyCommitted(step: work.Work): void {
+export function applyCommitted(step: steps.StepContext): void {
 	const {draft} = step;
 	const entries = log.getEntries(draft, draft.applied + 1, draft.commit);
 	let waiting = 0;
 	for (const entry of entries) {
-		const isAwaited = draft.pending[waiting]?.index === entry.index;
-		applyEntry(step, entry, isAwaited ? draft.pending[waiting]!.id : null);
+		const isAwaited = draft.pendingProposals[waiting]?.index === entry.index;
+		applyEntry(step, entry, isAwaited ? draft.pendingProposals[waiting]!.id : null);
 		waiting += isAwaited ? 1 : 0;
 	}
 
-	draft.pending = draft.pending.slice(waiting);
+	draft.pendingProposals = draft.pendingProposals.slice(waiting);
 	draft.applied = draft.commit;
-	askForSnapshot(step);
+	requestSnapshot(step);
 }
 
-function applyEntry(step: work.Work, entry: messages.Entry, id: string | null): void {
+function applyEntry(step: steps.StepContext, entry: messages.Entry, id: string | null): void {
 	const token = {term: entry.term, index: entry.index};
 	if (entry.kind === 'command') {
 		step.effects.push({
@@ -160,28 +160,28 @@
 	}
 }
 
-function askForSnapshot(step: work.Work): void {
+function requestSnapshot(step: steps.StepContext): void {
 	const {draft} = step;
-	const threshold = Math.max(draft.settings.compactionBytesMin, draft.snapshot.bytes);
-	const isDue = draft.bytesSinceSnapshot >= threshold && draft.applied > draft.snapshotAskedAt;
+	const threshold = Math.max(draft.settings.minCompactionBytes, draft.snapshot.bytes);
+	const isDue = draft.bytesSinceSnapshot >= threshold && draft.applied > draft.snapshotRequestedIndex;
 	if (!isDue) {
 		return;
 	}
 
-	draft.snapshotAskedAt = draft.applied;
+	draft.snapshotRequestedIndex = draft.applied;
 	step.effects.push({kind: 'take-snapshot', index: draft.applied});
 }
 
 /**
 Replaces the entries up to `index` by a snapshot, but for a few that followers may still need.
 */
-export function compactLog(step: work.Work, index: number, state: unknown, bytes: number): void {
+export function compactLog(step: steps.StepContext, index: number, state: unknown, bytes: number): void {
 	const {draft} = step;
 	const term = log.getTerm(draft, index);
 	const isUsable = index > draft.snapshot.index && index <= draft.applied && term !== undefined;
 	// A state too large for one message is not taken as a snapshot; it is asked for again after as many bytes.
 	draft.bytesSinceSnapshot = 0;
-	if (!isUsable || bytes > constants.SNAPSHOT_BYTES_MAX) {
+	if (!isUsable || bytes > constants.MAX_SNAPSHOT_BYTES) {
 		return;
 	}
 
--- a/packages/wagtailroute-replication/src/constants.ts
+++ b/packages/wagtailroute-replication/src/constants.ts
@@ -6,62 +6,62 @@
 Milliseconds between a leader's heartbeats to a member that has yet to confirm something; also the time after which
 unanswered entries are sent again.
 */
-export const HEARTBEAT_MS = 150;
+export const HEARTBEAT_INTERVAL_MILLISECONDS = 150;
 /**
 Milliseconds between a leader's heartbeats to a voter that has confirmed everything: two may be lost within the shortest
 election timeout.
 */
-export const IDLE_HEARTBEAT_MS = 400;
+export const IDLE_HEARTBEAT_INTERVAL_MILLISECONDS = 400;
 /**
 Milliseconds between a leader's heartbeats to a learner that has confirmed everything: learners neither vote nor start elections, so they need fewer.
 */
-export const LEARNER_HEARTBEAT_MS = 600;
+export const LEARNER_HEARTBEAT_INTERVAL_MILLISECONDS = 600;
 /**
 Shortest election timeout in milliseconds. A leader that hears no quorum for this long steps down, and a follower that
 heard its leader within it ignores votes.
 */
-export const ELECTION_TIMEOUT_MIN_MS = 1000;
+export const MIN_ELECTION_TIMEOUT_MILLISECONDS = 1000;
 /**
 Longest election timeout in milliseconds. Each timeout is drawn anew, so that two followers rarely start together.
 */
-export const ELECTION_TIMEOUT_MAX_MS = 2000;
+export const MAX_ELECTION_TIMEOUT_MILLISECONDS = 2000;
 /**
 Milliseconds before a snapshot that was not answered is sent again.
 */
-export const SNAPSHOT_RETRY_MS = 2000;
+export const SNAPSHOT_RETRY_MILLISECONDS = 2000;
 /**
 Most entries in one append message.
 */
-export const BATCH_ENTRIES_MAX = 128;
+export const MAX_BATCH_ENTRIES = 128;
 /**
 Most bytes of commands (as JSON) in one append message, unless a single command is larger.
 */
-export const BATCH_BYTES_MAX = 262_144;
+export const MAX_BATCH_BYTES = 262_144;
 /**
 Most unanswered append messages with entries per follower.
 */
-export const WINDOW_MESSAGES_MAX = 8;
+export const MAX_WINDOW_MESSAGES = 8;
 /**
 Most proposals that wait for their commit; more are refused.
 */
-export const PENDING_PROPOSALS_MAX = 4096;
+export const MAX_PENDING_PROPOSALS = 4096;
 /**
 Most linearizable reads that wait; more are refused.
 */
-export const PENDING_READS_MAX = 4096;
+export const MAX_PENDING_READS = 4096;
 /**
 Largest command in bytes of JSON, unless a group's settings say otherwise.
 */
-export const COMMAND_BYTES_MAX = 1_048_576;
+export const MAX_COMMAND_BYTES = 1_048_576;
 /**
 Largest snapshot in bytes of JSON: it travels in one message.
 */
-export const SNAPSHOT_BYTES_MAX = 33_554_432;
+export const MAX_SNAPSHOT_BYTES = 33_554_432;
 /**
 Bytes of log after the snapshot at which a new snapshot is asked for, or the size of the last snapshot if that is
 larger: disk and restart stay proportional to the live state, and the cost of snapshots to that of the commands.
 */
-export const COMPACTION_BYTES_MIN = 65_536;
+export const MIN_COMPACTION_BYTES = 65_536;
 /**
 Entries kept in memory after a compaction, so that a follower slightly behind needs no snapshot.
 */
@@ -69,8 +69,8 @@
 /**
 Milliseconds between the announcements of a host that is not yet a member.
 */
-export const ANNOUNCE_MS = 1000;
+export const ANNOUNCEMENT_INTERVAL_MILLISECONDS = 1000;
 /**
 Milliseconds after which a host that was not heard counts as unreachable for repairs.
 */
-export const REACHABLE_MS = 3000;
+export const REACHABLE_MILLISECONDS = 3000;
--- a/packages/wagtailroute-replication/src/durable-store.ts
+++ b/packages/wagtailroute-replication/src/durable-store.ts
@@ -36,8 +36,8 @@
 	};
 	return {
 		load: async () => load(open, folder, disk),
-		create: async state => guard(open, async () => replaceFile(open, folder, disk, state)),
-		write: async writes => guard(open, async () => addRecord(open, folder, disk, writes)),
+		create: async state => runUnlessFailed(open, async () => replaceFile(open, folder, disk, state)),
+		write: async writes => runUnlessFailed(open, async () => appendRecord(open, folder, disk, writes)),
 		async close() {
 			const {file} = open;
 			open.file = undefined;
@@ -50,7 +50,7 @@
 Runs a write; a failure is for good. After a failed sync the system may have dropped the pages and report the next sync as
 done, so a store that tried again could confirm what isn't there.
 */
-async function guard(open: OpenFile, run: () => Promise<void>): Promise<Written> {
+async function runUnlessFailed(open: OpenFile, run: () => Promise<void>): Promise<Written> {
 	if (open.failure !== undefined) {
 		return results.Err(open.failure);
 	}
@@ -110,7 +110,7 @@
 /**
 Adds writes as one record, so that a crash tears at most the last record of the file.
 */
-async function addRecord(open: OpenFile, folder: string, disk: disks.Disk, writes: readonly replica.Write[]): Promise<void> {
+async function appendRecord(open: OpenFile, folder: string, disk: disks.Disk, writes: readonly replica.Write[]): Promise<void> {
 	let state = open.state!;
 	for (const item of writes) {
 		state = stores.applyWrite(state, item);
@@ -130,12 +130,12 @@
 }
 
 async function replaceFile(open: OpenFile, folder: string, disk: disks.Disk, state: replica.DurableState): Promise<void> {
-	const name = path.join(folder, NEW_FILE_NAME);
-	const file = await disk.open(name, true);
+	const newFile = path.join(folder, NEW_FILE_NAME);
+	const file = await disk.open(newFile, true);
 	const {bytes, checksum} = records.formatRecord(state, 0);
 	await file.append(bytes);
 	await file.sync();
-	await disk.rename(name, path.join(folder, FILE_NAME));
+	await disk.rename(newFile, path.join(folder, FILE_NAME));
 	await disk.syncFolder(folder);
 	await open.file?.close();
 	open.file = file;
--- a/packages/wagtailroute-replication/src/election.ts
+++ b/packages/wagtailroute-replication/src/election.ts
@@ -5,14 +5,14 @@
 import * as members from './members.ts';
 import type * as messages from './messages.ts';
 import * as sending from './sending.ts';
-import * as work from './work.ts';
+import * as steps from './step.ts';
 
 /**
 Draws the next election timeout.
 */
-export function resetElectionTimer(step: work.Work): void {
-	const {electionTimeoutMinMs, electionTimeoutMaxMs} = step.draft.settings;
-	step.draft.electionDueAt = step.now + electionTimeoutMinMs + (step.random() * (electionTimeoutMaxMs - electionTimeoutMinMs));
+export function resetElectionTimer(step: steps.StepContext): void {
+	const {minElectionTimeoutMs, maxElectionTimeoutMs} = step.draft.settings;
+	step.draft.electionDueAt = step.now + minElectionTimeoutMs + (step.random() * (maxElectionTimeoutMs - minElectionTimeoutMs));
 }
 
 /**
@@ -21,7 +21,7 @@
 A leader that steps down answers its waiting proposals `unknown`: they are in its log and a later leader may commit them,
 so neither yes nor no would be true.
 */
-export function becomeFollower(step: work.Work, term: number, leader: members.MemberId | null): void {
+export function becomeFollower(step: steps.StepContext, term: number, leader: members.MemberId | null): void {
 	const {draft} = step;
 	if (draft.role === 'leader') {
 		abandonRequests(step, leader);
@@ -30,7 +30,7 @@
 	if (term > draft.term) {
 		draft.term = term;
 		draft.votedFor = null;
-		draft.held = [];
+		draft.pendingMessages = [];
 		step.isHardStateChanged = true;
 	}
 
@@ -44,9 +44,9 @@
 /**
 Answers everything that waits at a leader which no longer leads.
 */
-export function abandonRequests(step: work.Work, leader: members.MemberId | null): void {
+export function abandonRequests(step: steps.StepContext, leader: members.MemberId | null): void {
 	const {draft} = step;
-	for (const {id} of draft.pending) {
+	for (const {id} of draft.pendingProposals) {
 		step.effects.push({kind: 'answer', id, answer: {outcome: 'unknown'}});
 	}
 
@@ -54,7 +54,7 @@
 		step.effects.push({kind: 'answer', id, answer: {outcome: 'not-leader', leader}});
 	}
 
-	draft.pending = [];
+	draft.pendingProposals = [];
 	draft.activeReads = [];
 	draft.queuedReads = [];
 }
@@ -65,25 +65,25 @@
 Without this round a host that was cut off would come back with a higher term and depose a healthy leader; one would
 notice elections whenever a partition heals.
 */
-export function startPreVote(step: work.Work): void {
+export function startPreVote(step: steps.StepContext): void {
 	const {draft} = step;
 	const {self} = draft.settings;
 	resetElectionTimer(step);
-	if (!canLead(step)) {
+	if (!canCampaign(step)) {
 		return;
 	}
 
 	draft.role = 'pre-candidate';
 	draft.leader = null;
 	draft.votes = new Set([self]);
-	if (hasVotes(step)) {
+	if (hasVoteQuorum(step)) {
 		startElection(step);
 		return;
 	}
 
 	const body = createRequest(step, 'pre-vote');
 	for (const voter of getOtherVoters(step)) {
-		work.send(step, voter.id, body, draft.term + 1);
+		steps.send(step, voter.id, body, draft.term + 1);
 	}
 }
 
@@ -91,40 +91,40 @@
 Says whether this replica may stand for election: as a voter, or as one whose removal is in its log but not committed. The
 others may still count on the latter, and refused its longer log they could never elect anyone. It doesn't count itself.
 */
-function canLead(step: work.Work): boolean {
+function canCampaign(step: steps.StepContext): boolean {
 	const {draft} = step;
 	const {self} = draft.settings;
-	const isRemovalOpen = draft.membersIndex > draft.commit
+	const isRemovalUncommitted = draft.membersIndex > draft.commit
 		&& members.isVoter(log.findMembers(draft, draft.membersIndex - 1).members, self);
-	return isRemovalOpen || members.isVoter(draft.members, self);
+	return isRemovalUncommitted || members.isVoter(draft.members, self);
 }
 
-function startElection(step: work.Work): void {
+function startElection(step: steps.StepContext): void {
 	const {draft} = step;
 	draft.role = 'candidate';
 	draft.term++;
 	draft.votedFor = draft.settings.self;
 	draft.votes = new Set();
-	draft.held = [];
+	draft.pendingMessages = [];
 	step.isHardStateChanged = true;
 	// The own vote counts once the write of this step is durable.
 	draft.voteSequence = draft.lastSequence + 1;
 	resetElectionTimer(step);
 	const body = createRequest(step, 'vote');
 	for (const voter of getOtherVoters(step)) {
-		work.sendWhenDurable(step, voter.id, body);
+		steps.sendWhenDurable(step, voter.id, body);
 	}
 }
 
-function createRequest(step: work.Work, kind: messages.VoteRequest['kind']): work.Body<messages.VoteRequest> {
+function createRequest(step: steps.StepContext, kind: messages.VoteRequest['kind']): steps.MessageBody<messages.VoteRequest> {
 	return {kind, lastIndex: log.getLastIndex(step.draft), lastTerm: log.getLastTerm(step.draft)};
 }
 
-function getOtherVoters(step: work.Work): readonly members.Member[] {
+function getOtherVoters(step: steps.StepContext): readonly members.Member[] {
 	return members.getVoters(step.draft.members).filter(voter => voter.id !== step.draft.settings.self);
 }
 
-function hasVotes(step: work.Work): boolean {
+function hasVoteQuorum(step: steps.StepContext): boolean {
 	return members.isQuorum(step.draft.members, id => step.draft.votes.has(id));
 }
 
@@ -134,29 +134,29 @@
 While it was, vote requests are ignored: a host that hears nobody but is heard (a one-way partition), or one that was
 removed and does not know it, cannot depose a leader that serves the others.
 */
-export function isLeaderLive(step: work.Work): boolean {
+export function isLeaderLive(step: steps.StepContext): boolean {
 	const {draft} = step;
-	const isFollowing = draft.leader !== null && step.now - draft.heardLeaderAt < draft.settings.electionTimeoutMinMs;
+	const isFollowing = draft.leader !== null && step.now - draft.lastLeaderContactAt < draft.settings.minElectionTimeoutMs;
 	return draft.role === 'leader' || isFollowing;
 }
 
 /**
 Answers a pre-vote; nothing changes here.
 */
-export function receivePreVote(step: work.Work, message: messages.VoteRequest): void {
+export function receivePreVote(step: steps.StepContext, message: messages.VoteRequest): void {
 	const {draft} = step;
 	if (isLeaderLive(step)) {
 		return;
 	}
 
 	const granted = message.term > draft.term && log.isUpToDate(draft, message.lastTerm, message.lastIndex);
-	work.send(step, message.from, {kind: 'pre-vote-answer', granted}, granted ? message.term : draft.term);
+	steps.send(step, message.from, {kind: 'pre-vote-answer', granted}, granted ? message.term : draft.term);
 }
 
 /**
 Counts a pre-vote. A refusal from a newer term brings this replica to that term, or it would never be electable.
 */
-export function receivePreVoteAnswer(step: work.Work, message: messages.VoteAnswer): void {
+export function receivePreVoteAnswer(step: steps.StepContext, message: messages.VoteAnswer): void {
 	const {draft} = step;
 	if (!message.granted) {
 		if (message.term > draft.term) {
@@ -171,7 +171,7 @@
 	}
 
 	draft.votes = new Set([...draft.votes, message.from]);
-	if (hasVotes(step)) {
+	if (hasVoteQuorum(step)) {
 		startElection(step);
 	}
 }
@@ -180,10 +180,10 @@
 Votes, at most once a term, for a candidate whose log holds everything this one holds. The answer waits for the vote to
 be durable: a host that forgot its vote in a crash could vote twice, and a term would have two leaders.
 */
-export function receiveVote(step: work.Work, message: messages.VoteRequest): void {
+export function receiveVote(step: steps.StepContext, message: messages.VoteRequest): void {
 	const {draft} = step;
-	const isFree = draft.votedFor === null || draft.votedFor === message.from;
-	const granted = isFree && message.term === draft.term && log.isUpToDate(draft, message.lastTerm, message.lastIndex);
+	const canVote = draft.votedFor === null || draft.votedFor === message.from;
+	const granted = canVote && message.term === draft.term && log.isUpToDate(draft, message.lastTerm, message.lastIndex);
 	if (granted && draft.votedFor === null) {
 		draft.votedFor = message.from;
 		step.isHardStateChanged = true;
@@ -193,13 +193,13 @@
 		resetElectionTimer(step);
 	}
 
-	work.sendWhenDurable(step, message.from, {kind: 'vote-answer', granted});
+	steps.sendWhenDurable(step, message.from, {kind: 'vote-answer', granted});
 }
 
 /**
 Counts a vote.
 */
-export function receiveVoteAnswer(step: work.Work, message: messages.VoteAnswer): void {
+export function receiveVoteAnswer(step: steps.StepContext, message: messages.VoteAnswer): void {
 	if (message.granted && message.term === step.draft.term) {
 		countVote(step, message.from);
 	}
@@ -208,14 +208,14 @@
 /**
 Counts a vote of this term and takes the lead with a quorum.
 */
-export function countVote(step: work.Work, voter: members.MemberId): void {
+export function countVote(step: steps.StepContext, voter: members.MemberId): void {
 	const {draft} = step;
 	if (draft.role !== 'candidate') {
 		return;
 	}
 
 	draft.votes = new Set([...draft.votes, voter]);
-	if (hasVotes(step)) {
+	if (hasVoteQuorum(step)) {
 		sending.becomeLeader(step);
 	}
 }
--- a/packages/wagtailroute-replication/src/engine.ts
+++ b/packages/wagtailroute-replication/src/engine.ts
@@ -15,7 +15,7 @@
 import type * as replica from './replica.ts';
 import * as requests from './requests.ts';
 import * as sending from './sending.ts';
-import * as work from './work.ts';
+import * as steps from './step.ts';
 
 /**
 Settings with the default timings.
@@ -24,14 +24,14 @@
 	settings: Pick<replica.ReplicaSettings, 'group' | 'self'> & Partial<replica.ReplicaSettings>,
 ): replica.ReplicaSettings {
 	return {
-		heartbeatMs: constants.HEARTBEAT_MS,
-		idleHeartbeatMs: constants.IDLE_HEARTBEAT_MS,
-		learnerHeartbeatMs: constants.LEARNER_HEARTBEAT_MS,
-		electionTimeoutMinMs: constants.ELECTION_TIMEOUT_MIN_MS,
-		electionTimeoutMaxMs: constants.ELECTION_TIMEOUT_MAX_MS,
-		compactionBytesMin: constants.COMPACTION_BYTES_MIN,
+		heartbeatIntervalMs: constants.HEARTBEAT_INTERVAL_MILLISECONDS,
+		idleHeartbeatIntervalMs: constants.IDLE_HEARTBEAT_INTERVAL_MILLISECONDS,
+		learnerHeartbeatIntervalMs: constants.LEARNER_HEARTBEAT_INTERVAL_MILLISECONDS,
+		minElectionTimeoutMs: constants.MIN_ELECTION_TIMEOUT_MILLISECONDS,
+		maxElectionTimeoutMs: constants.MAX_ELECTION_TIMEOUT_MILLISECONDS,
+		minCompactionBytes: constants.MIN_COMPACTION_BYTES,
 		retainedEntries: constants.RETAINED_ENTRIES,
-		commandBytesMost: constants.COMMAND_BYTES_MAX,
+		maxCommandBytes: constants.MAX_COMMAND_BYTES,
 		...settings,
 	};
 }
@@ -40,14 +40,14 @@
 The durable state of a member that has just come to be. `first` is empty for a host that will join or create a group;
 otherwise all of the members listed must start with the same list.
 */
-export function createDurableState(self: members.MemberId, first: readonly members.Member[]): replica.DurableState {
+export function createDurableState(self: members.MemberId, initialMembers: readonly members.Member[]): replica.DurableState {
 	return {
 		self,
 		term: 0,
 		votedFor: null,
 		commit: 0,
 		snapshot: {
-			index: 0, term: 0, members: first, state: null, bytes: 0,
+			index: 0, term: 0, members: initialMembers, state: null, bytes: 0,
 		},
 		entries: [],
 	};
@@ -78,32 +78,32 @@
 		members: listed.members,
 		membersIndex: listed.index,
 		leader: null,
-		heardLeaderAt: -Infinity,
+		lastLeaderContactAt: -Infinity,
 		electionDueAt: 0,
 		votes: new Set(),
 		voteSequence: 0,
 		lastSequence: 0,
 		persistedSequence: 0,
-		unsynced: [],
+		unsyncedWrites: [],
 		durableIndex: snapshot.index + entries.length,
-		held: [],
-		termStart: 0,
+		pendingMessages: [],
+		termStartIndex: 0,
 		progress: new Map(),
-		pending: [],
+		pendingProposals: [],
 		readRound: 0,
 		activeReads: [],
 		queuedReads: [],
 		bytesSinceSnapshot: entries.reduce((sum, entry) => sum + entry.bytes, 0),
-		snapshotAskedAt: snapshot.index,
+		snapshotRequestedIndex: snapshot.index,
 	};
-	const step = work.createWork(initial, circumstances);
+	const step = steps.startStep(initial, circumstances);
 	election.resetElectionTimer(step);
 	return step.draft;
 }
 
 type Handlers = {
 	readonly [Kind in replica.ReplicaEvent['kind']]: (
-		step: work.Work,
+		step: steps.StepContext,
 		event: Extract<replica.ReplicaEvent, {kind: Kind}>,
 	) => void;
 };
@@ -114,20 +114,20 @@
 		receive(step, message);
 	},
 	persisted(step, {sequence}) {
-		confirmWrites(step, sequence);
+		recordPersisted(step, sequence);
 	},
 	'persist-failed': stop,
 	propose(step, {proposals}) {
 		requests.propose(step, proposals);
 	},
 	read(step, {ids}) {
-		requests.read(step, ids);
+		requests.queueReads(step, ids);
 	},
 	'change-members'(step, {id, change}) {
-		requests.requestChange(step, id, change);
+		requests.requestMembershipChange(step, id, change);
 	},
 	'create-group'(step, {members: first}) {
-		requests.createGroup(step, first);
+		requests.bootstrapGroup(step, first);
 	},
 	'snapshot-taken'(step, {index, state, bytes}) {
 		committing.compactLog(step, index, state, bytes);
@@ -147,13 +147,13 @@
 		return {state, effects: []};
 	}
 
-	const step = work.createWork(state, circumstances);
+	const step = steps.startStep(state, circumstances);
 	HANDLERS[event.kind](step, event as never);
-	settle(step);
-	return work.finishWork(step);
+	advanceReplica(step);
+	return steps.finishStep(step);
 };
 
-function settle(step: work.Work): void {
+function advanceReplica(step: steps.StepContext): void {
 	const {draft} = step;
 	if (draft.role === 'failed') {
 		return;
@@ -161,7 +161,7 @@
 
 	if (draft.role === 'leader') {
 		committing.advanceCommit(step);
-		sending.sendCommit(step);
+		sending.broadcastCommit(step);
 	}
 
 	committing.applyCommitted(step);
@@ -170,13 +170,13 @@
 	}
 
 	committing.advanceReads(step);
-	leaveIfRemoved(step);
+	stepDownIfRemoved(step);
 }
 
 /**
 A leader that committed its own removal stops leading.
 */
-function leaveIfRemoved(step: work.Work): void {
+function stepDownIfRemoved(step: steps.StepContext): void {
 	const {draft} = step;
 	const isRemoved = !members.isVoter(draft.members, draft.settings.self) && draft.membersIndex <= draft.commit;
 	if (isRemoved) {
@@ -184,7 +184,7 @@
 	}
 }
 
-function tick(step: work.Work): void {
+function tick(step: steps.StepContext): void {
 	const {draft} = step;
 	if (draft.role === 'leader') {
 		committing.checkQuorum(step);
@@ -213,7 +213,7 @@
 
 type MessageHandlers = {
 	readonly [Kind in messages.Message['kind']]: (
-		step: work.Work,
+		step: steps.StepContext,
 		message: Extract<messages.Message, {kind: Kind}>,
 	) => void;
 };
@@ -231,20 +231,20 @@
 /**
 Messages whose term is only a question or the answer to one.
 */
-const WITHOUT_TERM: ReadonlySet<messages.Message['kind']> = new Set(['pre-vote', 'pre-vote-answer']);
-const FROM_LEADER: ReadonlySet<messages.Message['kind']> = new Set(['append', 'install']);
+const TERM_INDEPENDENT_KINDS: ReadonlySet<messages.Message['kind']> = new Set(['pre-vote', 'pre-vote-answer']);
+const LEADER_KINDS: ReadonlySet<messages.Message['kind']> = new Set(['append', 'install']);
 
-function receive(step: work.Work, message: messages.Message): void {
+function receive(step: steps.StepContext, message: messages.Message): void {
 	const {draft} = step;
 	const {group, self} = draft.settings;
 	// A message to the old identity of a host that lost its state is not for this member.
-	const isOurs = message.group === group && message.to === self;
+	const isAddressedHere = message.group === group && message.to === self;
 	const isIgnoredVote = message.kind === 'vote' && election.isLeaderLive(step);
-	if (!isOurs || isIgnoredVote) {
+	if (!isAddressedHere || isIgnoredVote) {
 		return;
 	}
 
-	if (WITHOUT_TERM.has(message.kind)) {
+	if (TERM_INDEPENDENT_KINDS.has(message.kind)) {
 		MESSAGE_HANDLERS[message.kind](step, message as never);
 		return;
 	}
@@ -264,22 +264,22 @@
 /**
 Tells a leader of an older term of the newer one, so that it stops; anything else of an older term is dropped.
 */
-function rejectStale(step: work.Work, message: messages.Message): void {
-	if (FROM_LEADER.has(message.kind)) {
-		work.sendWhenDurable(step, message.from, {
+function rejectStale(step: steps.StepContext, message: messages.Message): void {
+	if (LEADER_KINDS.has(message.kind)) {
+		steps.sendWhenDurable(step, message.from, {
 			kind: 'append-answer', accepted: false, previousIndex: 0, match: 0, round: 0,
 		});
 	}
 }
 
-function confirmWrites(step: work.Work, sequence: number): void {
+function recordPersisted(step: steps.StepContext, sequence: number): void {
 	const {draft} = step;
 	draft.persistedSequence = Math.max(draft.persistedSequence, sequence);
-	const synced = draft.unsynced.filter(item => item.sequence <= sequence);
-	draft.unsynced = draft.unsynced.filter(item => item.sequence > sequence);
+	const synced = draft.unsyncedWrites.filter(item => item.sequence <= sequence);
+	draft.unsyncedWrites = draft.unsyncedWrites.filter(item => item.sequence > sequence);
 	draft.durableIndex = Math.max(draft.durableIndex, synced.at(-1)?.lastIndex ?? 0);
-	const released = draft.held.filter(item => item.sequence <= sequence);
-	draft.held = draft.held.filter(item => item.sequence > sequence);
+	const released = draft.pendingMessages.filter(item => item.sequence <= sequence);
+	draft.pendingMessages = draft.pendingMessages.filter(item => item.sequence > sequence);
 	step.effects.push(...released.map(({message}) => ({kind: 'send', message} as const)));
 	if (draft.role === 'candidate' && draft.voteSequence <= sequence) {
 		election.countVote(step, draft.settings.self);
@@ -290,11 +290,11 @@
 Stops for good. After a failed sync nobody knows what the disk holds, and a second sync may say yes to pages that were
 dropped; a replica that went on could acknowledge what is not there.
 */
-function stop(step: work.Work): void {
+function stop(step: steps.StepContext): void {
 	const {draft} = step;
 	election.abandonRequests(step, null);
 	draft.role = 'failed';
 	draft.leader = null;
-	draft.held = [];
+	draft.pendingMessages = [];
 	step.effects.push({kind: 'stopped'});
 }
--- a/packages/wagtailroute-replication/src/formation.ts
+++ b/packages/wagtailroute-replication/src/formation.ts
@@ -28,15 +28,15 @@
 };
 
 /**
-Starts announcing at once and then every {@link constants.ANNOUNCE_MS}.
+Starts announcing at once and then every {@link constants.ANNOUNCEMENT_INTERVAL_MILLISECONDS}.
 */
 export function createFormation(
 	options: group.GroupOptions,
 	announcements: observation.Announcements,
-	loop: runner.Loop,
+	loop: runner.ReplicaLoop,
 ): Formation {
 	const {clock, host} = options;
-	const firstHosts = options.first?.hosts ?? [];
+	const firstHosts = options.initialMembers?.hosts ?? [];
 	let cancel = () => {
 		// Nothing is scheduled yet.
 	};
@@ -52,7 +52,7 @@
 		});
 	};
 
-	const createIfPossible = () => {
+	const bootstrapIfAgreed = () => {
 		const state = loop.getState();
 		const {self} = state.settings;
 		const isCreator = firstHosts[0] === host && engine.isEmpty(state);
@@ -67,12 +67,12 @@
 	};
 
 	const announce = () => {
-		for (const name of needsGroup(loop) ? getSeeds(options) : []) {
+		for (const name of isWithoutGroup(loop) ? getSeeds(options) : []) {
 			announceTo(name);
 		}
 
-		createIfPossible();
-		cancel = options.schedule(constants.ANNOUNCE_MS, announce);
+		bootstrapIfAgreed();
+		cancel = options.schedule(constants.ANNOUNCEMENT_INTERVAL_MILLISECONDS, announce);
 	};
 
 	announce();
@@ -80,11 +80,11 @@
 		receive(announcement) {
 			announcements.add(announcement, clock());
 			const isAnswered = announcement.to === loop.getState().settings.self;
-			if (!isAnswered && needsGroup(loop)) {
+			if (!isAnswered && isWithoutGroup(loop)) {
 				announceTo(members.getMemberHost(announcement.from));
 			}
 
-			createIfPossible();
+			bootstrapIfAgreed();
 		},
 		close() {
 			cancel();
@@ -95,13 +95,13 @@
 /**
 A member that hears no leader announces itself too: it may have been removed while it was cut off.
 */
-function needsGroup(loop: runner.Loop): boolean {
+function isWithoutGroup(loop: runner.ReplicaLoop): boolean {
 	const {leader, members: listed, settings} = loop.getState();
 	return leader === null || listed.every(member => member.id !== settings.self);
 }
 
 function getSeeds(options: group.GroupOptions): ReadonlySet<core.HostId> {
-	const seeds = new Set([...options.getSeeds?.() ?? [], ...options.first?.hosts ?? []]);
+	const seeds = new Set([...options.getSeeds?.() ?? [], ...options.initialMembers?.hosts ?? []]);
 	seeds.delete(options.host);
 	return seeds;
 }
--- a/packages/wagtailroute-replication/src/group.ts
+++ b/packages/wagtailroute-replication/src/group.ts
@@ -68,7 +68,7 @@
 /**
 The hosts of a group that may have to be created. It is safe to give them at every start; see the module `formation`.
 */
-export type FirstMembers = {
+export type InitialMembers = {
 	readonly hosts: readonly core.HostId[];
 };
 
@@ -87,7 +87,7 @@
 	readonly clock: () => number;
 	readonly random: utils.Random;
 	readonly schedule: (delayMs: number, run: () => void) => utils.Teardown;
-	readonly first?: FirstMembers;
+	readonly initialMembers?: InitialMembers;
 	/**
 	Hosts to announce this one to while it is not a member or hears no leader.
 	*/
@@ -149,9 +149,9 @@
 		return loaded;
 	}
 
-	const kept = loaded.value;
-	if (kept !== undefined) {
-		return results.Ok(runner.runReplica(options, kept));
+	const restored = loaded.value;
+	if (restored !== undefined) {
+		return results.Ok(runner.runReplica(options, restored));
 	}
 
 	const createIncarnation = options.createIncarnation ?? (() => crypto.randomBytes(INCARNATION_BYTES).toString('hex'));
--- a/packages/wagtailroute-replication/src/index.ts
+++ b/packages/wagtailroute-replication/src/index.ts
@@ -47,7 +47,7 @@
 	type Announcement,
 	type Applied,
 	createGroup,
-	type FirstMembers,
+	type InitialMembers,
 	type Group,
 	type GroupFailure,
 	type GroupMessage,
@@ -56,4 +56,4 @@
 	type StateMachine,
 } from './group.ts';
 export {observeMembers} from './observation.ts';
-export {chooseMembers, type MemberChoice, type WantedMember} from './voters.ts';
+export {chooseMembers, type MemberChoiceOptions, type WantedMember} from './voters.ts';
--- a/packages/wagtailroute-replication/src/observation.ts
+++ b/packages/wagtailroute-replication/src/observation.ts
@@ -17,8 +17,8 @@
 		const isSelf = member.id === state.settings.self;
 		return {
 			...member,
-			isLive: isSelf || (progress !== undefined && now - progress.heardAt < constants.REACHABLE_MS),
-			isCaughtUp: isSelf || (progress !== undefined && progress.match >= state.commit),
+			isLive: isSelf || (progress !== undefined && now - progress.lastResponseAt < constants.REACHABLE_MILLISECONDS),
+			isCaughtUp: isSelf || (progress !== undefined && progress.matchIndex >= state.commit),
 		};
 	});
 }
@@ -35,7 +35,7 @@
 	/**
 	Adds to each wanted host the member that runs there now.
 	*/
-	readonly complete: (
+	readonly resolveMembers: (
 		state: replica.Replica,
 		wanted: ReadonlyArray<Pick<repair.WantedHost, 'host' | 'role'>>,
 		now: number,
@@ -46,18 +46,18 @@
 Creates an empty table, one row a host.
 */
 export function createAnnouncements(): Announcements {
-	const heard = new Map<core.HostId, {readonly announcement: group.Announcement; readonly at: number}>();
+	const latest = new Map<core.HostId, {readonly announcement: group.Announcement; readonly at: number}>();
 	const get = (host: core.HostId, now: number) => {
-		const last = heard.get(host);
-		return last !== undefined && now - last.at < constants.REACHABLE_MS ? last.announcement : undefined;
+		const last = latest.get(host);
+		return last !== undefined && now - last.at < constants.REACHABLE_MILLISECONDS ? last.announcement : undefined;
 	};
 
 	return {
 		add(announcement, now) {
-			heard.set(members.getMemberHost(announcement.from), {announcement, at: now});
+			latest.set(members.getMemberHost(announcement.from), {announcement, at: now});
 		},
 		get,
-		complete(state, wanted, now) {
+		resolveMembers(state, wanted, now) {
 			const observed = observeMembers(state, now);
 			return wanted.map(({host, role}) => {
 				const live = observed.findLast(member => member.isLive && members.getMemberHost(member.id) === host);
--- a/packages/wagtailroute-replication/src/receiving.ts
+++ b/packages/wagtailroute-replication/src/receiving.ts
@@ -4,9 +4,9 @@
 import * as election from './election.ts';
 import * as log from './log.ts';
 import type * as messages from './messages.ts';
-import * as work from './work.ts';
+import * as steps from './step.ts';
 
-function followLeader(step: work.Work, message: messages.Message): void {
+function followLeader(step: steps.StepContext, message: messages.Message): void {
 	const {draft} = step;
 	if (draft.role === 'follower') {
 		election.resetElectionTimer(step);
@@ -15,29 +15,29 @@
 	}
 
 	draft.leader = message.from;
-	draft.heardLeaderAt = step.now;
+	draft.lastLeaderContactAt = step.now;
 }
 
 /**
 Takes entries that follow on this log; answers once they are durable.
 */
-export function receiveAppend(step: work.Work, message: messages.Append): void {
+export function receiveAppend(step: steps.StepContext, message: messages.Append): void {
 	const {draft} = step;
 	followLeader(step, message);
 	const {previousIndex, previousTerm, round} = message;
-	const isKnown = previousIndex <= draft.commit || log.getTerm(draft, previousIndex) === previousTerm;
-	if (!isKnown) {
+	const isConsistent = previousIndex <= draft.commit || log.getTerm(draft, previousIndex) === previousTerm;
+	if (!isConsistent) {
 		const match = findPossibleMatch(step, previousIndex);
-		work.sendWhenDurable(step, message.from, {
+		steps.sendWhenDurable(step, message.from, {
 			kind: 'append-answer', accepted: false, previousIndex, match, round,
 		});
 		return;
 	}
 
-	takeEntries(step, message.entries);
+	appendMissingEntries(step, message.entries);
 	const match = previousIndex + message.entries.length;
 	draft.commit = Math.max(draft.commit, Math.min(message.commit, match));
-	work.sendWhenDurable(step, message.from, {
+	steps.sendWhenDurable(step, message.from, {
 		kind: 'append-answer', accepted: true, previousIndex, match, round,
 	});
 }
@@ -46,18 +46,18 @@
 Replaces the log from the first entry that differs. Entries that are already there are kept: a late, reordered message
 must not cut off what came after it and was acknowledged.
 */
-function takeEntries(step: work.Work, entries: readonly messages.Entry[]): void {
+function appendMissingEntries(step: steps.StepContext, entries: readonly messages.Entry[]): void {
 	const {draft} = step;
 	const first = entries.findIndex(entry => entry.index > draft.commit && log.getTerm(draft, entry.index) !== entry.term);
 	if (first !== -1) {
-		work.replaceLog(step, entries[first]!.index, entries.slice(first));
+		steps.replaceLog(step, entries[first]!.index, entries.slice(first));
 	}
 }
 
 /**
 The highest index at which the leader's log may still agree: a whole conflicting term is skipped in one round.
 */
-function findPossibleMatch(step: work.Work, previousIndex: number): number {
+function findPossibleMatch(step: steps.StepContext, previousIndex: number): number {
 	const {draft} = step;
 	if (previousIndex > log.getLastIndex(draft)) {
 		return log.getLastIndex(draft);
@@ -75,7 +75,7 @@
 /**
 Replaces the state by a snapshot. What follows in the log is kept only if the log agrees at the snapshot's end.
 */
-export function receiveInstall(step: work.Work, message: messages.Install): void {
+export function receiveInstall(step: steps.StepContext, message: messages.Install): void {
 	const {draft} = step;
 	const {snapshot, round} = message;
 	followLeader(step, message);
@@ -83,24 +83,24 @@
 		installSnapshot(step, snapshot);
 	}
 
-	work.sendWhenDurable(step, message.from, {
+	steps.sendWhenDurable(step, message.from, {
 		kind: 'append-answer', accepted: true, previousIndex: snapshot.index, match: snapshot.index, round,
 	});
 }
 
-function installSnapshot(step: work.Work, snapshot: messages.Snapshot): void {
+function installSnapshot(step: steps.StepContext, snapshot: messages.Snapshot): void {
 	const {draft} = step;
-	const isAgreed = log.getTerm(draft, snapshot.index) === snapshot.term;
-	const rest = isAgreed ? log.getEntries(draft, snapshot.index + 1) : [];
-	draft.log = rest;
+	const isConsistent = log.getTerm(draft, snapshot.index) === snapshot.term;
+	const retained = isConsistent ? log.getEntries(draft, snapshot.index + 1) : [];
+	draft.log = retained;
 	draft.base = {index: snapshot.index, term: snapshot.term, members: snapshot.members};
 	draft.snapshot = snapshot;
 	draft.bytesSinceSnapshot = 0;
-	draft.snapshotAskedAt = snapshot.index;
+	draft.snapshotRequestedIndex = snapshot.index;
 	draft.commit = snapshot.index;
 	draft.applied = snapshot.index;
-	work.refreshMembers(draft);
+	steps.refreshMembers(draft);
 	step.newSnapshot = snapshot;
-	step.changedFrom = snapshot.index + 1;
+	step.firstChangedIndex = snapshot.index + 1;
 	step.effects.push({kind: 'restore', snapshot});
 }
--- a/packages/wagtailroute-replication/src/replica.ts
+++ b/packages/wagtailroute-replication/src/replica.ts
@@ -18,17 +18,17 @@
 export type ReplicaSettings = {
 	readonly group: string;
 	readonly self: members.MemberId;
-	readonly heartbeatMs: number;
-	readonly idleHeartbeatMs: number;
-	readonly learnerHeartbeatMs: number;
-	readonly electionTimeoutMinMs: number;
-	readonly electionTimeoutMaxMs: number;
-	readonly compactionBytesMin: number;
+	readonly heartbeatIntervalMs: number;
+	readonly idleHeartbeatIntervalMs: number;
+	readonly learnerHeartbeatIntervalMs: number;
+	readonly minElectionTimeoutMs: number;
+	readonly maxElectionTimeoutMs: number;
+	readonly minCompactionBytes: number;
 	readonly retainedEntries: number;
 	/**
 	Largest command in bytes of JSON.
 	*/
-	readonly commandBytesMost: number;
+	readonly maxCommandBytes: number;
 };
 
 /**
@@ -38,25 +38,25 @@
 	/**
 	Last index known to be durable there and equal to the leader's.
 	*/
-	readonly match: number;
-	readonly next: number;
+	readonly matchIndex: number;
+	readonly nextIndex: number;
 	/**
 	Last index of each unanswered append with entries.
 	*/
-	readonly sent: readonly number[];
+	readonly inFlightIndexes: readonly number[];
 	/**
 	While true the place where the logs agree is unknown: one message at a time.
 	*/
 	readonly isProbing: boolean;
-	readonly matchAtHeartbeat: number;
+	readonly matchIndexAtHeartbeat: number;
 	readonly sentCommit: number;
-	readonly heardAt: number;
+	readonly lastResponseAt: number;
 	readonly snapshotSentAt: number;
 	readonly heartbeatDueAt: number;
 	/**
 	Last read round it confirmed.
 	*/
-	readonly round: number;
+	readonly confirmedReadRound: number;
 };
 
 /**
@@ -116,7 +116,7 @@
 	*/
 	readonly membersIndex: number;
 	readonly leader: members.MemberId | null;
-	readonly heardLeaderAt: number;
+	readonly lastLeaderContactAt: number;
 	readonly electionDueAt: number;
 	readonly votes: ReadonlySet<members.MemberId>;
 	/**
@@ -125,18 +125,18 @@
 	readonly voteSequence: number;
 	readonly lastSequence: number;
 	readonly persistedSequence: number;
-	readonly unsynced: ReadonlyArray<{readonly sequence: number; readonly lastIndex: number}>;
+	readonly unsyncedWrites: ReadonlyArray<{readonly sequence: number; readonly lastIndex: number}>;
 	readonly durableIndex: number;
 	/**
 	Messages that wait until the write of their sequence is durable.
 	*/
-	readonly held: ReadonlyArray<{readonly sequence: number; readonly message: messages.Message}>;
+	readonly pendingMessages: ReadonlyArray<{readonly sequence: number; readonly message: messages.Message}>;
 	/**
 	Index of the entry that opened the leader's term.
 	*/
-	readonly termStart: number;
+	readonly termStartIndex: number;
 	readonly progress: ReadonlyMap<members.MemberId, Progress>;
-	readonly pending: ReadonlyArray<{readonly index: number; readonly id: string}>;
+	readonly pendingProposals: ReadonlyArray<{readonly index: number; readonly id: string}>;
 	readonly readRound: number;
 	readonly activeReads: readonly string[];
 	readonly queuedReads: readonly string[];
@@ -147,7 +147,7 @@
 	/**
 	Index at which the last snapshot was asked for.
 	*/
-	readonly snapshotAskedAt: number;
+	readonly snapshotRequestedIndex: number;
 };
 
 /**
--- a/packages/wagtailroute-replication/src/requests.ts
+++ b/packages/wagtailroute-replication/src/requests.ts
@@ -7,13 +7,13 @@
 import * as members from './members.ts';
 import type * as replica from './replica.ts';
 import * as sending from './sending.ts';
-import * as work from './work.ts';
+import * as steps from './step.ts';
 
-function refuse(step: work.Work, id: string, reason: replica.RefusalReason): void {
+function refuse(step: steps.StepContext, id: string, reason: replica.RefusalReason): void {
 	step.effects.push({kind: 'answer', id, answer: {outcome: 'refused', reason}});
 }
 
-function isRefusedHere(step: work.Work, id: string): boolean {
+function refuseUnlessLeader(step: steps.StepContext, id: string): boolean {
 	const {draft} = step;
 	if (draft.role === 'leader') {
 		return false;
@@ -29,30 +29,30 @@
 /**
 Appends commands in one batch.
 */
-export function propose(step: work.Work, proposals: readonly replica.Proposal[]): void {
+export function propose(step: steps.StepContext, proposals: readonly replica.Proposal[]): void {
 	const {draft} = step;
-	const accepted = proposals.filter(proposal => !isProposalRefused(step, proposal));
-	const taken = accepted.slice(0, Math.max(0, constants.PENDING_PROPOSALS_MAX - draft.pending.length));
-	for (const {id} of accepted.slice(taken.length)) {
+	const accepted = proposals.filter(proposal => !refuseInvalidProposal(step, proposal));
+	const admitted = accepted.slice(0, Math.max(0, constants.MAX_PENDING_PROPOSALS - draft.pendingProposals.length));
+	for (const {id} of accepted.slice(admitted.length)) {
 		refuse(step, id, 'too-many-pending');
 	}
 
-	if (taken.length === 0) {
+	if (admitted.length === 0) {
 		return;
 	}
 
 	const first = log.getLastIndex(draft) + 1;
-	sending.appendEntries(step, taken.map(({command, bytes}) => ({kind: 'command', value: command, bytes})));
-	draft.pending = [...draft.pending, ...taken.map(({id}, at) => ({index: first + at, id}))];
-	sending.broadcast(step);
+	sending.appendEntries(step, admitted.map(({command, bytes}) => ({kind: 'command', value: command, bytes})));
+	draft.pendingProposals = [...draft.pendingProposals, ...admitted.map(({id}, at) => ({index: first + at, id}))];
+	sending.broadcastEntries(step);
 }
 
-function isProposalRefused(step: work.Work, proposal: replica.Proposal): boolean {
-	if (isRefusedHere(step, proposal.id)) {
+function refuseInvalidProposal(step: steps.StepContext, proposal: replica.Proposal): boolean {
+	if (refuseUnlessLeader(step, proposal.id)) {
 		return true;
 	}
 
-	const isTooLarge = proposal.bytes > step.draft.settings.commandBytesMost;
+	const isTooLarge = proposal.bytes > step.draft.settings.maxCommandBytes;
 	if (isTooLarge) {
 		refuse(step, proposal.id, 'command-too-large');
 	}
@@ -63,30 +63,30 @@
 /**
 Queues linearizable reads.
 */
-export function read(step: work.Work, ids: readonly string[]): void {
+export function queueReads(step: steps.StepContext, ids: readonly string[]): void {
 	const {draft} = step;
-	const accepted = ids.filter(id => !isRefusedHere(step, id));
-	const taken = accepted.slice(0, Math.max(0, constants.PENDING_READS_MAX - draft.queuedReads.length));
-	for (const id of accepted.slice(taken.length)) {
+	const accepted = ids.filter(id => !refuseUnlessLeader(step, id));
+	const admitted = accepted.slice(0, Math.max(0, constants.MAX_PENDING_READS - draft.queuedReads.length));
+	for (const id of accepted.slice(admitted.length)) {
 		refuse(step, id, 'too-many-pending');
 	}
 
-	draft.queuedReads = [...draft.queuedReads, ...taken];
+	draft.queuedReads = [...draft.queuedReads, ...admitted];
 }
 
 /**
 Makes the first entry of a new group: its members. Only an empty replica does; the others get it as any entry.
 */
-export function createGroup(step: work.Work, first: readonly members.Member[]): void {
+export function bootstrapGroup(step: steps.StepContext, initialMembers: readonly members.Member[]): void {
 	const {draft} = step;
 	const isNew = log.getLastIndex(draft) === 0 && draft.members.length === 0;
 	if (!isNew) {
 		return;
 	}
 
-	const bytes = JSON.stringify(first).length;
-	work.replaceLog(step, 1, [{
-		index: 1, term: 0, kind: 'members', value: first, bytes,
+	const bytes = JSON.stringify(initialMembers).length;
+	steps.replaceLog(step, 1, [{
+		index: 1, term: 0, kind: 'members', value: initialMembers, bytes,
 	}]);
 	// Nobody leads yet, so there is nothing to wait for.
 	draft.electionDueAt = step.now;
@@ -98,13 +98,13 @@
 One at a time, and only after an entry of this term was committed: two changes that are both uncommitted, from two
 leaders, could have quorums without a common member, and two leaders would commit different entries.
 */
-export function requestChange(step: work.Work, id: string, change: members.MembershipChange): void {
+export function requestMembershipChange(step: steps.StepContext, id: string, change: members.MembershipChange): void {
 	const {draft} = step;
-	if (isRefusedHere(step, id)) {
+	if (refuseUnlessLeader(step, id)) {
 		return;
 	}
 
-	const reason = findObstacle(step, change);
+	const reason = findRefusalReason(step, change);
 	if (reason !== undefined) {
 		refuse(step, id, reason);
 		return;
@@ -113,23 +113,23 @@
 	const value = members.changeMembers(draft.members, change);
 	const index = log.getLastIndex(draft) + 1;
 	sending.appendEntries(step, [{kind: 'members', value, bytes: JSON.stringify(value).length}]);
-	draft.pending = [...draft.pending, {index, id}];
+	draft.pendingProposals = [...draft.pendingProposals, {index, id}];
 	sending.refreshProgress(step);
-	sending.broadcast(step);
+	sending.broadcastEntries(step);
 }
 
-function findObstacle(step: work.Work, change: members.MembershipChange): replica.RefusalReason | undefined {
+function findRefusalReason(step: steps.StepContext, change: members.MembershipChange): replica.RefusalReason | undefined {
 	const {draft} = step;
-	if (draft.commit < draft.termStart) {
+	if (draft.commit < draft.termStartIndex) {
 		return 'term-not-committed';
 	}
 
-	return draft.membersIndex > draft.commit ? 'change-in-progress' : OBSTACLES[change.kind](step, change.member);
+	return draft.membersIndex > draft.commit ? 'change-in-progress' : REFUSAL_CHECKS[change.kind](step, change.member);
 }
 
-type Obstacle = (step: work.Work, id: members.MemberId) => replica.RefusalReason | undefined;
+type RefusalCheck = (step: steps.StepContext, id: members.MemberId) => replica.RefusalReason | undefined;
 
-const OBSTACLES: Readonly<Record<members.MembershipChange['kind'], Obstacle>> = {
+const REFUSAL_CHECKS: Readonly<Record<members.MembershipChange['kind'], RefusalCheck>> = {
 	'add-learner': ({draft}, id) => draft.members.some(member => member.id === id) ? 'already-member' : undefined,
 	promote(step, id) {
 		const {draft} = step;
@@ -140,7 +140,7 @@
 
 		// A new voter must hold durably what is committed. Promoted earlier it would count for quorums with a log that
 		// lacks accepted changes; the loss of a second host would then leave a majority without them.
-		const isCaughtUp = draft.progress.get(id)!.match >= draft.commit && committing.isHeard(draft, id, step.now);
+		const isCaughtUp = draft.progress.get(id)!.matchIndex >= draft.commit && committing.isRecentlyActive(draft, id, step.now);
 		return isCaughtUp ? findQuorumRisk(step, {kind: 'promote', member: id}) : 'not-caught-up';
 	},
 	remove(step, id) {
@@ -152,9 +152,9 @@
 /**
 A change after which the voters heard lately are no quorum could never be committed, and would block every later one.
 */
-function findQuorumRisk(step: work.Work, change: members.MembershipChange): replica.RefusalReason | undefined {
+function findQuorumRisk(step: steps.StepContext, change: members.MembershipChange): replica.RefusalReason | undefined {
 	const {draft} = step;
 	const after = members.changeMembers(draft.members, change);
-	const isSafe = members.isQuorum(after, id => committing.isHeard(draft, id, step.now));
+	const isSafe = members.isQuorum(after, id => committing.isRecentlyActive(draft, id, step.now));
 	return isSafe ? undefined : 'quorum-at-risk';
 }
--- a/packages/wagtailroute-replication/src/runner.ts
+++ b/packages/wagtailroute-replication/src/runner.ts
@@ -22,7 +22,7 @@
 /**
 The part of a running replica that takes events.
 */
-export type Loop = {
+export type ReplicaLoop = {
 	readonly getState: () => replica.Replica;
 	readonly dispatch: (event: replica.ReplicaEvent) => void;
 	readonly close: () => Promise<void>;
@@ -35,15 +35,15 @@
 	const {clock} = options;
 	const {self} = restored;
 	const announcements = observation.createAnnouncements();
-	const waiting = waiters.createWaiters();
-	const loop = createLoop(options, restored, waiting);
+	const pendingRequests = waiters.createWaiters();
+	const loop = createReplicaLoop(options, restored, pendingRequests);
 	const batches = createBatches(loop.dispatch);
 	const formation = formations.createFormation(options, announcements, loop);
 	let isClosed = false;
 
 	const request = async (start: (id: string) => void) => isClosed
 		? results.Err(core.createFailure('closed', 'The group is closed.'))
-		: waiting.add(start);
+		: pendingRequests.add(start);
 
 	const changeMembers: group.Group['changeMembers'] = async change => {
 		const changed = await request(id => {
@@ -52,9 +52,9 @@
 		return changed.map(applied => applied.token);
 	};
 
-	const plan = (wanted: Parameters<group.Group['reconcile']>[0]) => {
+	const planChange = (wanted: Parameters<group.Group['reconcile']>[0]) => {
 		const state = loop.getState();
-		const hosts = announcements.complete(state, wanted, clock());
+		const hosts = announcements.resolveMembers(state, wanted, clock());
 		return state.role === 'leader' ? repair.planRepair(observation.observeMembers(state, clock()), hosts) : undefined;
 	};
 
@@ -75,7 +75,7 @@
 		},
 		changeMembers,
 		async reconcile(wanted) {
-			const change = plan(wanted);
+			const change = planChange(wanted);
 			if (change === undefined) {
 				return results.Ok(undefined);
 			}
@@ -87,7 +87,7 @@
 		async close() {
 			isClosed = true;
 			formation.close();
-			waiting.close();
+			pendingRequests.close();
 			await loop.close();
 		},
 	};
@@ -96,7 +96,7 @@
 /**
 Events in, effects out. An event that an effect brings about waits until the effects before it are done.
 */
-function createLoop(options: group.GroupOptions, restored: replica.DurableState, waiting: waiters.Waiters): Loop {
+function createReplicaLoop(options: group.GroupOptions, restored: replica.DurableState, pendingRequests: waiters.Waiters): ReplicaLoop {
 	const {clock, random, stateMachine, store} = options;
 	const settings = engine.createSettings({...options.settings, group: options.group, self: restored.self});
 	const events: replica.ReplicaEvent[] = [];
@@ -160,14 +160,14 @@
 		apply({token, command, id}) {
 			const value = stateMachine.apply(command, token);
 			if (id !== null) {
-				waiting.apply(id, {value, token});
+				pendingRequests.complete(id, {value, token});
 			}
 		},
 		restore({snapshot}) {
 			stateMachine.restoreSnapshot(snapshot.state);
 		},
 		answer({id, answer}) {
-			waiting.answer(id, answer);
+			pendingRequests.answer(id, answer);
 		},
 		'take-snapshot'({index}) {
 			const snapshot = stateMachine.takeSnapshot();
@@ -202,7 +202,7 @@
 /**
 Collects the requests of one turn of the loop into one event.
 */
-function createBatches(dispatch: Loop['dispatch']): Batches {
+function createBatches(dispatch: ReplicaLoop['dispatch']): Batches {
 	let proposals: replica.Proposal[] = [];
 	let reads: string[] = [];
 	let isScheduled = false;
--- a/packages/wagtailroute-replication/src/work.ts
+++ b/packages/wagtailroute-replication/src/step.ts
@@ -24,7 +24,7 @@
 /**
 A step in progress.
 */
-export type Work = {
+export type StepContext = {
 	readonly draft: Draft;
 	readonly now: number;
 	readonly random: () => number;
@@ -32,31 +32,31 @@
 	/**
 	Messages that wait for everything written so far.
 	*/
-	readonly promises: messages.Message[];
+	readonly messagesAfterWrite: messages.Message[];
 	isHardStateChanged: boolean;
-	changedFrom: number | undefined;
+	firstChangedIndex: number | undefined;
 	newSnapshot: messages.Snapshot | undefined;
 };
 
 /**
 A message without its envelope.
 */
-export type Body<Sent extends messages.Message = messages.Message> = Sent extends messages.Message
+export type MessageBody<Sent extends messages.Message = messages.Message> = Sent extends messages.Message
 	? Omit<Sent, 'group' | 'from' | 'to' | 'term'>
 	: never;
 
 /**
 Opens a step.
 */
-export function createWork(state: replica.Replica, circumstances: core.Circumstances): Work {
+export function startStep(state: replica.Replica, circumstances: core.Circumstances): StepContext {
 	return {
 		draft: {...state, progress: new Map(state.progress)},
 		now: circumstances.now,
 		random: circumstances.random,
 		effects: [],
-		promises: [],
+		messagesAfterWrite: [],
 		isHardStateChanged: false,
-		changedFrom: undefined,
+		firstChangedIndex: undefined,
 		newSnapshot: undefined,
 	};
 }
@@ -64,19 +64,19 @@
 /**
 Sends at once: for messages that promise nothing about this replica's durable state.
 */
-export function send(work: Work, to: members.MemberId, body: Body, term: number = work.draft.term): void {
-	work.effects.push({kind: 'send', message: createMessage(work, to, body, term)});
+export function send(step: StepContext, to: members.MemberId, body: MessageBody, term: number = step.draft.term): void {
+	step.effects.push({kind: 'send', message: createMessage(step, to, body, term)});
 }
 
 /**
 Sends once everything changed so far is durable.
 */
-export function sendWhenDurable(work: Work, to: members.MemberId, body: Body): void {
-	work.promises.push(createMessage(work, to, body, work.draft.term));
+export function sendWhenDurable(step: StepContext, to: members.MemberId, body: MessageBody): void {
+	step.messagesAfterWrite.push(createMessage(step, to, body, step.draft.term));
 }
 
-function createMessage(work: Work, to: members.MemberId, body: Body, term: number): messages.Message {
-	const {group, self} = work.draft.settings;
+function createMessage(step: StepContext, to: members.MemberId, body: MessageBody, term: number): messages.Message {
+	const {group, self} = step.draft.settings;
 	return {
 		...body,
 		group,
@@ -89,13 +89,13 @@
 /**
 Replaces the log from an index on.
 */
-export function replaceLog(work: Work, from: number, entries: readonly messages.Entry[]): void {
-	const {draft} = work;
+export function replaceLog(step: StepContext, from: number, entries: readonly messages.Entry[]): void {
+	const {draft} = step;
 	utils.invariant(from > draft.commit, `entry ${from} is committed and would be replaced`);
 	const kept = draft.log.slice(0, from - draft.base.index - 1);
 	draft.bytesSinceSnapshot += sumBytes(entries) - sumBytes(draft.log.slice(kept.length));
 	draft.log = [...kept, ...entries];
-	work.changedFrom = Math.min(work.changedFrom ?? from, from);
+	step.firstChangedIndex = Math.min(step.firstChangedIndex ?? from, from);
 	const isMembersChanged = draft.membersIndex >= from || entries.some(entry => entry.kind === 'members');
 	if (isMembersChanged) {
 		refreshMembers(draft);
@@ -115,34 +115,34 @@
 /**
 Closes a step: one write for all changes, promises held until it is durable.
 */
-export function finishWork(work: Work): core.Transition<replica.Replica, replica.ReplicaEffect> {
-	const {draft} = work;
-	const isChanged = work.isHardStateChanged || work.changedFrom !== undefined || work.newSnapshot !== undefined;
+export function finishStep(step: StepContext): core.Transition<replica.Replica, replica.ReplicaEffect> {
+	const {draft} = step;
+	const isChanged = step.isHardStateChanged || step.firstChangedIndex !== undefined || step.newSnapshot !== undefined;
 	if (isChanged) {
-		addWrite(work);
+		addWrite(step);
 	}
 
 	const isDurable = draft.lastSequence === draft.persistedSequence;
 	if (isDurable) {
-		work.effects.push(...work.promises.map(message => ({kind: 'send', message} as const)));
+		step.effects.push(...step.messagesAfterWrite.map(message => ({kind: 'send', message} as const)));
 	} else {
-		draft.held = [...draft.held, ...work.promises.map(message => ({sequence: draft.lastSequence, message}))];
+		draft.pendingMessages = [...draft.pendingMessages, ...step.messagesAfterWrite.map(message => ({sequence: draft.lastSequence, message}))];
 	}
 
-	return {state: draft, effects: work.effects};
+	return {state: draft, effects: step.effects};
 }
 
-function addWrite(work: Work): void {
-	const {draft} = work;
-	const from = work.changedFrom;
+function addWrite(step: StepContext): void {
+	const {draft} = step;
+	const from = step.firstChangedIndex;
 	draft.lastSequence++;
 	if (from !== undefined) {
 		// A replaced entry is no longer the one an earlier write made durable.
 		draft.durableIndex = Math.min(draft.durableIndex, from - 1);
-		draft.unsynced = draft.unsynced.map(item => ({...item, lastIndex: Math.min(item.lastIndex, from - 1)}));
+		draft.unsyncedWrites = draft.unsyncedWrites.map(item => ({...item, lastIndex: Math.min(item.lastIndex, from - 1)}));
 	}
 
-	draft.unsynced = [...draft.unsynced, {sequence: draft.lastSequence, lastIndex: log.getLastIndex(draft)}];
+	draft.unsyncedWrites = [...draft.unsyncedWrites, {sequence: draft.lastSequence, lastIndex: log.getLastIndex(draft)}];
 	const write: replica.Write = {
 		sequence: draft.lastSequence,
 		term: draft.term,
@@ -150,9 +150,9 @@
 		commit: draft.commit,
 		...(from !== undefined && {from}),
 		entries: from === undefined ? [] : log.getEntries(draft, from),
-		...(work.newSnapshot !== undefined && {snapshot: work.newSnapshot}),
+		...(step.newSnapshot !== undefined && {snapshot: step.newSnapshot}),
 	};
-	work.effects.push({kind: 'persist', write});
+	step.effects.push({kind: 'persist', write});
 }
 
 function sumBytes(entries: readonly messages.Entry[]): number {
--- a/packages/wagtailroute-replication/src/voters.ts
+++ b/packages/wagtailroute-replication/src/voters.ts
@@ -18,45 +18,45 @@
 /**
 What a choice is made from.
 */
-export type MemberChoice = {
+export type MemberChoiceOptions = {
 	readonly members: readonly Member[];
 	/**
 	Hosts that run and may be members.
 	*/
-	readonly running: ReadonlyArray<{readonly host: core.HostId; readonly failureDomain: core.FailureDomain}>;
+	readonly runningHosts: ReadonlyArray<{readonly host: core.HostId; readonly failureDomain: core.FailureDomain}>;
 	/**
 	Says whether a host is gone for so long that another may take its place.
 	*/
 	readonly isReplaceable: (host: core.HostId) => boolean;
-	readonly votersMost: number;
+	readonly maxVoters: number;
 };
 
 /**
 Returns the hosts that belong into a group. A host that is gone stays as long as no other could vote in its place.
 */
-export function chooseMembers(choice: MemberChoice): readonly WantedMember[] {
-	const {members, running, isReplaceable, votersMost} = choice;
-	const present = [...new Set(members.map(member => getMemberHost(member.id)))];
-	const isRunning = (host: core.HostId) => running.some(item => item.host === host);
-	const hosts = [...new Set([...present.filter(host => isRunning(host) || !isReplaceable(host)), ...running.map(({host}) => host)])];
-	const wanted = Math.min(votersMost, Math.max(hosts.length, countVoters(members)));
-	const voters = chooseVoters(choice, hosts, wanted);
+export function chooseMembers(choice: MemberChoiceOptions): readonly WantedMember[] {
+	const {members, runningHosts, isReplaceable, maxVoters} = choice;
+	const memberHosts = [...new Set(members.map(member => getMemberHost(member.id)))];
+	const isRunning = (host: core.HostId) => runningHosts.some(item => item.host === host);
+	const hosts = [...new Set([...memberHosts.filter(host => isRunning(host) || !isReplaceable(host)), ...runningHosts.map(({host}) => host)])];
+	const targetVoters = Math.min(maxVoters, Math.max(hosts.length, countVoters(members)));
+	const voters = chooseVoters(choice, hosts, targetVoters);
 	// Without a host in its place, a lost voter stays: fewer voters would bear fewer losses.
-	const kept = present.filter(host => !hosts.includes(host) && isVoterHost(members, host)).slice(0, Math.max(0, wanted - voters.size));
+	const keptVoters = memberHosts.filter(host => !hosts.includes(host) && isVoterHost(members, host)).slice(0, Math.max(0, targetVoters - voters.size));
 	return [
 		...hosts.map(host => ({host, role: voters.has(host) ? 'voter' : 'learner'} as const)),
-		...kept.map(host => ({host, role: 'voter'} as const)),
+		...keptVoters.map(host => ({host, role: 'voter'} as const)),
 	];
 }
 
-function chooseVoters({members, running}: MemberChoice, hosts: readonly core.HostId[], wanted: number): ReadonlySet<core.HostId> {
-	const voters = new Set(hosts.filter(host => isVoterHost(members, host)).slice(0, wanted));
-	const getDomain = (host: core.HostId) => running.find(item => item.host === host)?.failureDomain ?? '';
-	const countIn = (domain: core.FailureDomain) => [...voters].filter(voter => getDomain(voter) === domain).length;
-	while (voters.size < Math.min(wanted, hosts.length)) {
+function chooseVoters({members, runningHosts}: MemberChoiceOptions, hosts: readonly core.HostId[], targetVoters: number): ReadonlySet<core.HostId> {
+	const voters = new Set(hosts.filter(host => isVoterHost(members, host)).slice(0, targetVoters));
+	const getDomain = (host: core.HostId) => runningHosts.find(item => item.host === host)?.failureDomain ?? '';
+	const countVotersIn = (domain: core.FailureDomain) => [...voters].filter(voter => getDomain(voter) === domain).length;
+	while (voters.size < Math.min(targetVoters, hosts.length)) {
 		const [next] = hosts
 			.filter(host => !voters.has(host))
-			.toSorted((left, right) => countIn(getDomain(left)) - countIn(getDomain(right)));
+			.toSorted((left, right) => countVotersIn(getDomain(left)) - countVotersIn(getDomain(right)));
 		voters.add(next!);
 	}
 
--- a/packages/wagtailroute-replication/src/waiters.ts
+++ b/packages/wagtailroute-replication/src/waiters.ts
@@ -17,7 +17,7 @@
 	Adds a request, starts it with its identifier and waits for its answer.
 	*/
 	readonly add: (start: (id: string) => void) => Promise<Result>;
-	readonly apply: (id: string, applied: group.Applied) => void;
+	readonly complete: (id: string, applied: group.Applied) => void;
 	readonly answer: (id: string, answer: replica.Answer) => void;
 	/**
 	Ends all requests.
@@ -43,11 +43,11 @@
 			waiting.set(id, resolve);
 			start(id);
 		}),
-		apply(id, applied) {
+		complete(id, applied) {
 			settle(id, results.Ok(applied));
 		},
 		answer(id, answer) {
-			settle(id, RESULTS[answer.outcome](answer as never));
+			settle(id, RESULTS_BY_OUTCOME[answer.outcome](answer as never));
 		},
 		close() {
 			for (const id of waiting.keys()) {
@@ -61,7 +61,7 @@
 	readonly [Outcome in replica.Answer['outcome']]: (answer: Extract<replica.Answer, {outcome: Outcome}>) => Result;
 };
 
-const RESULTS: ResultsByOutcome = {
+const RESULTS_BY_OUTCOME: ResultsByOutcome = {
 	done: ({token}) => results.Ok({value: null, token}),
 	'not-leader'({leader}) {
 		const host = leader === null ? undefined : members.getMemberHost(leader);
--- a/scripts/capacity/control-roles.ts
+++ b/scripts/capacity/control-roles.ts
@@ -3,7 +3,7 @@
 */
 import {CHANGES_KEPT} from '../../packages/wagtailroute-catalogue/src/constants.ts';
 import * as hostTimes from '../../packages/wagtailroute-host/src/constants.ts';
-import {IDLE_HEARTBEAT_MS, LEARNER_HEARTBEAT_MS} from '../../packages/wagtailroute-replication/src/constants.ts';
+import {IDLE_HEARTBEAT_INTERVAL_MILLISECONDS, LEARNER_HEARTBEAT_INTERVAL_MILLISECONDS} from '../../packages/wagtailroute-replication/src/constants.ts';
 import {
 	add,
 	type Cost,
@@ -94,7 +94,7 @@
 	const cost = times(multiply(messages, ONE_END * share), each);
 	return {
 		what,
-		mechanism: `replication (${IDLE_HEARTBEAT_MS} ms to voters, ${LEARNER_HEARTBEAT_MS} ms to learners)`,
+		mechanism: `replication (${IDLE_HEARTBEAT_INTERVAL_MILLISECONDS} ms to voters, ${LEARNER_HEARTBEAT_INTERVAL_MILLISECONDS} ms to learners)`,
 		state: `${SIZE.controlHosts} members`,
 		perSecond: multiply(messages, ONE_END * share),
 		cost: add(cost, times(share, {bytes: 0, microseconds: get('idleMicrosecondsPerSecond')})),
--- a/scripts/capacity/records-page.ts
+++ b/scripts/capacity/records-page.ts
@@ -56,8 +56,8 @@
 			],
 			[
 				'snapshot of a full cell',
-				mark(writeBytes(snapshot), snapshot, replicationTimes.SNAPSHOT_BYTES_MAX),
-				`${writeBytes(replicationTimes.SNAPSHOT_BYTES_MAX)}: a larger state isn't compacted`,
+				mark(writeBytes(snapshot), snapshot, replicationTimes.MAX_SNAPSHOT_BYTES),
+				`${writeBytes(replicationTimes.MAX_SNAPSHOT_BYTES)}: a larger state isn't compacted`,
 			],
 			[
 				'leader\'s processor time for a keyed request: two calls, one claim, one settlement; without replication',
