--- a/packages/wagtailroute-records/src/__tests__/unit/ejections.test.ts
+++ b/packages/wagtailroute-records/src/__tests__/unit/ejections.test.ts
@@ -1,5 +1,5 @@
 /**
-The floor of a service as a whole, over the tables that hosts act on at the same moment.
+The healthy floor of a service over all ejection tables that hosts act on at the same time.
 */
 import test from 'ava';
 import * as fastCheck from 'fast-check';
@@ -46,7 +46,7 @@
 	});
 }
 
-type Cell = {
+type TestGroup = {
 	readonly request: (upstream: string, view: Partial<records.UpstreamView>, badness?: number, at?: number) => string;
 	readonly report: (view: Partial<records.UpstreamView>, at?: number) => void;
 	readonly readmit: (upstream: string, at?: number) => void;
@@ -58,114 +58,106 @@
 	host: 'h1', serving: UPSTREAMS, draining: [], healthyFloor: {kind: 'count', value: 2},
 };
 
-function open(kind: 'new' | 'lost' = 'new'): Cell {
-	const cell = records.createRecords();
-	cell.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind}}});
-	const getEjections = () => cell.getService('s')!.ejections.ejected;
+function open(kind: 'new' | 'lost' = 'new'): TestGroup {
+	const group = records.createRecords();
+	group.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind}}});
+	const getEjections = () => group.getService('s')!.ejections.ejected;
 	return {
 		request(upstream, view, badness = 1, at = 0) {
 			const payload = {
 				...VIEW, ...view, service: 's', upstream, badness,
 			};
-			const {result} = cell.apply({name: 'request-ejection', stampedAt: at, payload});
+			const {result} = group.apply({name: 'request-ejection', stampedAt: at, payload});
 			return result.kind === 'refused' ? result.reason : result.kind;
 		},
 		report(view, at = 0) {
-			cell.apply({name: 'report-upstreams', stampedAt: at, payload: {...VIEW, ...view, service: 's'}});
+			group.apply({name: 'report-upstreams', stampedAt: at, payload: {...VIEW, ...view, service: 's'}});
 		},
 		readmit(upstream, at = 0) {
 			const {epoch} = getEjections().find(ejection => ejection.upstream === upstream)!;
-			cell.apply({name: 'readmit', stampedAt: at, payload: {service: 's', upstream, epoch}});
+			group.apply({name: 'readmit', stampedAt: at, payload: {service: 's', upstream, epoch}});
 		},
 		getEjected: () => getEjections().map(({upstream}) => upstream),
 	};
 }
 
-test('grants stop at the floor, and asking again gives the same grant', t => {
-	const cell = open();
-	t.deepEqual(['u1', 'u2', 'u3', 'u1'].map(upstream => cell.request(upstream, {})), ['granted', 'granted', 'floor', 'granted']);
+test('grants stop at the floor, and a repeated request returns the same grant', t => {
+	const group = open();
+	t.deepEqual(['u1', 'u2', 'u3', 'u1'].map(upstream => group.request(upstream, {})), ['granted', 'granted', 'floor', 'granted']);
 });
 
-// Symptom: the pool is below its floor although each grant kept it.
-// Sequence: two upstreams are ejected, then a healthy one leaves.
-// Cause: grants outlive the counts they were made by. The least bad comes back.
-test('the least bad is readmitted when healthy upstreams leave', t => {
-	const cell = open();
-	cell.request('u1', {}, 5);
-	cell.request('u2', {}, 3);
-	cell.report({serving: ['u1', 'u2', 'u3']});
-	t.deepEqual(cell.getEjected(), ['u1']);
-	cell.report({serving: ['u1', 'u2', 'u3'], draining: ['u3']});
-	t.deepEqual(cell.getEjected(), []);
+// Guards against a service below its floor: healthy upstreams can leave after ejections were granted.
+test('the ejected upstream with the lowest badness is readmitted when healthy upstreams leave', t => {
+	const group = open();
+	group.request('u1', {}, 5);
+	group.request('u2', {}, 3);
+	group.report({serving: ['u1', 'u2', 'u3']});
+	t.deepEqual(group.getEjected(), ['u1']);
+	group.report({serving: ['u1', 'u2', 'u3'], draining: ['u3']});
+	t.deepEqual(group.getEjected(), []);
 });
 
-// Symptom: hosts together eject more than the floor allows.
-// Sequence: an upstream is readmitted, another ejected at once; a host that missed it still skips both.
-// Cause: the place given away while the old table is in use.
-test('a readmitted upstream keeps its place until old tables have run out', t => {
-	const cell = open();
-	cell.request('u1', {});
-	cell.request('u2', {});
-	cell.readmit('u1', 1000);
-	t.is(cell.request('u3', {}, 1, 1000 + records.EJECTION_LEASE_MILLISECONDS), 'floor');
-	t.is(cell.request('u1', {}, 1, 1000), 'granted', 'its own place is still its own');
-	cell.readmit('u1', 16_000);
-	t.is(cell.request('u3', {}, 1, 32_999), 'floor');
-	t.is(cell.request('u3', {}, 1, 33_000), 'granted');
+// Guards against ejections below the floor: after a readmission and a new ejection, a host that missed the readmission avoids
+// both upstreams until the lease of its old table ends.
+test('a readmitted upstream counts as ejected until the leases of old tables have ended', t => {
+	const group = open();
+	group.request('u1', {});
+	group.request('u2', {});
+	group.readmit('u1', 1000);
+	t.is(group.request('u3', {}, 1, 1000 + records.EJECTION_LEASE_MILLISECONDS), 'floor');
+	t.is(group.request('u1', {}, 1, 1000), 'granted', 'the upstream itself may be ejected again');
+	group.readmit('u1', 16_000);
+	t.is(group.request('u3', {}, 1, 32_999), 'floor');
+	t.is(group.request('u3', {}, 1, 33_000), 'granted');
 });
 
-// Symptom: as above, after the cell lost its state.
-// Sequence: hosts act on the lost cell's table while the new cell grants anew.
-// Cause: an empty table taken for one without ejections.
-test('a cell opened after a loss waits until old tables have run out', t => {
-	const cell = open('lost');
-	t.is(cell.request('u1', {}, 1, 16_999), 'settling');
-	t.is(cell.request('u1', {}, 1, 17_000), 'granted');
+// Guards against ejections below the floor after a loss of state: hosts act on the lost table while the new group grants from
+// an empty one.
+test('a service opened after a loss grants no ejection until the leases of old tables have ended', t => {
+	const group = open('lost');
+	t.is(group.request('u1', {}, 1, 16_999), 'settling');
+	t.is(group.request('u1', {}, 1, 17_000), 'granted');
 });
 
-// Symptom: a host with an old view ejects into the floor.
-// Sequence: u4 has left; two hosts know it, the asking one does not.
-// Cause: counts of one host. What most hosts do not list does not count.
-test('what most hosts do not list does not count as serving', t => {
-	const cell = open();
-	cell.report({host: 'h2', serving: ['u1', 'u2', 'u3']});
-	cell.report({host: 'h3', serving: ['u1', 'u2', 'u3']});
-	t.deepEqual(['u1', 'u4', 'u2'].map(upstream => cell.request(upstream, {})), ['granted', 'not-serving', 'floor']);
+// Guards against ejections below the floor by an outdated view: u4 has left, which two hosts have noticed and the requesting
+// host has not.
+test('an upstream that most hosts do not list does not count as serving', t => {
+	const group = open();
+	group.report({host: 'h2', serving: ['u1', 'u2', 'u3']});
+	group.report({host: 'h3', serving: ['u1', 'u2', 'u3']});
+	t.deepEqual(['u1', 'u4', 'u2'].map(upstream => group.request(upstream, {})), ['granted', 'not-serving', 'floor']);
 });
 
-// Symptom: upstreams are ejected below a floor that an operator has raised.
-// Sequence: the catalogue's change has reached one host; another asks by the old floor.
-// Cause: the floor of the asking host. The strictest of those reported lately holds.
-test('the strictest floor holds', t => {
-	const cell = open();
-	cell.report({host: 'h2', healthyFloor: {kind: 'count', value: 3}});
-	t.deepEqual(['u1', 'u2'].map(upstream => cell.request(upstream, {})), ['granted', 'floor']);
-	t.is(cell.request('u2', {}, 1, 30_000), 'granted', 'a report counts for a while');
+// Guards against ejections below a floor that an operator has raised: the change of the catalogue has reached one host, and
+// another host sends requests with the old floor.
+test('the strictest floor in recent reports applies', t => {
+	const group = open();
+	group.report({host: 'h2', healthyFloor: {kind: 'count', value: 3}});
+	t.deepEqual(['u1', 'u2'].map(upstream => group.request(upstream, {})), ['granted', 'floor']);
+	t.is(group.request('u2', {}, 1, 30_000), 'granted', 'the report has expired');
 });
 
-// Symptom: a sick upstream is back in service by announcing itself anew.
-// Sequence: it is ejected, leaves, and comes back.
-// Cause: the ejection forgotten with the announcement.
-test('an ejection outlasts an absence', t => {
-	const cell = open();
-	cell.request('u1', {});
-	cell.report({serving: ['u2', 'u3', 'u4']}, 1000);
-	t.is(cell.request('u2', {serving: ['u2', 'u3', 'u4']}, 1, 1000), 'granted');
-	cell.report({}, 2000);
-	t.deepEqual(cell.getEjected(), ['u1', 'u2']);
-	cell.report({serving: ['u2', 'u3', 'u4']}, 3000);
-	cell.report({serving: ['u2', 'u3', 'u4']}, 603_000);
-	t.deepEqual(cell.getEjected(), ['u2']);
+// Guards against a failing upstream that returns to service by leaving and announcing itself again.
+test('an ejection remains when the upstream leaves and returns', t => {
+	const group = open();
+	group.request('u1', {});
+	group.report({serving: ['u2', 'u3', 'u4']}, 1000);
+	t.is(group.request('u2', {serving: ['u2', 'u3', 'u4']}, 1, 1000), 'granted');
+	group.report({}, 2000);
+	t.deepEqual(group.getEjected(), ['u1', 'u2']);
+	group.report({serving: ['u2', 'u3', 'u4']}, 3000);
+	group.report({serving: ['u2', 'u3', 'u4']}, 603_000);
+	t.deepEqual(group.getEjected(), ['u2']);
 });
 
 type Table = {ejected: ReadonlySet<string>; until: number};
 
-// Symptom: the healthy upstreams that all hosts agree on fall below the floor.
-// Sequence: hosts ask for ejections and readmissions at once, miss tables, keep old ones, are cut off; leaders change.
-// Cause: decisions by one host's own table, as the naive rule makes them.
+// Guards against fewer usable upstreams than the floor over all tables in use. Hosts request ejections and readmissions
+// concurrently, miss tables, use old ones and are disconnected, and leaders change. The naive rule lets each host decide by its
+// own table.
 for (const isNaive of [false, true]) {
-	test(`the floor over all tables in use, ${isNaive ? 'hosts deciding alone' : 'by grants'}`, t => {
-		let broken = 0;
+	test(`the floor over all tables in use, ${isNaive ? 'each host decides alone' : 'by grants'}`, t => {
+		let floorViolations = 0;
 		let granted = 0;
 		fastCheck.assert(fastCheck.property(fastCheck.integer({min: 1}), seed => {
 			const random = utils.createRandom(seed);
@@ -175,51 +167,51 @@
 				healthyFloor, serving: serving.length, ejected: 0, draining: 0,
 			});
 			const tables: Table[] = Array.from({length: HOSTS}, () => ({ejected: new Set(), until: 0}));
-			let cell = records.createRecords();
+			let group = records.createRecords();
 			let now = 0;
 			let clock = records.createGroupClock({groupTime: 0, now});
 			const apply = <Name extends records.CommandName>(name: Name, payload: records.CommandPayloads[Name]) =>
-				cell.apply({name, payload, stampedAt: clock.stamp(now)}).result;
-			const getUnion = () => new Set(tables.filter(({until}) => until > now).flatMap(({ejected}) => [...ejected]));
+				group.apply({name, payload, stampedAt: clock.stamp(now)}).result;
+			const getEjectedByAny = () => new Set(tables.filter(({until}) => until > now).flatMap(({ejected}) => [...ejected]));
 			apply('open-service', {service: 's', origin: {kind: 'new'}});
 			for (let step = 0; step < 80; step++) {
 				const host = utils.pickIndex(random, HOSTS);
 				const upstream = serving[utils.pickIndex(random, serving.length)]!;
 				const table = tables[host]!;
-				const action = random();
+				const choice = random();
 				const isOwn = table.until > now;
 				const own = isOwn ? table.ejected : new Set<string>();
-				if (isNaive && action < 0.4) {
+				if (isNaive && choice < 0.4) {
 					const allowance = records.getEjectionAllowance({
 						healthyFloor, serving: serving.length - own.size, ejected: own.size, draining: 0,
 					});
 					tables[host] = {ejected: allowance > 0 ? new Set([...own, upstream]) : own, until: now + 15_000};
-				} else if (action < 0.4) {
+				} else if (choice < 0.4) {
 					const result = apply('request-ejection', {
 						service: 's', host: `h${host}`, upstream, badness: random(), serving, draining: [], healthyFloor,
 					});
 					granted += result.kind === 'granted' ? 1 : 0;
-				} else if (action < 0.55) {
-					const ejection = cell.getService('s')!.ejections.ejected.at(0);
+				} else if (choice < 0.55) {
+					const ejection = group.getService('s')!.ejections.ejected.at(0);
 					apply('readmit', {service: 's', upstream: ejection?.upstream ?? '', epoch: ejection?.epoch ?? 0});
-				} else if (!isNaive && action < 0.85) {
-					// Read at once, arrives late: the lease counts from before asking.
-					const ejected = new Set(cell.getService('s')!.ejections.ejected.map(known => known.upstream));
+				} else if (!isNaive && choice < 0.85) {
+					// The table arrives late: the lease counts from before the request.
+					const ejected = new Set(group.getService('s')!.ejections.ejected.map(ejection => ejection.upstream));
 					tables[host] = {ejected, until: now + records.EJECTION_LEASE_MILLISECONDS};
-				} else if (action < 0.9) {
-					const snapshot = structuredClone(cell.takeSnapshot());
-					cell = records.createRecords();
-					cell.restoreSnapshot(snapshot);
-					clock = records.createGroupClock({groupTime: cell.getGroupTime(), now});
+				} else if (choice < 0.9) {
+					const snapshot = structuredClone(group.takeSnapshot());
+					group = records.createRecords();
+					group.restoreSnapshot(snapshot);
+					clock = records.createGroupClock({groupTime: group.getGroupTime(), now});
 				} else {
 					now += random() * 8000;
 					apply('tick', {});
 				}
 
-				broken += serving.length - getUnion().size < required ? 1 : 0;
+				floorViolations += serving.length - getEjectedByAny().size < required ? 1 : 0;
 			}
 		}), {seed: SEED, numRuns: RUNS});
-		t.log(`seed ${SEED}: ${RUNS} runs, ${granted} grants, floor broken in ${broken} of ${RUNS * 80} steps`);
-		t.is(broken === 0, !isNaive);
+		t.log(`seed ${SEED}: ${RUNS} runs, ${granted} grants, floor broken in ${floorViolations} of ${RUNS * 80} steps`);
+		t.is(floorViolations === 0, !isNaive);
 	});
 }
--- a/packages/wagtailroute-records/src/__tests__/unit/fake-fleet.ts
+++ b/packages/wagtailroute-records/src/__tests__/unit/fake-fleet.ts
@@ -1,17 +1,19 @@
 /**
-A fake of the network between hosts, a cell and a backend server: a pool of messages that a seeded random picks, loses,
-delays and repeats, while hosts die and freeze, leaders change, and the service moves between two cells or loses its cell.
+A fake of the network between hosts, two replica groups and a backend server: a pool of messages that a seeded random
+generator delivers, loses, delays and repeats, while hosts crash and freeze, leaders change, and the service moves between
+the groups or its group loses its state.
 */
 import * as utils from 'wagtailroute-utils';
 import * as records from '../../index.ts';
 
 /**
-How hosts behave. `naive` sends without a claim; `unbounded` uses a claim whenever its answer comes.
+Behaviour of hosts. `claiming` is the correct one. `naive` sends without a claim; `unbounded` uses a claim whenever its
+result arrives, also after its validity.
 */
 export type Behaviour = 'claiming' | 'unbounded' | 'naive';
 
 /**
-What a run showed.
+Result of a run: executions at the backend server, and outcomes that callers got.
 */
 export type Observation = {
 	readonly runsByKey: ReadonlyMap<string, number>;
@@ -23,9 +25,9 @@
 		readonly body: string | undefined;
 	}>;
 	/**
-	Executions that followed another of the same key while its record had to be kept.
+	Number of executions that followed another execution of the same key within `KEPT_MILLISECONDS`.
 	*/
-	readonly doubled: number;
+	readonly duplicateRuns: number;
 };
 
 type Attempt = {
@@ -40,11 +42,12 @@
 
 const RETENTION_MILLISECONDS = 60_000;
 const CONNECTION_MILLISECONDS = 20_000;
-// A record is kept from when its host was lost, a request may still arrive for as long as its claim and its connection.
+// The retention starts when the host is lost, while its request may still arrive as long as the claim is valid and the
+// connection is open.
 const KEPT_MILLISECONDS = RETENTION_MILLISECONDS - CONNECTION_MILLISECONDS - records.CLAIM_VALIDITY_MILLISECONDS;
 const TICK_MILLISECONDS = 1000;
 const HOSTS = 3;
-const CELLS = 2;
+const GROUPS = 2;
 const KEYS = 2;
 const BOUNDS: records.RecordsBounds = {
 	...records.DEFAULT_RECORDS_BOUNDS,
@@ -53,33 +56,33 @@
 };
 
 /**
-Plays one seeded run.
+Plays one run, which the seed determines.
 */
 export function playRun(seed: number, behaviour: Behaviour): Observation {
 	const random = utils.createRandom(seed);
 	const attempts: Attempt[] = [];
-	const boots = Array.from({length: HOSTS}, () => 0);
+	const bootCounts = Array.from({length: HOSTS}, () => 0);
 	const runsByKey = new Map<string, number>();
 	const runsByAttempt = new Map<string, number>();
 	const lastRunAt = new Map<string, number>();
-	let doubled = 0;
+	let duplicateRuns = 0;
 	const told: Array<Observation['told'][number]> = [];
 	let pool: Message[] = [];
 	let time = 0;
-	const cells = Array.from({length: CELLS}, () => createCell(0, time));
-	// The cell that the latest map names; hosts ask either.
-	let holder = 0;
+	const groups = Array.from({length: GROUPS}, () => createGroup(0, time));
+	// The group to which the latest map assigns the service. Hosts may send claims to either group.
+	let assignedGroup = 0;
 	const applyAt = <Name extends records.CommandName>(index: number, name: Name, payload: records.CommandPayloads[Name]) => {
-		const {machine, clock} = cells[index]!;
+		const {machine, clock} = groups[index]!;
 		return machine.apply({name, payload, stampedAt: clock.stamp(time)});
 	};
 
-	const pickCell = () => random() < 0.8 ? holder : utils.pickIndex(random, CELLS);
+	const pickGroup = () => random() < 0.8 ? assignedGroup : utils.pickIndex(random, GROUPS);
 	const post = (deliver: () => void, kind: Message['kind'] = 'cell') => {
 		pool.push({deliver, sentAt: time, kind});
 	};
 
-	const isAlive = (attempt: Attempt) => boots[attempt.host] === attempt.boot;
+	const isAlive = (attempt: Attempt) => bootCounts[attempt.host] === attempt.boot;
 	const advance = (attempt: Attempt, event: records.AttemptEvent) => {
 		if (!isAlive(attempt)) {
 			return;
@@ -89,19 +92,19 @@
 		const {state, effects} = records.stepAttempt(attempt.state, event, {now, random});
 		attempt.state = state;
 		for (const effect of effects) {
-			carryOut(attempt, effect);
+			carryOutEffect(attempt, effect);
 		}
 	};
 
-	const carryOut = (attempt: Attempt, effect: records.AttemptEffect) => {
+	const carryOutEffect = (attempt: Attempt, effect: records.AttemptEffect) => {
 		const {id, key} = attempt;
 		if (effect.kind === 'send') {
 			post(() => {
-				run(attempt);
+				executeRequest(attempt);
 			}, 'upstream');
 		} else if (effect.kind === 'settle') {
-			// A host whose settlement is stale asks the other cell too.
-			for (let index = 0; index < CELLS; index++) {
+			// A host whose settlement is stale also sends it to the other group.
+			for (let index = 0; index < GROUPS; index++) {
 				post(() => {
 					applyAt(index, 'settle', {
 						service: 's', organisation: 'o', key, attempt: id, ending: effect.ending,
@@ -115,7 +118,7 @@
 		}
 	};
 
-	const run = (attempt: Attempt) => {
+	const executeRequest = (attempt: Attempt) => {
 		if (random() < 0.15) {
 			advance(attempt, {kind: 'upstream-failed', wasRun: 'not-run'});
 			return;
@@ -124,7 +127,7 @@
 		runsByKey.set(attempt.key, (runsByKey.get(attempt.key) ?? 0) + 1);
 		runsByAttempt.set(attempt.id, (runsByAttempt.get(attempt.id) ?? 0) + 1);
 		const last = lastRunAt.get(attempt.key);
-		doubled += last !== undefined && time - last < KEPT_MILLISECONDS ? 1 : 0;
+		duplicateRuns += last !== undefined && time - last < KEPT_MILLISECONDS ? 1 : 0;
 		lastRunAt.set(attempt.key, time);
 		const body = `answer to ${attempt.key} by ${attempt.id}`;
 		const isCut = random() < 0.3;
@@ -135,10 +138,10 @@
 		});
 	};
 
-	const ask = (attempt: Attempt) => {
+	const sendClaim = (attempt: Attempt) => {
 		const {id, key, host, boot} = attempt;
 		post(() => {
-			const {result} = applyAt(pickCell(), 'claim', {
+			const {result} = applyAt(pickGroup(), 'claim', {
 				service: 's', organisation: 'o', key, digest: 'd', attempt: id, host: `h${host}`, bootId: `${boot}`, budgetMilliseconds: 2000,
 			});
 			post(() => {
@@ -147,30 +150,30 @@
 		});
 	};
 
-	const pass = (milliseconds: number) => {
+	const advanceTime = (milliseconds: number) => {
 		const end = time + milliseconds;
 		while (time < end) {
 			time = Math.min(end, time + TICK_MILLISECONDS);
-			for (let index = 0; index < CELLS; index++) {
+			for (let index = 0; index < GROUPS; index++) {
 				applyAt(index, 'tick', {});
 			}
 		}
 
-		// A connection to a backend server ends long before records do.
+		// A connection to a backend server ends long before records expire.
 		pool = pool.filter(({sentAt, kind}) => kind !== 'upstream' || sentAt + CONNECTION_MILLISECONDS > time);
 	};
 
-	// The catalogue's log orders moves: the next one begins when the cell of the last one has opened the service.
-	const move = () => {
-		const {result} = applyAt(holder, 'close-service', {service: 's'});
+	// The catalogue's log orders moves: the next move starts after the group of the previous move has opened the service.
+	const moveService = () => {
+		const {result} = applyAt(assignedGroup, 'close-service', {service: 's'});
 		if (result.kind === 'not-held') {
 			return;
 		}
 
 		const {exported} = result;
 		const isLost = random() < 0.2;
-		holder = (holder + 1) % CELLS;
-		const next = holder;
+		assignedGroup = (assignedGroup + 1) % GROUPS;
+		const next = assignedGroup;
 		const open = () => {
 			applyAt(next, 'open-service', {service: 's', origin: isLost ? {kind: 'lost'} : {kind: 'adopted', exported}});
 		};
@@ -182,13 +185,13 @@
 		[6, () => {
 			const host = utils.pickIndex(random, HOSTS);
 			const attempt: Attempt = {
-				id: `a${attempts.length}`, key: `k${utils.pickIndex(random, KEYS)}`, host, boot: boots[host]!, state: records.createAttempt(behaviour === 'unbounded' ? 0 : time),
+				id: `a${attempts.length}`, key: `k${utils.pickIndex(random, KEYS)}`, host, boot: bootCounts[host]!, state: records.createAttempt(behaviour === 'unbounded' ? 0 : time),
 			};
 			attempts.push(attempt);
 			if (behaviour === 'naive') {
-				run(attempt);
+				executeRequest(attempt);
 			} else {
-				ask(attempt);
+				sendClaim(attempt);
 			}
 		}],
 		[20, () => {
@@ -202,7 +205,7 @@
 		[2, () => {
 			const attempt = attempts[utils.pickIndex(random, attempts.length)];
 			if (attempt?.state.kind === 'claiming') {
-				ask(attempt);
+				sendClaim(attempt);
 			}
 		}],
 		[1, () => {
@@ -213,40 +216,40 @@
 		}],
 		[1, () => {
 			const host = utils.pickIndex(random, HOSTS);
-			const bootId = `${boots[host]!}`;
-			boots[host]! += 1;
-			for (let index = 0; index < CELLS; index++) {
+			const bootId = `${bootCounts[host]!}`;
+			bootCounts[host]! += 1;
+			for (let index = 0; index < GROUPS; index++) {
 				post(() => {
 					applyAt(index, 'lose-host', {host: `h${host}`, bootId});
 				});
 			}
 		}],
 		[1, () => {
-			// The new leader has the state, and a clock that starts where the old one's stamps ended.
-			const index = utils.pickIndex(random, CELLS);
-			const {machine} = cells[index]!;
-			cells[index] = createCell(machine.getGroupTime(), time);
-			cells[index].machine.restoreSnapshot(structuredClone(machine.takeSnapshot()));
+			// The new leader has the state, and a clock that starts at the last stamp of the old leader.
+			const index = utils.pickIndex(random, GROUPS);
+			const {machine} = groups[index]!;
+			groups[index] = createGroup(machine.getGroupTime(), time);
+			groups[index].machine.restoreSnapshot(structuredClone(machine.takeSnapshot()));
 		}],
 		[1, () => {
-			move();
+			moveService();
 		}],
 		[0.2, () => {
-			// All members of the cell that holds the service restart empty.
-			if (cells[holder]!.machine.getService('s') === undefined) {
+			// All members of the group that holds the service restart without state.
+			if (groups[assignedGroup]!.machine.getService('s') === undefined) {
 				return;
 			}
 
-			cells[holder] = createCell(0, time);
-			applyAt(holder, 'open-service', {service: 's', origin: {kind: 'lost'}});
+			groups[assignedGroup] = createGroup(0, time);
+			applyAt(assignedGroup, 'open-service', {service: 's', origin: {kind: 'lost'}});
 		}],
 		[3, () => {
 			const longest = random() < 0.3 ? 90_000 : 3000;
-			pass(longest * random());
+			advanceTime(longest * random());
 		}],
 	];
 	const total = actions.reduce((sum, [weight]) => sum + weight, 0);
-	applyAt(holder, 'open-service', {service: 's', origin: {kind: 'new'}});
+	applyAt(assignedGroup, 'open-service', {service: 's', origin: {kind: 'new'}});
 	for (let step = 0; step < 120; step++) {
 		let pick = random() * total;
 		const chosen = actions.find(([weight]) => {
@@ -257,10 +260,10 @@
 	}
 
 	return {
-		runsByKey, runsByAttempt, told, doubled,
+		runsByKey, runsByAttempt, told, duplicateRuns,
 	};
 }
 
-function createCell(groupTime: number, now: number): {machine: records.Records; clock: records.GroupClock} {
+function createGroup(groupTime: number, now: number): {machine: records.Records; clock: records.GroupClock} {
 	return {machine: records.createRecords(BOUNDS), clock: records.createGroupClock({groupTime, now})};
 }
--- a/packages/wagtailroute-records/src/__tests__/unit/quarantine.test.ts
+++ b/packages/wagtailroute-records/src/__tests__/unit/quarantine.test.ts
@@ -1,38 +1,38 @@
 /**
-Tables of cases for requests that crash upstreams, and seeded runs.
+Cases for the quarantine of requests that crash upstreams, and seeded runs of the bench.
 */
 import test from 'ava';
 import * as records from '../../index.ts';
 import {benchCrashes} from '../../bench/crashes.bench.ts';
 
-type Cell = {
+type TestGroup = {
 	readonly crash: (upstream: string, fingerprints: readonly string[], incarnation?: string, at?: number) => void;
-	readonly ask: (fingerprint: string, upstream: string, attempt: string, at?: number) => string;
+	readonly requestTrial: (fingerprint: string, upstream: string, attempt: string, at?: number) => string;
 	readonly end: (attempt: string, ending: records.TrialEnding['ending'], at?: number) => void;
 	readonly getStandings: () => Record<string, records.QuarantineStatus>;
 };
 
-function open(completed: readonly string[] = []): Cell {
-	const cell = records.createRecords();
-	cell.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind: 'new'}}});
+function open(completed: readonly string[] = []): TestGroup {
+	const group = records.createRecords();
+	group.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind: 'new'}}});
 	return {
 		crash(upstream, fingerprints, incarnation = '1', at = 0) {
 			const inFlight = fingerprints.map(fingerprint => ({fingerprint, hasCompleted: completed.includes(fingerprint)}));
-			cell.apply({
+			group.apply({
 				name: 'report-crash', stampedAt: at, payload: {
 					service: 's', upstream, incarnation, inFlight,
 				},
 			});
 		},
-		ask: (fingerprint, upstream, attempt, at = 0) => cell.apply({
+		requestTrial: (fingerprint, upstream, attempt, at = 0) => group.apply({
 			name: 'request-trial', stampedAt: at, payload: {
 				service: 's', fingerprint, upstream, attempt, budgetMilliseconds: 1000,
 			},
 		}).result.kind,
 		end(attempt, ending, at = 0) {
-			cell.apply({name: 'end-trial', stampedAt: at, payload: {service: 's', attempt, ending}});
+			group.apply({name: 'end-trial', stampedAt: at, payload: {service: 's', attempt, ending}});
 		},
-		getStandings: () => Object.fromEntries(cell.getService('s')!.quarantine.entries
+		getStandings: () => Object.fromEntries(group.getService('s')!.quarantine.entries
 			.map(({fingerprint, standing}) => [fingerprint, standing])),
 	};
 }
@@ -40,144 +40,148 @@
 const CASES: ReadonlyArray<{
 	readonly title: string;
 	readonly completed?: readonly string[];
-	readonly play: (cell: Cell) => unknown;
+	readonly play: (group: TestGroup) => unknown;
 	readonly standings: Record<string, records.QuarantineStatus>;
-	readonly played?: unknown;
+	readonly playResult?: unknown;
 }> = [
 	{
-		title: 'what was in flight is suspect',
-		play(cell) {
-			cell.crash('u1', ['f', 'g']);
+		title: 'requests in flight at a crash become suspects',
+		play(group) {
+			group.crash('u1', ['f', 'g']);
 		},
 		standings: {f: 'suspect', g: 'suspect'},
 	},
 	{
-		title: 'what has completed is no suspect',
+		title: 'a request that has completed before does not become a suspect',
 		completed: ['g'],
-		play(cell) {
-			cell.crash('u1', ['f', 'g']);
+		play(group) {
+			group.crash('u1', ['f', 'g']);
 		},
 		standings: {f: 'suspect'},
 	},
 	{
-		title: 'reports of one crash count once',
-		play(cell) {
-			cell.crash('u1', ['f']);
-			cell.crash('u1', ['f']);
+		title: 'several reports of one crash count once',
+		play(group) {
+			group.crash('u1', ['f']);
+			group.crash('u1', ['f']);
 		},
 		standings: {f: 'suspect'},
 	},
 	{
-		title: 'two lives of an upstream are two crashes',
-		play(cell) {
-			cell.crash('u1', ['f']);
-			cell.crash('u1', ['f'], '2');
+		title: 'crashes of two incarnations of an upstream count twice',
+		play(group) {
+			group.crash('u1', ['f']);
+			group.crash('u1', ['f'], '2');
 		},
 		standings: {f: 'quarantined'},
 	},
 	{
-		title: 'a trial is exclusive to its copy and its upstream',
-		play(cell) {
-			cell.crash('u1', ['f', 'g']);
-			return [cell.ask('f', 'u2', 'a1'), cell.ask('f', 'u3', 'a2'), cell.ask('g', 'u2', 'a3'), cell.ask('f', 'u2', 'a1'), cell.ask('x', 'u2', 'a4')];
+		title: 'a trial excludes other copies, and other suspects on its upstream',
+		play(group) {
+			group.crash('u1', ['f', 'g']);
+			return [
+				group.requestTrial('f', 'u2', 'a1'),
+				group.requestTrial('f', 'u3', 'a2'),
+				group.requestTrial('g', 'u2', 'a3'),
+				group.requestTrial('f', 'u2', 'a1'),
+				group.requestTrial('x', 'u2', 'a4'),
+			];
 		},
-		played: ['granted', 'wait', 'upstream-busy', 'granted', 'clear'],
+		playResult: ['granted', 'wait', 'upstream-busy', 'granted', 'clear'],
 		standings: {f: 'suspect', g: 'suspect'},
 	},
 	{
-		title: 'a crash during the trial quarantines, whoever reports it',
-		play(cell) {
-			cell.crash('u1', ['f', 'g']);
-			cell.ask('f', 'u2', 'a1');
-			cell.crash('u2', ['h']);
-			return cell.ask('f', 'u3', 'a2');
+		title: 'a crash during the trial quarantines the suspect, whichever host reports it',
+		play(group) {
+			group.crash('u1', ['f', 'g']);
+			group.requestTrial('f', 'u2', 'a1');
+			group.crash('u2', ['h']);
+			return group.requestTrial('f', 'u3', 'a2');
 		},
-		played: 'quarantined',
+		playResult: 'quarantined',
 		standings: {f: 'quarantined', g: 'suspect', h: 'suspect'},
 	},
 	{
-		title: 'completion on trial clears, and a later crash does not count',
-		play(cell) {
-			cell.crash('u1', ['f']);
-			cell.ask('f', 'u2', 'a1');
-			cell.end('a1', 'completed');
-			cell.crash('u3', ['f']);
-			return cell.ask('f', 'u2', 'a2');
+		title: 'a completed trial clears the suspect, and a later crash does not count',
+		play(group) {
+			group.crash('u1', ['f']);
+			group.requestTrial('f', 'u2', 'a1');
+			group.end('a1', 'completed');
+			group.crash('u3', ['f']);
+			return group.requestTrial('f', 'u2', 'a2');
 		},
-		played: 'clear',
+		playResult: 'clear',
 		standings: {f: 'cleared'},
 	},
 	{
-		title: 'a trial that was not sent frees its place',
-		play(cell) {
-			cell.crash('u1', ['f']);
-			cell.ask('f', 'u2', 'a1');
-			cell.end('a1', 'not-sent');
-			return cell.ask('f', 'u2', 'a2');
+		title: 'a trial that was not sent ends without a change of status',
+		play(group) {
+			group.crash('u1', ['f']);
+			group.requestTrial('f', 'u2', 'a1');
+			group.end('a1', 'not-sent');
+			return group.requestTrial('f', 'u2', 'a2');
 		},
-		played: 'granted',
+		playResult: 'granted',
 		standings: {f: 'suspect'},
 	},
 	{
-		title: 'a trial of a lost host ends in time',
-		play(cell) {
-			cell.crash('u1', ['f']);
-			cell.ask('f', 'u2', 'a1');
-			return [cell.ask('f', 'u2', 'a2', 15_999), cell.ask('f', 'u2', 'a2', 16_000)];
+		title: 'a trial of a lost host expires',
+		play(group) {
+			group.crash('u1', ['f']);
+			group.requestTrial('f', 'u2', 'a1');
+			return [group.requestTrial('f', 'u2', 'a2', 15_999), group.requestTrial('f', 'u2', 'a2', 16_000)];
 		},
-		played: ['wait', 'granted'],
+		playResult: ['wait', 'granted'],
 		standings: {f: 'suspect'},
 	},
 	{
-		title: 'a late report does not blame the trial on the next life',
-		play(cell) {
-			cell.crash('u1', ['f']);
-			cell.ask('f', 'u1', 'a1');
-			cell.crash('u1', ['g']);
+		title: 'a late report of a crash is not attributed to a trial on the restarted upstream',
+		play(group) {
+			group.crash('u1', ['f']);
+			group.requestTrial('f', 'u1', 'a1');
+			group.crash('u1', ['g']);
 		},
 		standings: {f: 'suspect', g: 'suspect'},
 	},
 	{
 		title: 'a quarantine expires',
-		play(cell) {
-			cell.crash('u1', ['f']);
-			cell.crash('u2', ['f']);
-			return [cell.ask('f', 'u3', 'a1', 3_599_999), cell.ask('f', 'u3', 'a1', 3_600_000)];
+		play(group) {
+			group.crash('u1', ['f']);
+			group.crash('u2', ['f']);
+			return [group.requestTrial('f', 'u3', 'a1', 3_599_999), group.requestTrial('f', 'u3', 'a1', 3_600_000)];
 		},
-		played: ['quarantined', 'clear'],
+		playResult: ['quarantined', 'clear'],
 		standings: {},
 	},
 	{
-		title: 'a quarantined fingerprint is not pushed out by others',
-		play(cell) {
-			cell.crash('u1', ['f']);
-			cell.crash('u2', ['f']);
-			cell.crash('u3', Array.from({length: 5000}, (_none, index) => `g${index}`));
-			return [Object.keys(cell.getStandings()).length, cell.ask('f', 'u3', 'a1')];
+		title: 'a quarantined fingerprint is not evicted by others',
+		play(group) {
+			group.crash('u1', ['f']);
+			group.crash('u2', ['f']);
+			group.crash('u3', Array.from({length: 5000}, (_none, index) => `g${index}`));
+			return [Object.keys(group.getStandings()).length, group.requestTrial('f', 'u3', 'a1')];
 		},
-		played: [4096, 'quarantined'],
+		playResult: [4096, 'quarantined'],
 		standings: undefined as never,
 	},
 ];
 
-for (const {title, completed, play, standings, played} of CASES) {
+for (const {title, completed, play, standings, playResult} of CASES) {
 	test(title, t => {
-		const cell = open(completed);
-		t.deepEqual(play(cell), played);
-		t.deepEqual(standings ?? cell.getStandings(), cell.getStandings());
+		const group = open(completed);
+		t.deepEqual(play(group), playResult);
+		t.deepEqual(standings ?? group.getStandings(), group.getStandings());
 	});
 }
 
-// Symptom: one request takes the whole service down, or innocent requests are refused for an hour.
-// Sequence: requests that crash what runs them are sent again through all hosts at once, among ordinary load and crashes
-// that nobody caused.
-// Cause: no memory of crashes, or one that blames whatever was beside.
-test('at most two upstreams are lost to one request, and hardly an innocent is quarantined', t => {
+// Guards against one request that crashes the whole service, and against the quarantine of innocent requests that were in
+// flight beside it. Crashing requests are resent through all hosts at once, among ordinary load and random crashes.
+test('one request crashes at most two upstreams, and almost no innocent request is quarantined', t => {
 	const rows = benchCrashes();
 	t.log(rows);
 	const {mostLost, wrongQuarantines, innocentRequests} = rows.find(({policy}) => policy === 'trials')!;
 	t.true(mostLost <= 2);
-	// A chance crash during the trial of an innocent cannot be told from a second crash by its doing.
+	// A random crash during the trial of an innocent request cannot be distinguished from a crash that it causes.
 	t.true(wrongQuarantines <= innocentRequests / 100_000);
 	t.true(rows.find(({policy}) => policy === 'none')!.mostLost > 2);
 	const naive = rows.find(({policy}) => policy === 'two-crashes')!;
--- a/packages/wagtailroute-records/src/__tests__/unit/records.test.ts
+++ b/packages/wagtailroute-records/src/__tests__/unit/records.test.ts
@@ -1,5 +1,5 @@
 /**
-Tables of cases for idempotency records and the moving of services.
+Cases for idempotency records, moves of services between replica groups, and group time.
 */
 import test from 'ava';
 import * as utils from 'wagtailroute-utils';
@@ -11,24 +11,24 @@
 	stampedAt?: number,
 ) => records.CommandResults[Name];
 
-const NAME = {service: 's', organisation: 'o', key: 'k'};
+const RECORD_ID = {service: 's', organisation: 'o', key: 'k'};
 const CLAIM: records.Claim = {
-	...NAME, digest: 'd', attempt: 'a1', host: 'h1', bootId: 'b1', budgetMilliseconds: 1000,
+	...RECORD_ID, digest: 'd', attempt: 'a1', host: 'h1', bootId: 'b1', budgetMilliseconds: 1000,
 };
 const ANSWER: records.StoredAnswer = {status: 201, headers: [['location', '/x']], body: 'made'};
-const SMALL: records.RecordsBounds = {
+const SMALL_BOUNDS: records.RecordsBounds = {
 	lostMilliseconds: 5000,
 	idempotency: {
 		retentionMilliseconds: 10_000, maxRecords: 3, maxRecordsPerOrganisation: 2, maxAnswerLength: 20, maxAnswersLength: 30,
 	},
 };
 
-function open(bounds = records.DEFAULT_RECORDS_BOUNDS): {cell: records.Records; send: Send} {
-	const cell = records.createRecords(bounds);
+function open(bounds = records.DEFAULT_RECORDS_BOUNDS): {group: records.Records; send: Send} {
+	const group = records.createRecords(bounds);
 	const send: Send = (name, payload, stampedAt = 0) =>
-		cell.apply({name, payload, stampedAt}).result;
+		group.apply({name, payload, stampedAt}).result;
 	send('open-service', {service: 's', origin: {kind: 'new'}});
-	return {cell, send};
+	return {group, send};
 }
 
 const GRANTED = {kind: 'granted', token: 1, validityMilliseconds: records.CLAIM_VALIDITY_MILLISECONDS};
@@ -42,14 +42,14 @@
 }> = [
 	{title: 'a first claim is granted', before() {/* Empty. */}, result: GRANTED},
 	{
-		title: 'the same attempt asking again holds the record',
+		title: 'a repeated claim of the same attempt returns the grant',
 		before(send) {
 			send('claim', CLAIM);
 		},
 		result: GRANTED,
 	},
 	{
-		title: 'another attempt finds it running',
+		title: 'another attempt gets running',
 		before(send) {
 			send('claim', CLAIM);
 		},
@@ -65,7 +65,7 @@
 		result: {kind: 'mismatch'},
 	},
 	{
-		title: 'another organisation has its own key',
+		title: 'the same key of another organisation is another record',
 		before(send) {
 			send('claim', CLAIM);
 		},
@@ -76,38 +76,38 @@
 		title: 'a resend gets the stored answer',
 		before(send) {
 			send('claim', CLAIM);
-			send('settle', {...NAME, attempt: 'a1', ending: {kind: 'ran', answer: ANSWER}});
+			send('settle', {...RECORD_ID, attempt: 'a1', ending: {kind: 'ran', answer: ANSWER}});
 		},
 		claim: {attempt: 'a2'},
 		result: {kind: 'ran', answer: ANSWER},
 	},
 	{
-		title: 'not-run frees the key',
+		title: 'a key settled as not-run can be claimed again',
 		before(send) {
 			send('claim', CLAIM);
-			send('settle', {...NAME, attempt: 'a1', ending: {kind: 'not-run'}});
+			send('settle', {...RECORD_ID, attempt: 'a1', ending: {kind: 'not-run'}});
 		},
 		claim: {attempt: 'a2'},
 		result: {...GRANTED, token: 2},
 	},
 	{
-		title: 'another attempt cannot free the key',
+		title: 'another attempt cannot settle the record',
 		before(send) {
 			send('claim', CLAIM);
-			send('settle', {...NAME, attempt: 'a2', ending: {kind: 'not-run'}});
+			send('settle', {...RECORD_ID, attempt: 'a2', ending: {kind: 'not-run'}});
 		},
 		claim: {attempt: 'a3'},
 		result: {kind: 'running'},
 	},
 	{
-		title: 'a claim that arrives after its attempt was given up is refused',
+		title: 'a claim that arrives after its attempt was abandoned is refused',
 		before(send) {
-			send('settle', {...NAME, attempt: 'a1', ending: {kind: 'not-run'}});
+			send('settle', {...RECORD_ID, attempt: 'a1', ending: {kind: 'not-run'}});
 		},
 		result: {kind: 'refused', reason: 'abandoned'},
 	},
 	{
-		title: 'a lost host leaves an unknown record',
+		title: 'the record of a lost host becomes unknown',
 		before(send) {
 			send('claim', CLAIM);
 			send('lose-host', {host: 'h1', bootId: 'b1'});
@@ -116,7 +116,7 @@
 		result: {kind: 'unknown'},
 	},
 	{
-		title: 'the next life of a host is not the lost one',
+		title: 'the loss of another process of the host leaves the record running',
 		before(send) {
 			send('claim', CLAIM);
 			send('lose-host', {host: 'h1', bootId: 'b0'});
@@ -125,27 +125,27 @@
 		result: {kind: 'running'},
 	},
 	{
-		title: 'a host taken for lost may still tell that it ran',
+		title: 'a host reported as lost may still settle ran',
 		before(send) {
 			send('claim', CLAIM);
 			send('lose-host', {host: 'h1', bootId: 'b1'});
-			send('settle', {...NAME, attempt: 'a1', ending: {kind: 'ran', answer: ANSWER}});
+			send('settle', {...RECORD_ID, attempt: 'a1', ending: {kind: 'ran', answer: ANSWER}});
 		},
 		claim: {attempt: 'a2'},
 		result: {kind: 'ran', answer: ANSWER},
 	},
 	{
-		title: 'what ran stays so',
+		title: 'ran is final',
 		before(send) {
 			send('claim', CLAIM);
-			send('settle', {...NAME, attempt: 'a1', ending: {kind: 'ran', answer: ANSWER}});
-			send('settle', {...NAME, attempt: 'a1', ending: {kind: 'not-run'}});
+			send('settle', {...RECORD_ID, attempt: 'a1', ending: {kind: 'ran', answer: ANSWER}});
+			send('settle', {...RECORD_ID, attempt: 'a1', ending: {kind: 'not-run'}});
 		},
 		claim: {attempt: 'a2'},
 		result: {kind: 'ran', answer: ANSWER},
 	},
 	{
-		title: 'a claim past its budget is unknown',
+		title: 'a claim past its budget becomes unknown',
 		before(send) {
 			send('claim', CLAIM);
 		},
@@ -154,10 +154,10 @@
 		result: {kind: 'unknown'},
 	},
 	{
-		title: 'a record is kept for the retention',
+		title: 'a settled record is kept for the retention',
 		before(send) {
 			send('claim', CLAIM);
-			send('settle', {...NAME, attempt: 'a1', ending: {kind: 'ran'}}, 1);
+			send('settle', {...RECORD_ID, attempt: 'a1', ending: {kind: 'ran'}}, 1);
 		},
 		claim: {attempt: 'a2'},
 		at: 86_400_000,
@@ -167,7 +167,7 @@
 		title: 'a stamp behind group time changes nothing',
 		before(send) {
 			send('claim', CLAIM);
-			send('settle', {...NAME, attempt: 'a1', ending: {kind: 'ran'}}, 1000);
+			send('settle', {...RECORD_ID, attempt: 'a1', ending: {kind: 'ran'}}, 1000);
 		},
 		claim: {attempt: 'a2'},
 		at: -1_000_000,
@@ -189,11 +189,9 @@
 	});
 }
 
-// Symptom: a key runs twice because its record made room for another.
-// Sequence: an organisation sends many keys; the table fills up.
-// Cause: eviction of a live record. A full table refuses instead, and answers beyond the bound are dropped.
-test('full tables refuse and never evict', t => {
-	const {send} = open(SMALL);
+// Guards against a key that runs twice because its unexpired record was evicted from a full table.
+test('full tables refuse claims, drop answers and never evict records', t => {
+	const {send} = open(SMALL_BOUNDS);
 	const claim = (attempt: string, organisation: string) =>
 		send('claim', {
 			...CLAIM, attempt, organisation, key: attempt,
@@ -205,7 +203,7 @@
 	t.deepEqual(claim('a5', 'q'), {kind: 'refused', reason: 'records-full'});
 	const settle = (attempt: string, organisation: string, body: string) =>
 		send('settle', {
-			...NAME, organisation, key: attempt, attempt, ending: {kind: 'ran', answer: {status: 200, headers: [], body}},
+			...RECORD_ID, organisation, key: attempt, attempt, ending: {kind: 'ran', answer: {status: 200, headers: [], body}},
 		});
 	t.deepEqual(settle('a1', 'o', 'x'.repeat(21)), {kind: 'settled', isAnswerKept: false});
 	t.deepEqual(settle('a2', 'o', 'x'.repeat(20)), {kind: 'settled', isAnswerKept: true});
@@ -214,24 +212,21 @@
 	t.is(send('claim', {...CLAIM, attempt: 'a6', key: 'a6'}, 10_000).kind, 'granted', 'the retention is over');
 });
 
-// Symptom: after a cell lost all its members a key that ran is run again.
-// Sequence: the key ran; the cell restarts empty; the caller sends again.
-// Cause: an empty table taken for a table without that key.
-test('a cell opened after a loss answers unknown until no lost record can matter', t => {
-	const cell = records.createRecords(SMALL);
-	cell.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind: 'lost'}}});
-	t.deepEqual(cell.apply({name: 'claim', stampedAt: 4999, payload: CLAIM}).result, {kind: 'unknown'});
-	t.deepEqual(cell.apply({name: 'claim', stampedAt: 5000, payload: CLAIM}).result, GRANTED as records.ClaimResult);
+// Guards against a key that runs twice because the replica group lost its state and restarted with an empty table.
+test('claims of keys without a record return unknown after a loss until lost records would have expired', t => {
+	const group = records.createRecords(SMALL_BOUNDS);
+	group.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind: 'lost'}}});
+	t.deepEqual(group.apply({name: 'claim', stampedAt: 4999, payload: CLAIM}).result, {kind: 'unknown'});
+	t.deepEqual(group.apply({name: 'claim', stampedAt: 5000, payload: CLAIM}).result, GRANTED as records.ClaimResult);
 });
 
-// Symptom: a key runs twice when the map moves its service to another cell.
-// Sequence: hosts with the old map ask the old cell, hosts with the new map the new one.
-// Cause: two cells that both answer for a service. The old one closes it first, and its records move.
-test('a service moves with its records and times, and only one cell answers', t => {
-	const from = open(SMALL);
-	const to = records.createRecords(SMALL);
+// Guards against a key that runs twice while a service moves: hosts with the old map send claims to the old group, hosts with
+// the new map to the new group.
+test('a service moves with its records and times, and only one group holds it', t => {
+	const from = open(SMALL_BOUNDS);
+	const to = records.createRecords(SMALL_BOUNDS);
 	from.send('claim', CLAIM, 500);
-	from.send('settle', {...NAME, attempt: 'a1', ending: {kind: 'ran', answer: ANSWER}}, 1000);
+	from.send('settle', {...RECORD_ID, attempt: 'a1', ending: {kind: 'ran', answer: ANSWER}}, 1000);
 	to.apply({name: 'tick', stampedAt: 700_000, payload: {}});
 	t.is(to.apply({name: 'claim', stampedAt: 0, payload: CLAIM}).result.kind, 'refused');
 	const closed = from.send('close-service', {service: 's'}, 2000);
@@ -239,33 +234,31 @@
 	t.is(from.send('claim', {...CLAIM, attempt: 'a2'}).kind, 'refused');
 	const {exported} = closed;
 	const text = JSON.stringify(exported);
-	t.deepEqual(JSON.parse(text), exported, 'it is plain JSON');
+	t.deepEqual(JSON.parse(text), exported, 'the export is plain JSON');
 	to.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind: 'adopted', exported}}});
 	const again = {...CLAIM, attempt: 'a2'};
 	t.is(to.apply({name: 'claim', stampedAt: 708_999, payload: again}).result.kind, 'ran');
 	t.is(to.apply({name: 'claim', stampedAt: 709_000, payload: again}).result.kind, 'granted');
 });
 
-// Symptom: all records end at once after a leader change.
-// Sequence: the clock of the new leader is hours ahead, or the leader was frozen and wakes.
-// Cause: stamps by a clock of its own. The stamp starts from the group time found, in steps of bounded size.
+// Guards against the early expiry of all records after a leader change: the new leader's clock is hours ahead, or a frozen
+// leader resumes.
 test('group time never runs ahead of real time', t => {
 	const clock = records.createGroupClock({groupTime: 100, now: 9_000_000});
 	const stamps = [[9_000_000, 100], [9_000_050, 150], [8_000_000, 150], [9_000_060, 160], [99_000_000, 2160]] as const;
 	t.deepEqual(stamps.map(([now]) => clock.stamp(now)), stamps.map(([, stamp]) => stamp));
 });
 
-// Symptom: group time stands still for an hour, or runs ahead, after a host leads for the second time.
-// Sequence: it leads, another host leads for an hour, it leads again with the clock that it had.
-// Cause: a clock that goes on from its own last stamp, or counts the other's time once more.
-test('a clock goes on from what another leader stamped', t => {
+// Guards against group time that stops for an hour or runs ahead: a host leads, another host leads for an hour, and the first
+// host leads again with its old clock.
+test('a clock continues from the stamps of another leader', t => {
 	const clock = records.createGroupClock({groupTime: 100, now: 0});
 	t.is(clock.stamp(50, 100), 150);
 	t.is(clock.stamp(3_600_050, 3_500_000), 3_500_000);
 	t.is(clock.stamp(3_600_060, 3_500_000), 3_500_010);
 });
 
-test('a digest keeps its parts apart and a fingerprint holds the discriminator', t => {
+test('a digest separates its parts, and a fingerprint depends on the discriminator', t => {
 	const digest = records.getRequestDigest({method: 'post', path: '/a', bodyDigest: 'b'});
 	t.is(digest, records.getRequestDigest({method: 'POST', path: '/a', bodyDigest: 'b'}));
 	t.not(digest, records.getRequestDigest({method: 'POST', path: '/ab', bodyDigest: ''}));
--- a/packages/wagtailroute-records/src/__tests__/unit/shares.test.ts
+++ b/packages/wagtailroute-records/src/__tests__/unit/shares.test.ts
@@ -1,5 +1,5 @@
 /**
-Shares of a limit: the sum of what hosts may use.
+Shares of a limit, and the sum of the amounts that hosts may use.
 */
 import test from 'ava';
 import * as fastCheck from 'fast-check';
@@ -13,53 +13,52 @@
 type Send = (host: string, request: Partial<records.ShareRequest>, at?: number) => records.Share;
 
 function open(limitName: records.LimitName = 'concurrency', kind: 'new' | 'lost' = 'new'): Send {
-	const cell = records.createRecords();
-	cell.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind}}});
+	const group = records.createRecords();
+	group.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind}}});
 	return (host, request, at = 0) => {
-		const full = {
+		const fullRequest = {
 			service: 's', limitName, host, holds: 0, demand: 0, inUse: 0, limit: 100, carriers: 5, ...request,
 		};
-		const {result} = cell.apply({name: 'renew-shares', stampedAt: at, payload: {requests: [full]}});
+		const {result} = group.apply({name: 'renew-shares', stampedAt: at, payload: {requests: [fullRequest]}});
 		const [share] = result.shares;
 		utils.invariant(share !== undefined && 'amount' in share, 'the service is held');
 		return share;
 	};
 }
 
-test('a lone host gets all but the safe parts of others', t => {
+test('a single host gets all but the safe parts of the others', t => {
 	const send = open();
 	t.deepEqual(send('h1', {demand: 1000}), {sequence: 1, amount: 80, safe: 5});
-	t.deepEqual(send('h2', {demand: 1000}), {sequence: 2, amount: 5, safe: 5}, 'until the first gives back');
+	t.deepEqual(send('h2', {demand: 1000}), {sequence: 2, amount: 5, safe: 5}, 'until the first host returns its larger share');
 	t.deepEqual(send('h1', {demand: 1000, holds: 1}), {sequence: 3, amount: 42, safe: 5});
 	t.is(send('h2', {demand: 1000, holds: 2}).amount, 5, 'the answer to h1 may be lost');
 	t.is(send('h1', {demand: 1000, holds: 3}).amount, 42);
 	t.is(send('h2', {demand: 1000, holds: 4}).amount, 42);
 });
 
-test('what is in flight is not taken back', t => {
+test('a share does not shrink below the requests in flight', t => {
 	const send = open();
 	const {sequence} = send('h1', {demand: 80});
 	send('h2', {demand: 80});
 	t.is(send('h1', {demand: 80, holds: sequence, inUse: 70}).amount, 70);
 });
 
-test('a lease that ended frees its share and keeps its safe part', t => {
+test('the end of a lease releases its share but not its safe part', t => {
 	const send = open();
 	send('h1', {demand: 1000});
 	t.is(send('h2', {demand: 1000}, 11_999).amount, 5);
 	t.is(send('h2', {demand: 1000}, 12_000).amount, 80);
 });
 
-test('after a loss only safe parts are dealt out until old leases have ended', t => {
+test('after a loss only safe parts are granted until old leases have ended', t => {
 	const send = open('concurrency', 'lost');
 	t.is(send('h1', {demand: 1000}, 11_999).amount, 5);
 	t.is(send('h1', {demand: 1000}, 12_000).amount, 80);
 });
 
-// Symptom: more than a lowered limit is in use.
-// Sequence: the catalogue's change has reached one host; another asks by the old limit.
-// Cause: the limit of the asking host. The least of those that live hosts asked by last holds.
-test('the least limit holds', t => {
+// Guards against use beyond a lowered limit: the change of the catalogue has reached one host, and another host sends requests
+// with the old limit.
+test('the smallest limit in the latest requests applies', t => {
 	const send = open();
 	send('h1', {demand: 0, limit: 40});
 	t.is(send('h2', {demand: 1000}).amount, 32);
@@ -67,7 +66,7 @@
 	t.is(send('h2', {demand: 1000, holds: 2}).amount, 80);
 });
 
-test('a rate is divided in fractions', t => {
+test('a rate is divided into fractions', t => {
 	const send = open('ratePerSecond');
 	t.is(send('h1', {demand: 1000, limit: 1, carriers: 10}).safe, 0.025);
 });
@@ -84,9 +83,8 @@
 	return hosts.map(({share, until}) => until > now ? share.amount : share.safe).reduce((sum, amount) => sum + amount, 0);
 }
 
-// Symptom: the service gets more than its limit.
-// Sequence: answers with shares are lost or late; hosts are cut off and fall back; the limit's demand moves; leaders change.
-// Cause: a share counted once that is believed twice. The naive rule counts only the latest grant of each host.
+// Guards against use beyond the limit: answers with shares are lost or late, so that hosts use earlier grants, and it would not
+// suffice to count the latest grant of each host. Hosts are disconnected and fall back, demand changes, and leaders change.
 test('the sum of what hosts may use never exceeds the limit', t => {
 	let renewals = 0;
 	let used = 0;
@@ -97,18 +95,18 @@
 		const hosts = Array.from({length: HOSTS}, (_none, index) => ({
 			name: `h${index}`, share: {sequence: 0, amount: 0, safe: 0}, until: 0,
 		}));
-		let late: Array<() => void> = [];
-		let cell = records.createRecords();
+		let delayedAnswers: Array<() => void> = [];
+		let group = records.createRecords();
 		let now = 0;
 		let clock = records.createGroupClock({groupTime: 0, now});
-		cell.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind: 'new'}}});
+		group.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind: 'new'}}});
 		for (let step = 0; step < 100; step++) {
 			const host = hosts[utils.pickIndex(random, HOSTS)]!;
-			const action = random();
-			if (action < 0.6) {
+			const choice = random();
+			if (choice < 0.6) {
 				renewals++;
 				const usable = host.until > now ? host.share.amount : host.share.safe;
-				const {result} = cell.apply({
+				const {result} = group.apply({
 					name: 'renew-shares',
 					stampedAt: clock.stamp(now),
 					payload: {
@@ -126,7 +124,7 @@
 				});
 				const [share] = result.shares;
 				const until = now + records.SHARE_LEASE_MILLISECONDS;
-				const take = () => {
+				const applyShare = () => {
 					if (!(share !== undefined && 'amount' in share && share.sequence > host.share.sequence)) {
 						return;
 					}
@@ -136,21 +134,21 @@
 				};
 
 				if (random() < 0.6) {
-					take();
+					applyShare();
 				} else if (random() < 0.5) {
-					late.push(take);
+					delayedAnswers.push(applyShare);
 				}
-			} else if (action < 0.75) {
-				for (const take of late) {
-					take();
+			} else if (choice < 0.75) {
+				for (const applyShare of delayedAnswers) {
+					applyShare();
 				}
 
-				late = [];
-			} else if (action < 0.8) {
-				const snapshot = structuredClone(cell.takeSnapshot());
-				cell = records.createRecords();
-				cell.restoreSnapshot(snapshot);
-				clock = records.createGroupClock({groupTime: cell.getGroupTime(), now});
+				delayedAnswers = [];
+			} else if (choice < 0.8) {
+				const snapshot = structuredClone(group.takeSnapshot());
+				group = records.createRecords();
+				group.restoreSnapshot(snapshot);
+				clock = records.createGroupClock({groupTime: group.getGroupTime(), now});
 			} else {
 				now += random() * 4000;
 			}
--- a/packages/wagtailroute-records/src/allowance.ts
+++ b/packages/wagtailroute-records/src/allowance.ts
@@ -1,5 +1,5 @@
 /**
-The floor that bounds ejections: the rule of the core, under the names of this package.
+Re-exports the rule of `wagtailroute-core` that limits ejections by a service's healthy floor.
 */
 export {
 	getEjectionAllowance,
--- a/packages/wagtailroute-records/src/attempts.ts
+++ b/packages/wagtailroute-records/src/attempts.ts
@@ -1,16 +1,15 @@
 /**
-One attempt to run a keyed request, on the host that serves its caller.
+One attempt to run a request with an idempotency key, as a state machine on the host that serves the caller.
 
-What can go wrong: a host is frozen between claim and send, its record is moved on meanwhile, and it sends when it wakes.
-So a claim may be used only within its validity, measured by the host's own monotonic clock from before it asked. A host
-that gives a claim up says so to the cell, whose answer may still be under way: it settles `not-run`, and never sends
-after that.
+A host may freeze between claim and send, while its record becomes `unknown`, and send when it resumes. Therefore a claim may
+be used only within its validity, measured by the host's monotonic clock from before it sent the claim. A host that abandons
+a claim settles `not-run`, since the grant may still arrive, and never sends the request afterwards.
 */
 import type * as core from 'wagtailroute-core';
 import type {ClaimResult, Settlement, StoredAnswer} from './claims.ts';
 
 /**
-Where an attempt stands.
+State of an attempt. `askedAt` is when the claim was sent, in ms of the host's monotonic clock.
 */
 export type AttemptState =
 	| {readonly kind: 'claiming'; readonly askedAt: number}
@@ -18,8 +17,8 @@
 	| {readonly kind: 'ended'};
 
 /**
-What happens to an attempt. `claim-failed`: no answer to the claim in time, or no quorum. `upstream-failed`: the request
-ended without a whole answer; `wasRun` says what is known.
+Events of an attempt. `claim-failed`: no result of the claim in time, or no quorum. `upstream-failed`: the request ended
+without a complete answer; `wasRun` is `not-run` only if the upstream cannot have run it.
 */
 export type AttemptEvent =
 	| {readonly kind: 'claim-answered'; readonly result: ClaimResult}
@@ -28,7 +27,8 @@
 	| {readonly kind: 'upstream-failed'; readonly wasRun: 'not-run' | 'unknown'};
 
 /**
-What the host does. `tell` answers the caller; for `ran` without an answer to give, only the fact that it ran.
+Effects that the host carries out. `tell` answers the caller: with `answer` where there is one, otherwise with the outcome
+alone. `answer-relayed` needs no further answer.
 */
 export type AttemptEffect =
 	| {readonly kind: 'send'; readonly token: number}
@@ -36,7 +36,8 @@
 	| {readonly kind: 'tell'; readonly outcome: core.Outcome; readonly reason: AttemptReason; readonly answer?: StoredAnswer};
 
 /**
-Why a caller is told an outcome. `answer-relayed`: the caller has received the upstream's own answer.
+Reason of the outcome. `answer-relayed`: the caller has received the upstream's own answer. `answer-not-kept`: the request
+ran, but its answer was not stored. `claim-too-late`: the grant arrived after its validity.
 */
 export type AttemptReason =
 	| 'answer-relayed'
@@ -51,7 +52,7 @@
 	| 'upstream-failed';
 
 /**
-Creates an attempt that is about to ask. `now` is read before the claim is sent, in ms of the host's monotonic clock.
+Creates an attempt before its claim is sent. `now` must be read before sending, in ms of the host's monotonic clock.
 */
 export function createAttempt(now: number): AttemptState {
 	return {kind: 'claiming', askedAt: now};
@@ -61,7 +62,7 @@
 
 type Handler<Kind extends AttemptEvent['kind']> = {
 	/**
-	The state in which the event means something; in any other it is late and changes nothing.
+	The state in which the event is handled. In any other state it is late and changes nothing.
 	*/
 	readonly state: AttemptState['kind'];
 	readonly handle: (event: Extract<AttemptEvent, {kind: Kind}>, elapsed: number) => AttemptTransition;
@@ -89,7 +90,7 @@
 };
 
 /**
-Advances an attempt.
+Advances an attempt by one event. `now` is in ms of the host's monotonic clock.
 */
 export const stepAttempt: core.Step<AttemptState, AttemptEvent, AttemptEffect> = (state, event, {now}) => {
 	const handler = HANDLERS[event.kind] as Handler<AttemptEvent['kind']>;
@@ -121,7 +122,7 @@
 	return createAnswerEffect(outcome, reason);
 }
 
-// A running execution is `unknown` to the caller that sends again: it may run to its end.
+// For a resend during a running execution the outcome is `unknown`: the execution may still complete.
 const UNGRANTED_ANSWERS: Readonly<Record<Exclude<Ungranted['kind'], 'ran'>, readonly [core.Outcome, AttemptReason]>> = {
 	running: ['unknown', 'already-running'],
 	unknown: ['unknown', 'earlier-unknown'],
@@ -142,7 +143,7 @@
 }
 
 /**
-Status codes with which an attempt that was not relayed is answered. A stored answer has its own.
+HTTP status codes of outcomes without a relayed or stored answer.
 */
 export const ATTEMPT_STATUS_CODES: Readonly<Record<Exclude<AttemptReason, 'answer-relayed' | 'stored-answer'>, number>> = {
 	'answer-not-kept': 409,
--- a/packages/wagtailroute-records/src/bench/crashes.bench.ts
+++ b/packages/wagtailroute-records/src/bench/crashes.bench.ts
@@ -1,38 +1,39 @@
 /**
-Upstreams lost to requests that crash them, and innocent requests quarantined, by policy. Simulated time in steps of one
-millisecond, seeded.
+Number of upstreams that a crashing request takes down, and number of other requests quarantined, by policy. A seeded
+simulation in steps of one millisecond.
 
-Some crashes have no culprit: single upstreams at random, and a whole failure domain at once. A host holds the failing
-answer of a crash until the crash is committed and had time to spread: only then can its caller send again. The callers of
-a crashing request then send it through all hosts at once.
+A `culprit` is a request that crashes each upstream that runs it; every other request is `innocent`. Some crashes have no
+culprit: single upstreams crash at random, and a whole failure domain crashes at once. A host delays the failed answer of a
+crash until the crash is committed and its notices have had time to reach the hosts, so that the caller can resend only
+afterwards. The callers of a culprit then resend it through all hosts at once.
 */
 import * as utils from 'wagtailroute-utils';
 import * as records from '../index.ts';
 
 /**
-`trials` is this package's; `no-completions` does without what hosts saw complete; `two-crashes` quarantines whatever was in
-flight at two crashes, without trials; `none` forgets crashes.
+`trials`: the policy of this package. `no-completions`: the same, without regard to requests that completed before.
+`two-crashes`: quarantines requests that were in flight at two crashes, without trials. `none`: ignores crashes.
 */
 export type CrashPolicy = 'trials' | 'no-completions' | 'two-crashes' | 'none';
 
 /**
-One row.
+Results of one policy.
 */
 export type CrashRow = {
 	readonly policy: CrashPolicy;
 	readonly crashingRequests: number;
 	/**
-	Upstreams lost to the worst of the crashing requests.
+	Number of upstreams that the worst culprit crashed.
 	*/
 	readonly mostLost: number;
 	readonly meanLost: number;
 	/**
-	Innocent fingerprints that were quarantined.
+	Number of innocent fingerprints that were quarantined.
 	*/
 	readonly wrongQuarantines: number;
 	readonly innocentRequests: number;
 	/**
-	Innocent requests that waited for a trial, and those refused.
+	Number of innocent requests that needed a trial, and of those that were refused.
 	*/
 	readonly innocentTrials: number;
 	readonly innocentRefused: number;
@@ -40,33 +41,33 @@
 
 const HOSTS = 8;
 const UPSTREAMS = 8;
-const SLOTS = 4;
-const MILLISECONDS = 300_000;
+const SLOTS_PER_UPSTREAM = 4;
+const RUN_MILLISECONDS = 300_000;
 const REQUESTS_PER_MILLISECOND = 0.25;
-const POPULAR_PART = 0.7;
-const POPULAR = 30;
-const SERVICE_MILLISECONDS = 50;
+const POPULAR_FRACTION = 0.7;
+const POPULAR_REQUESTS = 30;
+const MEAN_SERVICE_MILLISECONDS = 50;
 const CRASH_AFTER_MILLISECONDS = 5;
 const RESTART_MILLISECONDS = 3000;
-const COMMIT_MILLISECONDS = 6;
-const SPREAD_MILLISECONDS = 20;
-const HOLD_MILLISECONDS = 100;
-const CULPRIT_EVERY_MILLISECONDS = 15_000;
-const CHANCE_CRASH_EVERY_MILLISECONDS = 10_000;
-const CULPRIT_ROUNDS = 6;
-const RETRY_MILLISECONDS = 20;
-const MAX_TRIES = 100;
-const DOMAIN_EVERY_MILLISECONDS = 60_000;
-const DOMAIN_UPSTREAMS = 3;
+const COMMIT_DELAY_MILLISECONDS = 6;
+const NOTICE_DELAY_MILLISECONDS = 20;
+const FAILED_ANSWER_DELAY_MILLISECONDS = 100;
+const CULPRIT_INTERVAL_MILLISECONDS = 15_000;
+const RANDOM_CRASH_INTERVAL_MILLISECONDS = 10_000;
+const MAX_CULPRIT_CRASHES_WITH_RESENDS = 6;
+const RETRY_DELAY_MILLISECONDS = 20;
+const MAX_RETRIES = 100;
+const DOMAIN_CRASH_INTERVAL_MILLISECONDS = 60_000;
+const UPSTREAMS_PER_DOMAIN = 3;
 const SEEDS = [9, 10, 11, 12];
-const CULPRIT = 'culprit';
+const CULPRIT_PREFIX = 'culprit';
 
 type Request = {readonly fingerprint: string; readonly host: number; readonly attempt: string; readonly tries: number};
 type Running = {readonly request: Request; readonly isTrial: boolean; readonly endsAt: number};
 type Upstream = {life: number; upAt: number; running: Running[]};
 
 /**
-Runs all policies on the same load.
+Runs all policies with the same load and seeds.
 */
 export function benchCrashes(): CrashRow[] {
 	const policies = ['trials', 'no-completions', 'two-crashes', 'none'] as const;
@@ -89,71 +90,71 @@
 
 function measure(policy: CrashPolicy, seed: number): CrashRow {
 	const random = utils.createRandom(seed);
-	const cell = records.createRecords();
+	const group = records.createRecords();
 	const upstreams: Upstream[] = Array.from({length: UPSTREAMS}, () => ({life: 0, upAt: 0, running: []}));
 	const completed = Array.from({length: HOSTS}, () => new Set<string>());
-	const known = new Map<string, records.QuarantineStatus>();
-	const agenda = new Map<number, Array<() => void>>();
-	const lost = new Map<string, number>();
-	const wrong: string[] = [];
+	const statuses = new Map<string, records.QuarantineStatus>();
+	const actionsByTime = new Map<number, Array<() => void>>();
+	const crashesByCulprit = new Map<string, number>();
+	const wronglyQuarantined: string[] = [];
 	const counts = {
 		innocentRequests: 0, innocentTrials: 0, innocentRefused: 0, attempts: 0,
 	};
 	let now = 0;
-	const plan = (delay: number, action: () => void) => {
+	const schedule = (delay: number, action: () => void) => {
 		const at = now + delay;
-		agenda.set(at, [...agenda.get(at) ?? [], action]);
+		actionsByTime.set(at, [...actionsByTime.get(at) ?? [], action]);
 	};
 
 	const apply = <Name extends records.CommandName>(name: Name, payload: records.CommandPayloads[Name]) => {
-		const {result, notices} = cell.apply({name, payload, stampedAt: now});
+		const {result, notices} = group.apply({name, payload, stampedAt: now});
 		for (const notice of notices) {
-			utils.invariant(notice.kind === 'fingerprint', 'nothing is ejected here');
+			utils.invariant(notice.kind === 'fingerprint', 'the run has no ejections');
 			const {fingerprint, standing} = notice.change;
-			plan(SPREAD_MILLISECONDS, () => {
-				known.set(fingerprint, standing);
+			schedule(NOTICE_DELAY_MILLISECONDS, () => {
+				statuses.set(fingerprint, standing);
 			});
-			const isWrong = standing === 'quarantined' && !fingerprint.startsWith(CULPRIT);
-			wrong.push(...(isWrong ? [fingerprint] : []));
+			const isWrong = standing === 'quarantined' && !fingerprint.startsWith(CULPRIT_PREFIX);
+			wronglyQuarantined.push(...(isWrong ? [fingerprint] : []));
 		}
 
 		return result;
 	};
 
-	const begin = (request: Request, index: number, isTrial: boolean) => {
-		const isCulprit = request.fingerprint.startsWith(CULPRIT);
-		const usual = Math.ceil(-Math.log(1 - random()) * SERVICE_MILLISECONDS);
-		upstreams[index]!.running.push({request, isTrial, endsAt: now + (isCulprit ? CRASH_AFTER_MILLISECONDS : usual)});
+	const startExecution = (request: Request, index: number, isTrial: boolean) => {
+		const isCulprit = request.fingerprint.startsWith(CULPRIT_PREFIX);
+		const durationMilliseconds = Math.ceil(-Math.log(1 - random()) * MEAN_SERVICE_MILLISECONDS);
+		upstreams[index]!.running.push({request, isTrial, endsAt: now + (isCulprit ? CRASH_AFTER_MILLISECONDS : durationMilliseconds)});
 	};
 
 	const retry = (request: Request) => {
-		if (request.tries < MAX_TRIES) {
-			plan(RETRY_MILLISECONDS, () => {
+		if (request.tries < MAX_RETRIES) {
+			schedule(RETRY_DELAY_MILLISECONDS, () => {
 				send({...request, tries: request.tries + 1});
 			});
-		} else if (!request.fingerprint.startsWith(CULPRIT)) {
+		} else if (!request.fingerprint.startsWith(CULPRIT_PREFIX)) {
 			counts.innocentRefused++;
 		}
 	};
 
 	const send = (request: Request) => {
 		const free = upstreams.map((_upstream, index) => index)
-			.filter(index => upstreams[index]!.upAt <= now && upstreams[index]!.running.length < SLOTS);
+			.filter(index => upstreams[index]!.upAt <= now && upstreams[index]!.running.length < SLOTS_PER_UPSTREAM);
 		const index = free[utils.pickIndex(random, free.length)];
 		if (index === undefined) {
 			retry(request);
 			return;
 		}
 
-		const standing = known.get(request.fingerprint);
-		const isInnocent = !request.fingerprint.startsWith(CULPRIT);
+		const standing = statuses.get(request.fingerprint);
+		const isInnocent = !request.fingerprint.startsWith(CULPRIT_PREFIX);
 		if (standing === 'quarantined') {
 			counts.innocentRefused += isInnocent ? 1 : 0;
 			return;
 		}
 
 		if (standing !== 'suspect' || policy === 'two-crashes') {
-			begin(request, index, false);
+			startExecution(request, index, false);
 			return;
 		}
 
@@ -162,13 +163,13 @@
 		});
 		counts.innocentTrials += isInnocent && request.tries === 0 ? 1 : 0;
 		if (result.kind === 'granted' || result.kind === 'clear') {
-			begin(request, index, result.kind === 'granted');
+			startExecution(request, index, result.kind === 'granted');
 		} else {
 			retry(request);
 		}
 	};
 
-	const start = (fingerprint: string, host: number) => {
+	const startRequest = (fingerprint: string, host: number) => {
 		send({
 			fingerprint, host, attempt: `a${counts.attempts++}`, tries: 0,
 		});
@@ -180,14 +181,14 @@
 		upstream.running = [];
 		upstream.life++;
 		upstream.upAt = now + RESTART_MILLISECONDS;
-		plan(COMMIT_MILLISECONDS, () => {
+		schedule(COMMIT_DELAY_MILLISECONDS, () => {
 			for (let host = 0; host < HOSTS; host++) {
-				const own = running.filter(({request}) => request.host === host).map(({request}) => request.fingerprint);
-				if (policy === 'none' || own.length === 0) {
+				const fingerprints = running.filter(({request}) => request.host === host).map(({request}) => request.fingerprint);
+				if (policy === 'none' || fingerprints.length === 0) {
 					continue;
 				}
 
-				const inFlight = own.map(fingerprint => ({
+				const inFlight = fingerprints.map(fingerprint => ({
 					fingerprint, hasCompleted: policy === 'trials' && completed[host]!.has(fingerprint),
 				}));
 				apply('report-crash', {
@@ -196,33 +197,33 @@
 			}
 
 			for (const {request} of running) {
-				plan(HOLD_MILLISECONDS, () => {
-					failed(request);
+				schedule(FAILED_ANSWER_DELAY_MILLISECONDS, () => {
+					handleFailure(request);
 				});
 			}
 		});
 	};
 
-	const failed = (request: Request) => {
-		if (!request.fingerprint.startsWith(CULPRIT)) {
-			// An idempotent request is sent again by its host.
+	const handleFailure = (request: Request) => {
+		if (!request.fingerprint.startsWith(CULPRIT_PREFIX)) {
+			// The host resends an idempotent request.
 			send({...request, attempt: `a${counts.attempts++}`});
 			return;
 		}
 
-		// The callers give up some time.
-		const hosts = (lost.get(request.fingerprint) ?? 0) < CULPRIT_ROUNDS ? HOSTS : 0;
+		// The callers stop resending after a number of crashes.
+		const hosts = (crashesByCulprit.get(request.fingerprint) ?? 0) < MAX_CULPRIT_CRASHES_WITH_RESENDS ? HOSTS : 0;
 		for (let host = 0; host < hosts; host++) {
-			start(request.fingerprint, host);
+			startRequest(request.fingerprint, host);
 		}
 	};
 
-	const finish = (index: number) => {
+	const finishExecutions = (index: number) => {
 		const upstream = upstreams[index]!;
-		const culprit = upstream.running.find(({request, endsAt}) => endsAt <= now && request.fingerprint.startsWith(CULPRIT));
+		const culprit = upstream.running.find(({request, endsAt}) => endsAt <= now && request.fingerprint.startsWith(CULPRIT_PREFIX));
 		if (culprit !== undefined) {
 			const {fingerprint} = culprit.request;
-			lost.set(fingerprint, (lost.get(fingerprint) ?? 0) + 1);
+			crashesByCulprit.set(fingerprint, (crashesByCulprit.get(fingerprint) ?? 0) + 1);
 			crash(index);
 			return;
 		}
@@ -239,44 +240,44 @@
 	};
 
 	apply('open-service', {service: 's', origin: {kind: 'new'}});
-	for (; now < MILLISECONDS; now++) {
+	for (; now < RUN_MILLISECONDS; now++) {
 		for (let index = 0; index < UPSTREAMS; index++) {
-			finish(index);
+			finishExecutions(index);
 		}
 
-		for (const action of agenda.get(now) ?? []) {
+		for (const action of actionsByTime.get(now) ?? []) {
 			action();
 		}
 
-		agenda.delete(now);
+		actionsByTime.delete(now);
 		if (random() < REQUESTS_PER_MILLISECOND) {
 			counts.innocentRequests++;
-			const isPopular = random() < POPULAR_PART;
-			const name = isPopular ? `popular ${utils.pickIndex(random, POPULAR)}` : `once ${now}`;
-			start(name, utils.pickIndex(random, HOSTS));
+			const isPopular = random() < POPULAR_FRACTION;
+			const name = isPopular ? `popular ${utils.pickIndex(random, POPULAR_REQUESTS)}` : `once ${now}`;
+			startRequest(name, utils.pickIndex(random, HOSTS));
 		}
 
-		if (now % CULPRIT_EVERY_MILLISECONDS === 5000) {
-			start(`${CULPRIT} ${now}`, utils.pickIndex(random, HOSTS));
+		if (now % CULPRIT_INTERVAL_MILLISECONDS === 5000) {
+			startRequest(`${CULPRIT_PREFIX} ${now}`, utils.pickIndex(random, HOSTS));
 		}
 
-		const fallen = now % DOMAIN_EVERY_MILLISECONDS === DOMAIN_EVERY_MILLISECONDS / 2 ? DOMAIN_UPSTREAMS : 0;
-		for (let index = 0; index < fallen; index++) {
+		const domainCrashes = now % DOMAIN_CRASH_INTERVAL_MILLISECONDS === DOMAIN_CRASH_INTERVAL_MILLISECONDS / 2 ? UPSTREAMS_PER_DOMAIN : 0;
+		for (let index = 0; index < domainCrashes; index++) {
 			crash(index);
 		}
 
-		if (random() < 1 / CHANCE_CRASH_EVERY_MILLISECONDS) {
+		if (random() < 1 / RANDOM_CRASH_INTERVAL_MILLISECONDS) {
 			crash(utils.pickIndex(random, UPSTREAMS));
 		}
 	}
 
-	const losses = lost.values().toArray();
+	const crashCounts = crashesByCulprit.values().toArray();
 	return {
 		policy,
-		crashingRequests: losses.length,
-		mostLost: Math.max(...losses),
-		meanLost: losses.reduce((sum, count) => sum + count, 0) / losses.length,
-		wrongQuarantines: new Set(wrong).size,
+		crashingRequests: crashCounts.length,
+		mostLost: Math.max(...crashCounts),
+		meanLost: crashCounts.reduce((sum, count) => sum + count, 0) / crashCounts.length,
+		wrongQuarantines: new Set(wronglyQuarantined).size,
 		innocentRequests: counts.innocentRequests,
 		innocentTrials: counts.innocentTrials,
 		innocentRefused: counts.innocentRefused,
@@ -284,7 +285,7 @@
 }
 
 /**
-Runs the bench and checks its bounds.
+Runs the bench and checks its bounds. Each entry of `broken` describes a bound that does not hold.
 */
 export async function run(): Promise<{
 	title: string;
--- a/packages/wagtailroute-records/src/claims.ts
+++ b/packages/wagtailroute-records/src/claims.ts
@@ -1,5 +1,6 @@
 /**
-Claims and settlements of idempotency keys: what hosts say to the cell about an execution, and what they are told.
+Claims and settlements of idempotency keys: the payloads that hosts propose to the replica group, their results, and the
+stored records.
 */
 import {
 	MAX_ANSWER_CHARACTERS,
@@ -10,7 +11,7 @@
 } from './constants.ts';
 
 /**
-The execution that a key names. A stored answer is only ever given for the same service, organisation, key and digest.
+Identifies a record. A stored answer is returned only for the same service, organisation, key and digest.
 */
 export type RecordId = {
 	readonly service: string;
@@ -19,7 +20,8 @@
 };
 
 /**
-Asks to run. `attempt` is unique over the fleet and over time; asking again with the same attempt gives the same grant.
+Requests permission to send a request. `attempt` is unique across the fleet and over time; a repeated claim with the same
+attempt returns the same grant.
 */
 export type Claim = RecordId & {
 	readonly digest: string;
@@ -27,13 +29,14 @@
 	readonly host: string;
 	readonly bootId: string;
 	/**
-	How long the execution may take, in ms: past it and a grace the record becomes `unknown`.
+	The longest that the execution may take, in ms. The record becomes `unknown` when this time, the claim's validity and a
+	grace period have passed.
 	*/
 	readonly budgetMilliseconds: number;
 };
 
 /**
-An answer kept for resends. The body is encoded as text by the host.
+An answer that is stored for resends of the request. The host encodes the body as text.
 */
 export type StoredAnswer = {
 	readonly status: number;
@@ -42,8 +45,8 @@
 };
 
 /**
-How an attempt ended. `ran` is said only after the whole answer; `not-run` only when the attempt has sent nothing that a
-backend server may have run, and never will.
+How an attempt ended. `ran` requires the complete answer. `not-run` requires that the attempt has sent nothing that a
+backend server may have run, and that it will send nothing later.
 */
 export type Settlement = RecordId & {
 	readonly attempt: string;
@@ -54,7 +57,8 @@
 };
 
 /**
-Answer to a claim.
+Result of a claim. `running`, `ran` and `unknown` are states of an existing record, and `mismatch` means that its digest
+differs. `validityMilliseconds` is explained at `CLAIM_VALIDITY_MILLISECONDS`.
 */
 export type ClaimResult =
 	| {readonly kind: 'granted'; readonly token: number; readonly validityMilliseconds: number}
@@ -65,19 +69,19 @@
 	| {readonly kind: 'refused'; readonly reason: ClaimRefusal};
 
 /**
-Why a claim without a record was refused: nothing was run, and the key may be claimed later.
+Why a claim of a key without a record was refused. Nothing was run, and the key may be claimed later.
 */
 export type ClaimRefusal = 'records-full' | 'organisation-full' | 'abandoned' | 'not-held';
 
 /**
-Answer to a settlement. `stale`: the record is held by another attempt, or no longer held.
+Result of a settlement. `stale`: another attempt holds the record, or there is no record.
 */
 export type SettlementResult =
 	| {readonly kind: 'settled'; readonly isAnswerKept: boolean}
 	| {readonly kind: 'stale'};
 
 /**
-One record.
+The record of one idempotency key. `token` increases with each grant of the replica group.
 */
 export type IdempotencyRecord = RecordId & {
 	readonly digest: string;
@@ -88,13 +92,13 @@
 	readonly state: 'running' | 'ran' | 'unknown';
 	readonly answer?: StoredAnswer;
 	/**
-	Group time at which a running record becomes `unknown`, and at which a settled one is forgotten.
+	Group time at which a running record becomes `unknown`, or a settled record is deleted.
 	*/
 	readonly until: number;
 };
 
 /**
-Bounds of the records of one cell. Times in ms of group time, lengths in characters.
+Bounds of the records of one replica group. Times in ms of group time, lengths in characters.
 */
 export type IdempotencyBounds = {
 	readonly retentionMilliseconds: number;
@@ -105,7 +109,7 @@
 };
 
 /**
-Bounds used where the settings give none.
+Bounds that apply where the settings give none.
 */
 export const DEFAULT_IDEMPOTENCY_BOUNDS: IdempotencyBounds = {
 	retentionMilliseconds: RECORD_RETENTION_MILLISECONDS,
--- a/packages/wagtailroute-records/src/commands.ts
+++ b/packages/wagtailroute-records/src/commands.ts
@@ -1,5 +1,5 @@
 /**
-Commands of the replicated state machine of a cell, and their results. All are plain JSON.
+Commands of the replicated state machine, and their results. All are plain JSON.
 */
 import type {
 	Claim,
@@ -26,25 +26,26 @@
 } from './fingerprints.ts';
 
 /**
-Limits that are dealt out in shares.
+Fleet-wide limits that are divided into shares.
 */
 export type LimitName = 'concurrency' | 'ratePerSecond';
 
 /**
-What a cell holds of a service besides its idempotency records.
+State of a service apart from its idempotency records.
 */
 export type ServiceState = {
 	readonly ejections: EjectionState;
 	readonly shares: Readonly<Record<LimitName, ShareState>>;
 	readonly quarantine: QuarantineState;
 	/**
-	Group time before which a key without a record may belong to a record that was lost.
+	Group time until which records may be missing after a loss of state. Claims of keys without a record return `unknown`.
 	*/
 	readonly claimsUnknownUntil: number;
 };
 
 /**
-All that moves with a service from one cell to another. Times are relative to the group time of the cell that closed it.
+State that moves with a service from one replica group to another. Times are in the group time of the group that closed
+the service; `groupTime` is that group's time at the close.
 */
 export type ServiceExport = {
 	readonly groupTime: number;
@@ -53,8 +54,8 @@
 };
 
 /**
-Where a service that a cell opens comes from. `new`: no cell held it before. `lost`: the cell that held it lost its state.
-`adopted`: the cell that held it closed it.
+Origin of a service that a replica group opens. `new`: no group held it before. `lost`: the group that held it lost its
+state. `adopted`: the group that held it closed it.
 */
 export type ServiceOrigin =
 	| {readonly kind: 'new'}
@@ -64,7 +65,7 @@
 type WithService<Payload> = Payload & {readonly service: string};
 
 /**
-Payload of each command.
+Payloads by name of the command in the log.
 */
 export type CommandPayloads = {
 	'open-service': {readonly service: string; readonly origin: ServiceOrigin};
@@ -85,17 +86,18 @@
 };
 
 /**
-Answer that a service is not held by this cell: the asking host has an old map, or the cell has not opened it yet.
+Result for a service that this replica group does not hold: the requesting host has an outdated map from services to
+groups, or the group has not opened the service yet.
 */
 export type NotHeld = {readonly kind: 'not-held'};
 
 /**
-Answer of commands that always succeed.
+Result of commands that always succeed.
 */
 export type Done = {readonly kind: 'done'};
 
 /**
-Result of each command.
+Results by name of the command.
 */
 export type CommandResults = {
 	'open-service': Done | {readonly kind: 'already-open'};
@@ -116,18 +118,18 @@
 };
 
 /**
-Name of a command.
+Name of a command, as written in the log.
 */
 export type CommandName = keyof CommandPayloads;
 
 /**
-A command as it stands in the log.
+A command as written in the log.
 */
 export type Command<Name extends CommandName = CommandName> = {
 	readonly [Key in Name]: {
 		readonly name: Key;
 		/**
-		Group time that the leader stamped, in ms.
+		Group time at which the leader stamped the command, in ms.
 		*/
 		readonly stampedAt: number;
 		readonly payload: CommandPayloads[Key];
@@ -135,7 +137,7 @@
 }[Name];
 
 /**
-A change that hosts must learn of.
+A change of ejections or quarantine, to be sent to hosts.
 */
 export type Notice =
 	| {readonly kind: 'ejection'; readonly service: string; readonly change: EjectionNotice}
--- a/packages/wagtailroute-records/src/ejections.ts
+++ b/packages/wagtailroute-records/src/ejections.ts
@@ -1,10 +1,10 @@
 /**
 Ejection grants of one service.
 
-Hosts that decide alone can together eject more than the floor allows: each sees its own few ejections. So an ejection is
-a grant of the cell. What counts as serving is what the asking host and most of the hosts that reported lately list, and
-what nobody lists as draining. A host acts on the table under a lease; an upstream that was readmitted keeps counting as
-ejected until every host that missed the readmission has let its lease run out.
+Hosts that decide independently can together eject more than the healthy floor allows, because each sees only its own few
+ejections. Therefore the replica group grants ejections. An upstream counts as serving if the requesting host and most hosts
+with a recent report list it, and no host lists it as draining. A host acts on the ejection table under a lease. A
+readmitted upstream counts as ejected until the leases of all hosts that missed the readmission have expired.
 */
 import {getEjectionAllowance, getRequiredHealthy} from './allowance.ts';
 import {ABSENT_EJECTION_EXPIRY_MILLISECONDS, EJECTION_LINGER_MILLISECONDS, UPSTREAM_VIEW_EXPIRY_MILLISECONDS} from './constants.ts';
@@ -16,7 +16,7 @@
 } from './upstream-views.ts';
 
 /**
-Asks to eject. `badness` orders upstreams for readmission when the floor must be restored: least bad first.
+Requests an ejection. `badness` orders upstreams for readmission when the healthy floor must be restored: the lowest first.
 */
 export type EjectionRequest = UpstreamView & {
 	readonly upstream: string;
@@ -29,36 +29,37 @@
 export type Ejection = {
 	readonly upstream: string;
 	/**
-	Larger for each later grant in the service; a readmission names the grant that it ends.
+	Identifies the grant, and increases with each grant in the service. A readmission names the epoch that it ends.
 	*/
 	readonly epoch: number;
 	readonly badness: number;
 	readonly grantedAt: number;
 	/**
-	Group time since which no majority of hosts lists the upstream.
+	Group time since which no majority of hosts lists the upstream as serving.
 	*/
 	readonly absentSince?: number;
 };
 
 /**
-Answer to a request.
+Result of a request. `floor`: the ejection would break the healthy floor. `not-serving`: the upstream does not count as
+serving. `settling`: see `settlingUntil` of the state.
 */
 export type EjectionResult =
 	| {readonly kind: 'granted'; readonly epoch: number}
 	| {readonly kind: 'refused'; readonly reason: 'floor' | 'not-serving' | 'settling'};
 
 /**
-A change that hosts must learn of.
+A change of the ejection table, to be sent to hosts.
 */
 export type EjectionNotice = {
 	readonly kind: 'ejected' | 'readmitted';
 	readonly upstream: string;
 	/**
-	The grant that began or ended.
+	The epoch of the grant that began or ended.
 	*/
 	readonly epoch: number;
 	/**
-	Counts the changes of the service's table: a host that misses one reads the whole table.
+	The version of the service's table after the change. A host that misses a version reads the whole table.
 	*/
 	readonly version: number;
 };
@@ -68,11 +69,11 @@
 */
 export type EjectionState = {
 	/**
-	Counts changes; a grant's epoch is the version that it made.
+	Number of changes of the table. The epoch of a grant is the version that it created.
 	*/
 	readonly version: number;
 	/**
-	Group time before which nothing is granted: hosts may still act on the table of a cell that was lost.
+	Group time before which no ejection is granted: after a loss of state, hosts may still act on the lost table.
 	*/
 	readonly settlingUntil: number;
 	readonly ejected: readonly Ejection[];
@@ -84,7 +85,7 @@
 };
 
 /**
-A change of the state with what hosts must learn.
+The state after a command, and the changes to be sent to hosts.
 */
 export type EjectionChange = {
 	readonly state: EjectionState;
@@ -101,7 +102,7 @@
 }
 
 /**
-Takes a host's view, and readmits what the floor needs.
+Records a host's view of the upstreams, and readmits upstreams where the healthy floor requires it.
 */
 export function applyUpstreamView(state: EjectionState, view: UpstreamView, time: number): EjectionChange {
 	const {host, serving, draining, healthyFloor} = view;
@@ -114,7 +115,7 @@
 }
 
 /**
-Grants an ejection where the floor allows it. Asking again for an ejected upstream gives the same grant.
+Grants an ejection if the healthy floor allows it. A repeated request for an ejected upstream returns the same grant.
 */
 export function applyEjectionRequest(
 	before: EjectionState,
@@ -123,9 +124,9 @@
 ): EjectionChange & {readonly result: EjectionResult} {
 	const {state, notices} = applyUpstreamView(before, request, time);
 	const {upstream, badness} = request;
-	const known = state.ejected.find(ejection => ejection.upstream === upstream);
-	if (known !== undefined) {
-		return {state, notices, result: {kind: 'granted', epoch: known.epoch}};
+	const existing = state.ejected.find(ejection => ejection.upstream === upstream);
+	if (existing !== undefined) {
+		return {state, notices, result: {kind: 'granted', epoch: existing.epoch}};
 	}
 
 	const reason = getEjectionRefusal(state, request, time);
@@ -152,14 +153,14 @@
 }
 
 /**
-Ends an ejection. A late readmission of an earlier grant changes nothing.
+Ends an ejection. A readmission that arrives late and names an earlier grant changes nothing.
 */
 export function readmit(
 	state: EjectionState,
 	{upstream, epoch}: {readonly upstream: string; readonly epoch: number},
 	time: number,
 ): EjectionChange {
-	const ejection = state.ejected.find(known => known.upstream === upstream && known.epoch === epoch);
+	const ejection = state.ejected.find(existing => existing.upstream === upstream && existing.epoch === epoch);
 	return ejection === undefined ? {state, notices: []} : endEjection(state, ejection, time);
 }
 
@@ -181,7 +182,7 @@
 		...state.ejected.map(({upstream}) => upstream),
 		...state.lingering.map(({upstream}) => upstream),
 	]);
-	// The asked upstream may linger from an earlier ejection: ejecting it again takes no further capacity.
+	// The upstream may be in `lingering` after an earlier ejection: ejecting it again removes no further capacity.
 	outOfService.delete(request.upstream);
 	const ejected = [...outOfService].filter(upstream => serving.has(upstream)).length;
 	const counts = {serving: serving.size - ejected, ejected, draining: draining.size};
@@ -189,8 +190,8 @@
 	return allowance > 0 ? undefined : 'floor';
 }
 
-// An upstream that leaves while ejected frees no place: it counts neither as serving nor as ejected, and is still ejected
-// when it comes back. Otherwise a sick upstream would return by announcing itself anew.
+// An upstream that leaves while ejected does not allow another ejection: it counts neither as serving nor as ejected, and is
+// still ejected when it returns. Otherwise a failing upstream could return to service by announcing itself again.
 function updateAbsences(state: EjectionState, time: number): EjectionState {
 	const {serving} = getAgreedUpstreams(state.views);
 	const ejected = state.ejected
@@ -203,19 +204,19 @@
 	return isServing ? ejection : {...ejection, absentSince: absentSince ?? time};
 }
 
-// Healthy upstreams can leave after ejections were granted. Then the least bad of the ejected come back first.
+// Healthy upstreams can leave after ejections were granted. Then the ejected upstreams with the lowest badness are readmitted.
 function restoreFloor(before: EjectionState, time: number): EjectionChange {
 	const {serving, draining} = getAgreedUpstreams(before.views);
-	const present = before.ejected.filter(({upstream}) => serving.has(upstream));
-	const healthy = serving.size - present.length;
-	const counts = {serving: healthy, ejected: present.length, draining: draining.size};
-	const missing = getRequiredHealthy({...counts, healthyFloor: getStrictestFloor(before.views, counts)}) - healthy;
-	const returning = present
+	const presentEjections = before.ejected.filter(({upstream}) => serving.has(upstream));
+	const healthy = serving.size - presentEjections.length;
+	const counts = {serving: healthy, ejected: presentEjections.length, draining: draining.size};
+	const shortfall = getRequiredHealthy({...counts, healthyFloor: getStrictestFloor(before.views, counts)}) - healthy;
+	const readmissions = presentEjections
 		.toSorted(compareBadness)
-		.slice(0, Math.max(0, missing));
+		.slice(0, Math.max(0, shortfall));
 	let state = before;
 	const notices: EjectionNotice[] = [];
-	for (const ejection of returning) {
+	for (const ejection of readmissions) {
 		const change = endEjection(state, ejection, time);
 		state = change.state;
 		notices.push(...change.notices);
@@ -244,7 +245,7 @@
 }
 
 /**
-Drops what has run out by the group time.
+Removes readmitted upstreams that no longer count as ejected at the group time.
 */
 export function expireEjections(state: EjectionState, time: number): EjectionState {
 	const lingering = state.lingering.filter(({until}) => until > time);
@@ -252,7 +253,7 @@
 }
 
 /**
-Moves all times of the state, when a cell with another group time takes over the service.
+Adds `shift` to all times of the state, when a replica group with another group time adopts the service.
 */
 export function shiftEjectionTimes(state: EjectionState, shift: number): EjectionState {
 	return {
--- a/packages/wagtailroute-records/src/fingerprints.ts
+++ b/packages/wagtailroute-records/src/fingerprints.ts
@@ -1,48 +1,49 @@
 /**
-Crashes, trials and standings of fingerprints: what hosts say to the cell about requests that may crash upstreams, and what
-they are told.
+Crash reports, trials and the quarantine status of fingerprints: payloads, results and state about requests that may crash
+upstreams.
 */
 
 /**
-A crash seen by a host. Several hosts may report the same one: it is known by the upstream and its incarnation.
+A crash that a host detected. Several hosts may report the same crash: upstream and incarnation identify it.
 */
 export type CrashReport = {
 	readonly upstream: string;
 	/**
-	Names one life of the upstream's process, by what it announced.
+	Identifies one process of the upstream between two restarts, by what it announced.
 	*/
 	readonly incarnation: string;
 	/**
-	What this host had in flight there.
+	The requests of this host that were in flight at the upstream.
 	*/
 	readonly inFlight: ReadonlyArray<{
 		readonly fingerprint: string;
 		/**
-		Whether this host has seen a request with this fingerprint complete.
+		Whether a request with this fingerprint has completed on this host before.
 		*/
 		readonly hasCompleted: boolean;
 	}>;
 };
 
 /**
-Asks to run a suspect on an upstream.
+Requests permission to run a suspect request on an upstream.
 */
 export type TrialRequest = {
 	readonly fingerprint: string;
 	readonly upstream: string;
 	/**
-	Unique over the fleet and over time.
+	Unique across the fleet and over time.
 	*/
 	readonly attempt: string;
 	/**
-	How long the execution may take, in ms.
+	The longest that the execution may take, in ms.
 	*/
 	readonly budgetMilliseconds: number;
 };
 
 /**
-Answer to a trial request. `clear`: no suspect, send it as any other. `wait`: another copy is on trial. `upstream-busy`:
-another suspect is on trial there, ask again with another upstream.
+Result of a trial request. `clear`: the request is not a suspect and needs no trial. `wait`: another copy is on trial.
+`upstream-busy`: another suspect is on trial there, so the host requests a trial on another upstream.
+`milliseconds` is the remaining time until the trial or the quarantine expires.
 */
 export type TrialResult =
 	| {readonly kind: 'clear'}
@@ -52,7 +53,7 @@
 	| {readonly kind: 'quarantined'; readonly milliseconds: number};
 
 /**
-How a trial ended, when the upstream survived it. A crash is reported as such instead.
+The end of a trial that the upstream survived. After a crash the host sends a `CrashReport` instead.
 */
 export type TrialEnding = {
 	readonly attempt: string;
@@ -60,12 +61,13 @@
 };
 
 /**
-Where a fingerprint stands.
+Quarantine status of a fingerprint. `suspect`: runs only on trial. `cleared`: has completed a trial or was released by an
+operator, and later crashes are not attributed to it. `quarantined`: refused.
 */
 export type QuarantineStatus = 'suspect' | 'cleared' | 'quarantined';
 
 /**
-A trial that is under way.
+A trial in progress. It stops being exclusive at the group time `until`.
 */
 export type Trial = {
 	readonly attempt: string;
@@ -74,13 +76,13 @@
 };
 
 /**
-What the cell knows of a fingerprint.
+The record of a fingerprint. It expires at the group time `until`.
 */
 export type FingerprintEntry = {
 	readonly fingerprint: string;
 	readonly standing: QuarantineStatus;
 	/**
-	The crashes that it is tied to.
+	Names of the crashes that are attributed to the fingerprint.
 	*/
 	readonly crashes: readonly string[];
 	readonly until: number;
@@ -88,12 +90,12 @@
 };
 
 /**
-A crash that is remembered.
+A crash that was reported. `name` is the JSON of upstream and incarnation; `until` is the group time at which it expires.
 */
 export type Crash = {readonly name: string; readonly until: number};
 
 /**
-The quarantine of one service as plain JSON.
+The quarantine of one service as plain JSON. `version` counts the changes of status.
 */
 export type QuarantineState = {
 	readonly version: number;
@@ -102,7 +104,7 @@
 };
 
 /**
-A change that hosts must learn of.
+A change of a fingerprint's quarantine status, to be sent to hosts.
 */
 export type QuarantineNotice = {
 	readonly fingerprint: string;
@@ -111,7 +113,7 @@
 };
 
 /**
-A change of the state with what hosts must learn.
+The state after a command, and the changes to be sent to hosts.
 */
 export type QuarantineChange = {
 	readonly state: QuarantineState;
--- a/packages/wagtailroute-records/src/group-time.ts
+++ b/packages/wagtailroute-records/src/group-time.ts
@@ -1,40 +1,41 @@
 /**
-Group time: the time by which a cell ends records and leases.
+Group time: the clock of a replica group, by which its records and leases expire.
 
-What can go wrong: a record that ends early lets a non-idempotent request run twice, and a lease that ends early lets two
-hosts hold the same share. Both happen when a leader stamps commands by a wall clock that jumps, or when a new leader's
-clock is ahead of the old one's. One would notice a burst of expiries right after a leader change. So a leader stamps
-commands with the group time that it found when it took office, advanced by its monotonic clock, in steps of bounded
-size. The state machine takes the largest stamp seen. Group time therefore never runs ahead of real elapsed time; it lags
-by the time without a leader and by cut-off steps, which only makes records and leases last longer.
+A record that expires early lets a non-idempotent request run twice, and a lease that expires early lets two hosts use the
+same share. Both happen when a leader stamps commands with a wall clock that jumps, or when the clock of a new leader is
+ahead of the old leader's clock; the symptom is a burst of expiries right after a leader change. Therefore a leader starts
+from the group time that its state machine has at the election, and advances it by its monotonic clock in steps of bounded
+size. The state machine's group time is the largest stamp applied. Group time never runs ahead of real elapsed time. It lags
+by the time without a leader and by the parts of steps beyond the bound, which only makes records and leases last longer.
 */
 import {MAX_STAMP_STEP_MILLISECONDS} from './constants.ts';
 
 /**
-The clock of one term of office of a leader.
+The clock of a leader.
 */
 export type GroupClock = {
 	/**
-	Returns the stamp for a command, in ms of group time. `now` is the leader's monotonic clock in ms, `groupTime` that of
-	its state machine: where another leader has stamped meanwhile, the clock goes on from there.
+	Returns the stamp for a command, in ms of group time. `now` is the leader's monotonic clock in ms. `groupTime` is the
+	current group time of its state machine: if another leader has stamped commands meanwhile, the clock continues from there.
 	*/
 	readonly stamp: (now: number, groupTime?: number) => number;
 };
 
 /**
-Creates the clock when a leader takes office: `groupTime` is that of its state machine, `now` its monotonic clock.
+Creates the clock of a newly elected leader. `groupTime` is the group time of its state machine, `now` its monotonic clock
+in ms.
 */
 export function createGroupClock({groupTime, now}: {readonly groupTime: number; readonly now: number}): GroupClock {
-	let stamped = groupTime;
-	let last = now;
+	let lastStamp = groupTime;
+	let lastStampedAt = now;
 	return {
-		stamp(current, applied = stamped) {
-			// The time since the last stamp is in the other leader's stamps already.
-			const elapsed = applied > stamped ? 0 : current - last;
+		stamp(current, appliedGroupTime = lastStamp) {
+			// The stamps of another leader already contain the time since this leader's previous stamp.
+			const elapsed = appliedGroupTime > lastStamp ? 0 : current - lastStampedAt;
 			const step = Math.min(Math.max(elapsed, 0), MAX_STAMP_STEP_MILLISECONDS);
-			last = Math.max(last, current);
-			stamped = Math.max(stamped, applied) + step;
-			return stamped;
+			lastStampedAt = Math.max(lastStampedAt, current);
+			lastStamp = Math.max(lastStamp, appliedGroupTime) + step;
+			return lastStamp;
 		},
 	};
 }
--- a/packages/wagtailroute-records/src/handlers.ts
+++ b/packages/wagtailroute-records/src/handlers.ts
@@ -1,5 +1,5 @@
 /**
-What each command does to the tables of a cell.
+Handlers of the commands: how each changes the tables of a replica group.
 */
 import type {
 	CommandName,
@@ -19,19 +19,19 @@
 import * as shares from './shares.ts';
 
 /**
-Bounds of a cell. All members must have the same.
+Bounds of a replica group. All members must use the same, or their states diverge.
 */
 export type RecordsBounds = {
 	readonly idempotency: IdempotencyBounds;
 	/**
-	How long keys without a record are answered `unknown` after a cell lost its state, in ms of group time. Shorter than
-	the retention it trades at-most-once for availability.
+	How long claims of keys without a record return `unknown` after a replica group has lost its state, in ms of group time. A
+	value below the retention gives up at-most-once execution for availability.
 	*/
 	readonly lostMilliseconds: number;
 };
 
 /**
-Bounds used where the settings give none.
+Bounds that apply where the settings give none.
 */
 export const DEFAULT_RECORDS_BOUNDS: RecordsBounds = {
 	idempotency: DEFAULT_IDEMPOTENCY_BOUNDS,
@@ -39,7 +39,7 @@
 };
 
 /**
-What a command did.
+Result of an applied command, and the changes to be sent to hosts.
 */
 export type ApplyResult<Name extends CommandName> = {
 	readonly result: CommandResults[Name];
@@ -47,7 +47,7 @@
 };
 
 /**
-The tables of a cell.
+The tables of a replica group. `services` contains the services that the group holds, by name.
 */
 export type Tables = {
 	readonly bounds: RecordsBounds;
@@ -57,7 +57,7 @@
 };
 
 /**
-Applies one kind of command.
+Applies one kind of command to the tables.
 */
 export type Handler<Name extends CommandName> = (tables: Tables, payload: CommandPayloads[Name]) => ApplyResult<Name>;
 
@@ -65,7 +65,7 @@
 const NOT_HELD = {result: {kind: 'not-held'}, notices: []} as const;
 
 /**
-Handlers by command.
+Handlers by name of the command.
 */
 export const HANDLERS: {readonly [Name in CommandName]: Handler<Name>} = {
 	'open-service'(tables, {service, origin}) {
@@ -102,11 +102,11 @@
 	},
 	'forget-host'(tables, {host}) {
 		for (const [service, state] of tables.services) {
-			const remaining = {
+			const remainingShares = {
 				concurrency: shares.removeHost(state.shares.concurrency, host),
 				ratePerSecond: shares.removeHost(state.shares.ratePerSecond, host),
 			};
-			tables.services.set(service, {...state, shares: remaining});
+			tables.services.set(service, {...state, shares: remainingShares});
 		}
 
 		return DONE;
@@ -124,9 +124,9 @@
 		return {...wrapEjectionChange(service, change), result: {kind: 'done'}};
 	}),
 	'renew-shares'(tables, {requests}) {
-		const granted = requests.map(({service, limitName, ...request}) =>
+		const grantedShares = requests.map(({service, limitName, ...request}) =>
 			renewServiceShare(tables, {service, limitName}, request));
-		return {result: {kind: 'shares', shares: granted}, notices: []};
+		return {result: {kind: 'shares', shares: grantedShares}, notices: []};
 	},
 	'report-crash': (tables, {service, ...report}) => updateService(tables, service, state => {
 		const change = quarantine.applyCrashReport(state.quarantine, report, tables.groupTime);
@@ -214,7 +214,7 @@
 		return;
 	}
 
-	// After a loss hosts may still act on the lost cell's grants until their leases end, and records may be missing.
+	// After a loss of state, hosts may act on the lost grants until their leases end, and idempotency records may be missing.
 	const isLost = origin.kind === 'lost';
 	const shareState = shares.createShareState(isLost ? time + SHARE_EXPIRY_MILLISECONDS : 0);
 	tables.services.set(service, {
@@ -225,7 +225,7 @@
 	});
 }
 
-// Each cell has its own group time: times that move with a service keep what was left of them.
+// Each replica group has its own group time: times that move with a service keep their remaining duration.
 function shiftServiceTimes(state: ServiceState, shift: number): ServiceState {
 	return {
 		ejections: ejections.shiftEjectionTimes(state.ejections, shift),
--- a/packages/wagtailroute-records/src/idempotency.ts
+++ b/packages/wagtailroute-records/src/idempotency.ts
@@ -1,11 +1,11 @@
 /**
-Idempotency records: which execution a key names, and how it ended.
+Idempotency records: the execution that belongs to a key, and how it ended.
 
-A claim is committed by a quorum before the request is sent, so two hosts never both send for one key. A record moves
-from `running` to `ran`, `unknown`, or away (`not-run`: the key may be claimed again). Only the attempt that holds a record
-may settle it, and only that attempt can say `not-run`: nobody else can know that it has not sent. The tables are held in
-a closure and changed in place, since a copy of 200,000 records for each claim would stop the host; every change depends on
-the command and the tables alone.
+A quorum commits a claim before the request is sent, so two hosts never both send for one key. A record changes from
+`running` to `ran` or `unknown`, or is removed (`not-run`: the key may be claimed again). Only the attempt that holds a
+record may settle it, and only this attempt can settle `not-run`: no other process can know that it has not sent the
+request. The tables are held in a closure and changed in place, since a copy of 200,000 records for each claim would block
+the host. Each change depends only on the command and the tables.
 */
 import type {
 	Claim,
@@ -21,7 +21,8 @@
 import {ABANDONED_ATTEMPT_EXPIRY_MILLISECONDS, CLAIM_GRACE_MILLISECONDS, CLAIM_VALIDITY_MILLISECONDS} from './constants.ts';
 
 /**
-The table as plain JSON, in its own order.
+The table as plain JSON. Records keep the order of the table, in which settled ones expire. `abandoned` holds attempts, each
+with the group time at which it expires.
 */
 export type IdempotencySnapshot = {
 	readonly nextToken: number;
@@ -31,11 +32,11 @@
 };
 
 /**
-Commands on the table; each takes the group time.
+The table of idempotency records. `time` is the group time in ms.
 */
 export type IdempotencyTable = {
 	/**
-	`isLost`: records may be missing, so a key without one is answered `unknown`.
+	`isLost`: records may be missing after a loss of state, so a claim of a key without a record returns `unknown`.
 	*/
 	readonly claim: (claim: Claim, time: number, isLost: boolean) => ClaimResult;
 	readonly settle: (settlement: Settlement, time: number) => SettlementResult;
@@ -48,20 +49,20 @@
 };
 
 /**
-One process of a host.
+A process of a host that holds running records.
 */
 export type RecordHolder = {readonly host: string; readonly bootId: string};
 
 type Tables = {
 	readonly bounds: IdempotencyBounds;
 	nextToken: number;
-	// Settled records are in order of their last change, which is the order in which they expire.
+	// Settled records are in the order of their last change, which is the order in which they expire.
 	readonly running: Map<string, IdempotencyRecord>;
 	readonly settled: Map<string, IdempotencyRecord>;
 	readonly abandoned: Map<string, number>;
 	readonly countsByOrganisation: Map<string, number>;
 	answersLength: number;
-	// No running record is past its budget before this: most commands need not look at them.
+	// Group time before which no running record expires, so that most commands need not search them.
 	earliestExpiry: number;
 };
 
@@ -105,9 +106,9 @@
 }
 
 function applyClaim(tables: Tables, claim: Claim, time: number): ClaimResult {
-	const known = getRecord(tables, claim);
-	if (known !== undefined) {
-		return getClaimResult(known, claim);
+	const existing = getRecord(tables, claim);
+	if (existing !== undefined) {
+		return getClaimResult(existing, claim);
 	}
 
 	const reason = findRefusal(tables, claim);
@@ -135,7 +136,7 @@
 	}
 
 	if (record.state === 'running') {
-		// The answer to a claim may be lost: the same attempt asks again and must learn that it holds the record.
+		// The result of a claim may be lost: a repeated claim of the same attempt must return the grant.
 		return record.attempt === claim.attempt ? createGrant(record.token) : {kind: 'running'};
 	}
 
@@ -148,12 +149,12 @@
 
 function findRefusal(tables: Tables, claim: Claim): ClaimRefusal | undefined {
 	const {bounds, running, settled, countsByOrganisation: counts} = tables;
-	// A claim can arrive after its host gave it up: granting it then would block the key until it became `unknown`.
+	// A claim can arrive after its host has abandoned it. A grant would then block the key until the record became `unknown`.
 	if (tables.abandoned.has(claim.attempt)) {
 		return 'abandoned';
 	}
 
-	// A live record is never evicted to make room: the request it stands for could then run twice.
+	// Unexpired records are never evicted: their requests could then run twice.
 	if (running.size + settled.size >= bounds.maxRecords) {
 		return 'records-full';
 	}
@@ -169,7 +170,7 @@
 		return {kind: 'stale'};
 	}
 
-	// The answer to a settlement may be lost: the resend finds the record as it left it. `ran` is final.
+	// The result of a settlement may be lost, so a repeated settlement returns the same result. `ran` is final.
 	if (record.state === 'ran') {
 		return {kind: 'settled', isAnswerKept: record.answer !== undefined};
 	}
@@ -189,7 +190,7 @@
 	return {kind: 'settled', isAnswerKept: answer !== undefined};
 }
 
-// Keeps a claim that is still under way from being granted after its attempt ended.
+// Prevents the grant of a claim that arrives after its attempt has ended.
 function recordAbandoned(tables: Tables, {attempt, ending}: Settlement, time: number): void {
 	if (ending.kind !== 'not-run') {
 		return;
@@ -199,7 +200,7 @@
 	tables.abandoned.set(attempt, time + ABANDONED_ATTEMPT_EXPIRY_MILLISECONDS);
 }
 
-// An answer beyond the bounds is dropped, never the fact that the request ran.
+// An answer beyond the bounds is not stored, but the record that the request ran is.
 function getStorableAnswer(tables: Tables, answer: StoredAnswer | undefined): StoredAnswer | undefined {
 	const length = getAnswerLength(answer);
 	const fits = length <= tables.bounds.maxAnswerLength
@@ -207,7 +208,7 @@
 	return fits ? answer : undefined;
 }
 
-// The host may have sent before it was lost, and may still send within its claim: never claimable again.
+// The lost host may have sent the requests, or may still send them while its claims are valid: the records become `unknown`.
 function handleHostLost(tables: Tables, lost: {host: string; bootId: string}, time: number): number {
 	const held = tables.running.values().filter(({host, bootId}) => host === lost.host && bootId === lost.bootId).toArray();
 	markUnknown(tables, held, time);
--- a/packages/wagtailroute-records/src/index.ts
+++ b/packages/wagtailroute-records/src/index.ts
@@ -1,5 +1,6 @@
 /**
-Records of a cell: idempotency keys, ejection grants, shares of limits and quarantine, as one replicated state machine.
+The records of a replica group as one replicated state machine: idempotency keys, ejection grants, shares of fleet-wide
+limits, and quarantine.
 */
 export {
 	ATTEMPT_STATUS_CODES,
--- a/packages/wagtailroute-records/src/max-min.ts
+++ b/packages/wagtailroute-records/src/max-min.ts
@@ -1,20 +1,20 @@
 /**
-Max-min fair division.
+Max-min fair division of an amount.
 */
 
 /**
-Divides an amount so that nobody gets more than it demands, and nobody can get more without someone with less losing.
-Returns the shares in the order of the demands.
+Divides an amount by max-min fairness: no share exceeds its demand, and no share can grow unless a smaller or equal one
+shrinks. Returns the shares in the order of the demands.
 */
 export function divideMaxMin(amount: number, demands: readonly number[]): number[] {
 	const shares = demands.map(() => 0);
 	const order = demands.map((_demand, index) => index).toSorted((left, right) => demands[left]! - demands[right]!);
-	let left = amount;
+	let remaining = amount;
 	for (const [position, index] of order.entries()) {
-		const equal = left / (order.length - position);
-		const share = Math.max(0, Math.min(demands[index]!, equal));
+		const equalShare = remaining / (order.length - position);
+		const share = Math.max(0, Math.min(demands[index]!, equalShare));
 		shares[index] = share;
-		left -= share;
+		remaining -= share;
 	}
 
 	return shares;
--- a/packages/wagtailroute-records/src/quarantine.ts
+++ b/packages/wagtailroute-records/src/quarantine.ts
@@ -1,12 +1,12 @@
 /**
-Requests that crash upstreams, of one service.
-
-What goes wrong: a request crashes each backend server that runs it, its caller sends it again through any host, and the
-service loses one upstream after the other. After the first crash every request that was in flight there is a suspect. A
-suspect runs only on trial, one copy at a time fleet-wide and alone among suspects on its upstream, so at most one further
-upstream is lost to it; after the second crash it is quarantined. A suspect that completes on trial is cleared: it is not
-one that crashes each server. A request that the reporting host has seen complete is never a suspect, so a popular read
-that died beside the culprit is not held up.
+Quarantine of requests that crash the upstreams of one service.
+
+A request may crash each backend server that runs it while its caller resends it through any host, so that the service loses
+one upstream after the other. After the first crash each request that was in flight there becomes a suspect. A suspect runs
+only on trial: one copy at a time fleet-wide, and one suspect at a time on an upstream. So it crashes at most one further
+upstream, and after that second crash it is quarantined. A suspect that completes its trial is cleared, since it does not
+crash each server. A request whose fingerprint has completed on the reporting host never becomes a suspect, so a frequent
+read that was in flight beside the crashing request is not delayed.
 */
 import {
 	CLAIM_VALIDITY_MILLISECONDS,
@@ -26,26 +26,26 @@
 	TrialResult,
 } from './fingerprints.ts';
 
-// Crashes after which a fingerprint is quarantined.
+// Number of attributed crashes at which a fingerprint is quarantined.
 const CRASHES_TO_QUARANTINE = 2;
 
 /**
-Creates the state of a service without suspects.
+Creates the state of a service without fingerprints.
 */
 export function createQuarantineState(): QuarantineState {
 	return {version: 0, entries: [], crashes: []};
 }
 
 /**
-Takes a crash: ties it to what was in flight, and to the suspect that was on trial there.
+Applies a crash report: attributes the crash to the requests in flight, and to the suspect on trial at the upstream.
 */
 export function applyCrashReport(before: QuarantineState, report: CrashReport, time: number): QuarantineChange {
 	const state = expireQuarantine(before, time);
 	const name = JSON.stringify([report.upstream, report.incarnation]);
-	// A late report of a crash that is known says nothing about who is on trial at the upstream's next life.
+	// A late report of a known crash does not concern a suspect that is on trial at the restarted upstream.
 	const isKnown = state.crashes.some(crash => crash.name === name);
 	const onTrial = isKnown ? [] : state.entries.filter(({trial}) => trial?.upstream === report.upstream);
-	const tied = new Set([
+	const implicated = new Set([
 		...onTrial.map(({fingerprint}) => fingerprint),
 		...report.inFlight.filter(({hasCompleted}) => !hasCompleted).map(({fingerprint}) => fingerprint),
 	]);
@@ -54,7 +54,7 @@
 		state: {...state, crashes: [...others, {name, until: time + CRASH_EXPIRY_MILLISECONDS}]},
 		notices: [],
 	};
-	for (const fingerprint of tied) {
+	for (const fingerprint of implicated) {
 		change = attributeCrash(change, fingerprint, {name, time});
 	}
 
@@ -62,7 +62,7 @@
 }
 
 /**
-Asks whether a suspect may run now.
+Applies a trial request: grants the trial unless a copy of the suspect or another suspect on the upstream is on trial.
 */
 export function applyTrialRequest(
 	before: QuarantineState,
@@ -91,15 +91,15 @@
 	}
 
 	const until = time + CLAIM_VALIDITY_MILLISECONDS + budgetMilliseconds + TRIAL_GRACE_MILLISECONDS;
-	// A suspicion lasts at least as long as its trial.
-	const tried: FingerprintEntry = {
+	// A suspect does not expire before its trial.
+	const suspectOnTrial: FingerprintEntry = {
 		...entry, until: Math.max(entry.until, until), trial: {attempt, upstream, until},
 	};
-	return {state: putEntry(state, tried), result: granted};
+	return {state: putEntry(state, suspectOnTrial), result: granted};
 }
 
 /**
-Ends a trial that the upstream survived. Completion clears the suspect.
+Ends a trial that the upstream survived. Clears the suspect if the request has completed.
 */
 export function applyTrialEnding(before: QuarantineState, {attempt, ending}: TrialEnding, time: number): QuarantineChange {
 	const state = expireQuarantine(before, time);
@@ -108,15 +108,15 @@
 		return {state, notices: []};
 	}
 
-	const {trial: _ended, ...untried} = entry;
-	const cleared: FingerprintEntry = {...untried, standing: 'cleared', until: time + FINGERPRINT_EXPIRY_MILLISECONDS};
+	const {trial: _ended, ...withoutTrial} = entry;
+	const cleared: FingerprintEntry = {...withoutTrial, standing: 'cleared', until: time + FINGERPRINT_EXPIRY_MILLISECONDS};
 	return ending === 'completed'
 		? setStatus({state, notices: []}, cleared)
-		: {state: putEntry(state, untried), notices: []};
+		: {state: putEntry(state, withoutTrial), notices: []};
 }
 
 /**
-Lifts a quarantine or suspicion, when an operator knows better.
+Clears a suspect or quarantined fingerprint by an operator's decision.
 */
 export function releaseFingerprint(before: QuarantineState, fingerprint: string, time: number): QuarantineChange {
 	const state = expireQuarantine(before, time);
@@ -129,7 +129,7 @@
 }
 
 /**
-Drops what has run out by the group time.
+Removes the fingerprints, trials and crashes that have expired at the group time.
 */
 export function expireQuarantine(state: QuarantineState, time: number): QuarantineState {
 	const isDue = state.crashes.some(({until}) => until <= time)
@@ -145,7 +145,7 @@
 }
 
 /**
-Moves all times of the state, when a cell with another group time takes over the service.
+Adds `shift` to all times of the state, when a replica group with another group time adopts the service.
 */
 export function shiftQuarantineTimes(state: QuarantineState, shift: number): QuarantineState {
 	return {
@@ -188,15 +188,15 @@
 	};
 }
 
-// The table is bounded: callers choose what requests look like. A cleared entry goes first, then the oldest suspect; a
-// quarantined one stays, and when all are quarantined the newcomer is dropped.
+// The table is bounded, because callers determine the number of fingerprints. A cleared entry is evicted first, then the
+// oldest suspect that is not on trial. Other entries are never evicted; where none can be evicted, the new entry is dropped.
 function putEntry(state: QuarantineState, entry: FingerprintEntry): QuarantineState {
 	const others = state.entries.filter(({fingerprint}) => fingerprint !== entry.fingerprint);
 	if (others.length < MAX_FINGERPRINTS_PER_SERVICE) {
 		return {...state, entries: [...others, entry]};
 	}
 
-	const victim = others.find(({standing}) => standing === 'cleared')
+	const evicted = others.find(({standing}) => standing === 'cleared')
 		?? others.find(({standing, trial}) => standing === 'suspect' && trial === undefined);
-	return victim === undefined ? state : {...state, entries: [...others.filter(other => other !== victim), entry]};
+	return evicted === undefined ? state : {...state, entries: [...others.filter(other => other !== evicted), entry]};
 }
--- a/packages/wagtailroute-records/src/records.ts
+++ b/packages/wagtailroute-records/src/records.ts
@@ -1,9 +1,9 @@
 /**
-The replicated state machine of a cell, for its shard of services: idempotency records, ejection grants, shares of
-fleet-wide limits and quarantined fingerprints.
+The replicated state machine of a replica group, for the services that the group holds: idempotency records, ejection
+grants, shares of fleet-wide limits and quarantined fingerprints.
 
-Every member applies the same commands in the same order and must come to the same state: nothing here reads a clock or a
-random number. The tables are held in a closure and changed in place; `takeSnapshot` gives plain JSON.
+Every member applies the same commands in the same order and must reach the same state, so nothing here reads a clock or a
+random number. The tables are held in a closure and changed in place; `takeSnapshot` returns plain JSON.
 */
 import type {
 	Command,
@@ -31,7 +31,8 @@
 };
 
 /**
-The state machine. Commands go through the log; queries read what this member has applied.
+The state machine. Commands come from the log. Queries read the state that this member has applied, which may be behind the
+leader's.
 */
 export type Records = {
 	readonly apply: <Name extends CommandName>(command: Command<Name>) => ApplyResult<Name>;
@@ -41,7 +42,7 @@
 	readonly getService: (service: string) => ServiceState | undefined;
 	readonly getServices: () => readonly string[];
 	/**
-	The hosts, by process, that hold running records.
+	Returns the processes of hosts that hold running idempotency records.
 	*/
 	readonly getHolders: () => readonly RecordHolder[];
 };
--- a/packages/wagtailroute-records/src/shares.ts
+++ b/packages/wagtailroute-records/src/shares.ts
@@ -1,42 +1,43 @@
 /**
 Shares of one fleet-wide limit of a service.
 
-Hosts that each keep the whole limit exceed it together; hosts that ask for each request pay a round trip. So each host
-leases a share by its demand. A quarter of the limit is dealt out for good as safe parts: a host that cannot renew falls
-back to its safe part when its lease ends, and the sum of all that hosts may use stays within the limit. A smaller share
-counts as its larger predecessor until the host confirms it or the lease of the predecessor ends, since the answer that
-carried it may be lost.
+If each host enforced the whole limit, the hosts would exceed it together; a call to the leader for each request would cost
+a round trip. Therefore each host leases a share according to its demand. A quarter of the limit is divided into safe parts
+that have no lease: a host that cannot renew its share falls back to its safe part when the lease ends, and the sum of the
+amounts that hosts may use stays within the limit. When a share shrinks, the larger amount counts until the host confirms
+the smaller grant or the earlier lease ends, because the answer with the smaller grant may be lost.
 */
 import {SAFE_FRACTION, SHARE_EXPIRY_MILLISECONDS} from './constants.ts';
 import {divideMaxMin} from './max-min.ts';
 
 /**
-Asks for a share of one limit. Amounts are in the limit's unit.
+Requests a share of one limit. Amounts are in the limit's unit.
 */
 export type ShareRequest = {
 	readonly host: string;
 	/**
-	Sequence of the grant that the host has come down to, 0 when none: earlier ones are no longer used. A host with more
-	in flight than its new share still holds the grant before it.
+	Sequence of the latest grant whose amount the host stays within, 0 for none. The host no longer uses earlier grants. A
+	host with more requests in flight than its new share permits still names the grant before it.
 	*/
 	readonly holds: number;
 	/**
-	What the host could use now, its safe part included.
+	The amount that the host could use now, including its safe part.
 	*/
 	readonly demand: number;
 	/**
-	What is in use and cannot be given back at once, the safe part included: requests in flight. 0 for a rate.
+	The amount in use that cannot be returned at once, including the safe part: the number of requests in flight. 0 for a
+	rate.
 	*/
 	readonly inUse: number;
 	readonly limit: number;
 	/**
-	How many hosts carry the service.
+	Number of hosts that route requests for the service.
 	*/
 	readonly carriers: number;
 };
 
 /**
-A share: the host may use `amount` until its lease ends, then `safe`.
+A share: the host may use `amount` until its lease ends, and `safe` afterwards. `sequence` numbers the grants of the limit.
 */
 export type Share = {
 	readonly sequence: number;
@@ -47,7 +48,7 @@
 type Grant = {
 	readonly host: string;
 	readonly sequence: number;
-	// Above the safe part.
+	// In addition to the safe part.
 	readonly amount: number;
 	readonly demand: number;
 	readonly limit: number;
@@ -57,7 +58,7 @@
 type SafePart = {
 	readonly host: string;
 	readonly amount: number;
-	// The largest that the host may still believe in.
+	// The largest safe part that the host may assume, because it has not confirmed the smaller one.
 	readonly counted: number;
 	readonly sequence: number;
 };
@@ -70,13 +71,13 @@
 	readonly grants: readonly Grant[];
 	readonly safeParts: readonly SafePart[];
 	/**
-	Group time before which only safe parts are granted: hosts may still use shares of a cell that was lost.
+	Group time before which only safe parts are granted: after a loss of state, hosts may still use the lost shares.
 	*/
 	readonly settlingUntil: number;
 };
 
 /**
-Whether amounts are whole numbers: `whole` for requests in flight, `fractional` for rates.
+Rounding of amounts: `whole` numbers for requests in flight, `fractional` numbers for rates.
 */
 export type ShareUnit = 'whole' | 'fractional';
 
@@ -86,7 +87,7 @@
 };
 
 /**
-Creates the state of a limit without shares.
+Creates the state of a limit without shares. `settlingUntil` is a group time, 0 unless the state was lost.
 */
 export function createShareState(settlingUntil: number): ShareState {
 	return {
@@ -95,8 +96,8 @@
 }
 
 /**
-Returns the safe part that a carrier gets when all carriers ask alike. A host that starts while the cell can not be reached
-goes by it: its safe part is most likely still held for it from before.
+Returns the safe part of a host when all hosts that route the service have the same. A host that starts while the replica
+group is unreachable uses this amount, since the group most likely still counts a safe part for it from before.
 */
 export function getInitialSafePart({limit, carriers, unit}: {
 	readonly limit: number;
@@ -111,14 +112,14 @@
 */
 export function renewShare(
 	before: ShareState,
-	asked: ShareRequest,
+	original: ShareRequest,
 	{time, unit}: {readonly time: number; readonly unit: ShareUnit},
 ): {readonly state: ShareState; readonly share: Share} {
 	const round = ROUNDING[unit];
 	const sequence = before.sequence + 1;
 	const grants = before.grants.filter(({host, sequence: earlier, until}) =>
-		until > time && (host !== asked.host || earlier >= asked.holds));
-	const request = {...asked, limit: getMinLimit(grants, asked)};
+		until > time && (host !== original.host || earlier >= original.holds));
+	const request = {...original, limit: getMinLimit(grants, original)};
 	const safeParts = renewSafePart(before.safeParts, request, {sequence, round});
 	const safe = safeParts.find(({host}) => host === request.host)?.amount ?? 0;
 	const isSettling = time < before.settlingUntil;
@@ -128,7 +129,7 @@
 		sequence,
 		amount,
 		demand: Math.max(0, request.demand - safe),
-		limit: asked.limit,
+		limit: original.limit,
 		until: time + SHARE_EXPIRY_MILLISECONDS,
 	};
 	return {
@@ -140,8 +141,8 @@
 }
 
 /**
-Takes back what a host holds for good. Only for a host that has left the fleet: one that is merely out of reach goes on
-using its safe part.
+Removes the grants and the safe part of a host. Only for a host that has left the fleet: an unreachable host continues to
+use its safe part.
 */
 export function removeHost(state: ShareState, host: string): ShareState {
 	return {
@@ -152,7 +153,7 @@
 }
 
 /**
-Returns the most that all hosts together may believe they can use.
+Returns the largest total that the hosts may assume they can use.
 */
 export function getOutstanding(state: ShareState, time: number): number {
 	const safe = state.safeParts.reduce((total, {counted}) => total + counted, 0);
@@ -161,7 +162,7 @@
 }
 
 /**
-Moves all times of the state, when a cell with another group time takes over the service.
+Adds `shift` to all times of the state, when a replica group with another group time adopts the service.
 */
 export function shiftShareTimes(state: ShareState, shift: number): ShareState {
 	return {
@@ -171,7 +172,8 @@
 	};
 }
 
-// A host whose catalogue lags may hold a higher limit than the one in force: the least that live hosts asked by last holds.
+// A host whose catalogue lags may send a higher limit than the one in force. The smallest limit in the latest requests of the
+// hosts with a valid grant applies.
 function getMinLimit(grants: readonly Grant[], {host, limit}: ShareRequest): number {
 	const latest = new Map(grants.map(grant => [grant.host, grant.limit]));
 	latest.set(host, limit);
@@ -187,14 +189,14 @@
 	const others = safeParts.filter(part => part.host !== host);
 	const own = safeParts.find(part => part.host === host);
 	const pool = limit * SAFE_FRACTION;
-	const left = pool - sum(others.map(({counted}) => counted));
-	const equal = Math.min(pool / Math.max(1, carriers), left);
-	const amount = Math.max(0, round(equal));
-	// The host has the earlier, larger part until it confirms the grant that made it smaller.
-	const believed = own === undefined || holds >= own.sequence ? own?.amount ?? 0 : own.counted;
+	const unassigned = pool - sum(others.map(({counted}) => counted));
+	const equalPart = Math.min(pool / Math.max(1, carriers), unassigned);
+	const amount = Math.max(0, round(equalPart));
+	// The host may use an earlier, larger part until it confirms the grant that reduced it.
+	const assumedByHost = own === undefined || holds >= own.sequence ? own?.amount ?? 0 : own.counted;
 	const isSame = own?.amount === amount;
 	const part: SafePart = {
-		host, amount, counted: Math.max(amount, believed), sequence: isSame ? own.sequence : sequence,
+		host, amount, counted: Math.max(amount, assumedByHost), sequence: isSame ? own.sequence : sequence,
 	};
 	return [...others, part];
 }
@@ -210,14 +212,14 @@
 	const pool = Math.max(0, limit - Math.max(limit * SAFE_FRACTION, counted));
 	const others = grants.filter(grant => grant.host !== host);
 	const latest = new Map(others.map(grant => [grant.host, grant.demand]));
-	const wanted = Math.max(0, demand - safe);
-	const [fair = 0] = divideMaxMin(pool, [wanted, ...latest.values()]);
+	const leaseDemand = Math.max(0, demand - safe);
+	const [fairAmount = 0] = divideMaxMin(pool, [leaseDemand, ...latest.values()]);
 	const available = pool - sumValues(getLargestGrants(others));
 	const held = getLargestGrants(grants).get(host) ?? 0;
-	// Requests in flight cannot be given back: what they use stays theirs until they end.
-	const pinned = Math.min(held, inUse - safe);
-	const deserved = Math.max(fair, pinned);
-	return Math.max(0, Math.min(available, deserved));
+	// Capacity used by requests in flight cannot be returned before they end.
+	const irrevocable = Math.min(held, inUse - safe);
+	const target = Math.max(fairAmount, irrevocable);
+	return Math.max(0, Math.min(available, target));
 }
 
 function getLargestGrants(grants: readonly Grant[]): ReadonlyMap<string, number> {
--- a/packages/wagtailroute-records/src/upstream-views.ts
+++ b/packages/wagtailroute-records/src/upstream-views.ts
@@ -1,10 +1,10 @@
 /**
-What hosts know of a service's upstreams, and what they agree on.
+Views that hosts report of a service's upstreams, and the view that most of them agree on.
 */
 import {getRequiredHealthy, type HealthyFloor, type UpstreamCounts} from './allowance.ts';
 
 /**
-The upstreams that a host knows: those with a live lease, ejected or not, by their announced state.
+The upstreams that a host knows, by announced state: those with a valid lease, ejected or not.
 */
 export type UpstreamView = {
 	readonly host: string;
@@ -19,24 +19,25 @@
 export type ReportedView = UpstreamView & {readonly reportedAt: number};
 
 /**
-What the views agree on.
+Upstreams that count as serving or draining.
 */
 export type AgreedUpstreams = {readonly serving: ReadonlySet<string>; readonly draining: ReadonlySet<string>};
 
 /**
-Returns what counts as serving and as draining.
+Returns the upstreams that count as serving and as draining.
 
-A host with an old view counts upstreams that are gone, and would eject into the floor. So an upstream serves only if
-most hosts list it, and drains if any host says so.
+A host with an outdated view counts upstreams that have left, and would eject below the healthy floor. Therefore an
+upstream counts as serving only if more than half of the hosts list it, and as draining if any host lists it as such. With
+`requester`, only upstreams that this view lists count as serving.
 */
-export function getAgreedUpstreams(views: readonly UpstreamView[], asking?: UpstreamView): AgreedUpstreams {
+export function getAgreedUpstreams(views: readonly UpstreamView[], requester?: UpstreamView): AgreedUpstreams {
 	const draining = new Set(views.flatMap(view => view.draining));
 	const votes = new Map<string, number>();
 	for (const upstream of views.flatMap(view => [...new Set(view.serving)])) {
 		votes.set(upstream, (votes.get(upstream) ?? 0) + 1);
 	}
 
-	const listed = asking === undefined ? undefined : new Set(asking.serving);
+	const listed = requester === undefined ? undefined : new Set(requester.serving);
 	const agreed = [...votes]
 		.filter(([upstream, count]) => count * 2 > views.length && !draining.has(upstream))
 		.map(([upstream]) => upstream)
@@ -45,7 +46,7 @@
 }
 
 /**
-Returns the strictest of the floors that hosts hold. One whose catalogue lags may hold a lower floor than the one in force.
+Returns the strictest of the hosts' healthy floors: a host whose catalogue lags may hold a lower floor than the one in force.
 */
 export function getStrictestFloor(
 	views: readonly UpstreamView[],
