--- a/packages/wagtailroute-records/src/bench/crashes.bench.ts
+++ b/packages/wagtailroute-records/src/bench/crashes.bench.ts
@@ -62,9 +62,9 @@
 const SEEDS = [9, 10, 11, 12];
 const CULPRIT_PREFIX = 'culprit';
 
-type Request = {readonly fingerprint: string; readonly host: number; readonly attempt: string; readonly tries: number};
+type Request = {readonly fingerprint: string; readonly host: number; readonly attempt: string; readonly retries: number};
 type Running = {readonly request: Request; readonly isTrial: boolean; readonly endsAt: number};
-type Upstream = {life: number; upAt: number; running: Running[]};
+type Upstream = {incarnation: number; upAt: number; running: Running[]};
 
 /**
 Runs all policies with the same load and seeds.
@@ -91,7 +91,7 @@
 function measure(policy: CrashPolicy, seed: number): CrashRow {
 	const random = utils.createRandom(seed);
 	const group = records.createRecords();
-	const upstreams: Upstream[] = Array.from({length: UPSTREAMS}, () => ({life: 0, upAt: 0, running: []}));
+	const upstreams: Upstream[] = Array.from({length: UPSTREAMS}, () => ({incarnation: 0, upAt: 0, running: []}));
 	const completed = Array.from({length: HOSTS}, () => new Set<string>());
 	const statuses = new Map<string, records.QuarantineStatus>();
 	const actionsByTime = new Map<number, Array<() => void>>();
@@ -128,9 +128,9 @@
 	};
 
 	const retry = (request: Request) => {
-		if (request.tries < MAX_RETRIES) {
+		if (request.retries < MAX_RETRIES) {
 			schedule(RETRY_DELAY_MILLISECONDS, () => {
-				send({...request, tries: request.tries + 1});
+				send({...request, retries: request.retries + 1});
 			});
 		} else if (!request.fingerprint.startsWith(CULPRIT_PREFIX)) {
 			counts.innocentRefused++;
@@ -161,7 +161,7 @@
 		const result = apply('request-trial', {
 			service: 's', fingerprint: request.fingerprint, upstream: `u${index}`, attempt: request.attempt, budgetMilliseconds: 1000,
 		});
-		counts.innocentTrials += isInnocent && request.tries === 0 ? 1 : 0;
+		counts.innocentTrials += isInnocent && request.retries === 0 ? 1 : 0;
 		if (result.kind === 'granted' || result.kind === 'clear') {
 			startExecution(request, index, result.kind === 'granted');
 		} else {
@@ -171,15 +171,15 @@
 
 	const startRequest = (fingerprint: string, host: number) => {
 		send({
-			fingerprint, host, attempt: `a${counts.attempts++}`, tries: 0,
+			fingerprint, host, attempt: `a${counts.attempts++}`, retries: 0,
 		});
 	};
 
 	const crash = (index: number) => {
 		const upstream = upstreams[index]!;
-		const {running, life} = upstream;
+		const {running, incarnation} = upstream;
 		upstream.running = [];
-		upstream.life++;
+		upstream.incarnation++;
 		upstream.upAt = now + RESTART_MILLISECONDS;
 		schedule(COMMIT_DELAY_MILLISECONDS, () => {
 			for (let host = 0; host < HOSTS; host++) {
@@ -192,7 +192,7 @@
 					fingerprint, hasCompleted: policy === 'trials' && completed[host]!.has(fingerprint),
 				}));
 				apply('report-crash', {
-					service: 's', upstream: `u${index}`, incarnation: String(life), inFlight,
+					service: 's', upstream: `u${index}`, incarnation: String(incarnation), inFlight,
 				});
 			}
 
--- a/packages/wagtailroute-records/src/ejections.ts
+++ b/packages/wagtailroute-records/src/ejections.ts
@@ -118,11 +118,11 @@
 Grants an ejection if the healthy floor allows it. A repeated request for an ejected upstream returns the same grant.
 */
 export function applyEjectionRequest(
-	before: EjectionState,
+	previous: EjectionState,
 	request: EjectionRequest,
 	time: number,
 ): EjectionChange & {readonly result: EjectionResult} {
-	const {state, notices} = applyUpstreamView(before, request, time);
+	const {state, notices} = applyUpstreamView(previous, request, time);
 	const {upstream, badness} = request;
 	const existing = state.ejected.find(ejection => ejection.upstream === upstream);
 	if (existing !== undefined) {
@@ -205,16 +205,16 @@
 }
 
 // Healthy upstreams can leave after ejections were granted. Then the ejected upstreams with the lowest badness are readmitted.
-function restoreFloor(before: EjectionState, time: number): EjectionChange {
-	const {serving, draining} = getAgreedUpstreams(before.views);
-	const presentEjections = before.ejected.filter(({upstream}) => serving.has(upstream));
+function restoreFloor(previous: EjectionState, time: number): EjectionChange {
+	const {serving, draining} = getAgreedUpstreams(previous.views);
+	const presentEjections = previous.ejected.filter(({upstream}) => serving.has(upstream));
 	const healthy = serving.size - presentEjections.length;
 	const counts = {serving: healthy, ejected: presentEjections.length, draining: draining.size};
-	const shortfall = getRequiredHealthy({...counts, healthyFloor: getStrictestFloor(before.views, counts)}) - healthy;
+	const shortfall = getRequiredHealthy({...counts, healthyFloor: getStrictestFloor(previous.views, counts)}) - healthy;
 	const readmissions = presentEjections
 		.toSorted(compareBadness)
 		.slice(0, Math.max(0, shortfall));
-	let state = before;
+	let state = previous;
 	const notices: EjectionNotice[] = [];
 	for (const ejection of readmissions) {
 		const change = endEjection(state, ejection, time);
--- a/packages/wagtailroute-records/src/quarantine.ts
+++ b/packages/wagtailroute-records/src/quarantine.ts
@@ -11,9 +11,9 @@
 import {
 	CLAIM_VALIDITY_MILLISECONDS,
 	CRASH_EXPIRY_MILLISECONDS,
+	FINGERPRINT_EXPIRY_MILLISECONDS,
 	MAX_FINGERPRINTS_PER_SERVICE,
 	QUARANTINE_DURATION_MILLISECONDS,
-	FINGERPRINT_EXPIRY_MILLISECONDS,
 	TRIAL_GRACE_MILLISECONDS,
 } from './constants.ts';
 import type {
@@ -39,8 +39,8 @@
 /**
 Applies a crash report: attributes the crash to the requests in flight, and to the suspect on trial at the upstream.
 */
-export function applyCrashReport(before: QuarantineState, report: CrashReport, time: number): QuarantineChange {
-	const state = expireQuarantine(before, time);
+export function applyCrashReport(previous: QuarantineState, report: CrashReport, time: number): QuarantineChange {
+	const state = expireQuarantine(previous, time);
 	const name = JSON.stringify([report.upstream, report.incarnation]);
 	// A late report of a known crash does not concern a suspect that is on trial at the restarted upstream.
 	const isKnown = state.crashes.some(crash => crash.name === name);
@@ -65,11 +65,11 @@
 Applies a trial request: grants the trial unless a copy of the suspect or another suspect on the upstream is on trial.
 */
 export function applyTrialRequest(
-	before: QuarantineState,
+	previous: QuarantineState,
 	request: TrialRequest,
 	time: number,
 ): {readonly state: QuarantineState; readonly result: TrialResult} {
-	const state = expireQuarantine(before, time);
+	const state = expireQuarantine(previous, time);
 	const entry = state.entries.find(({fingerprint}) => fingerprint === request.fingerprint);
 	if (entry === undefined || entry.standing === 'cleared') {
 		return {state, result: {kind: 'clear'}};
@@ -101,8 +101,8 @@
 /**
 Ends a trial that the upstream survived. Clears the suspect if the request has completed.
 */
-export function applyTrialEnding(before: QuarantineState, {attempt, ending}: TrialEnding, time: number): QuarantineChange {
-	const state = expireQuarantine(before, time);
+export function applyTrialEnding(previous: QuarantineState, {attempt, ending}: TrialEnding, time: number): QuarantineChange {
+	const state = expireQuarantine(previous, time);
 	const entry = state.entries.find(({trial}) => trial?.attempt === attempt);
 	if (entry === undefined) {
 		return {state, notices: []};
@@ -118,9 +118,9 @@
 /**
 Clears a suspect or quarantined fingerprint by an operator's decision.
 */
-export function releaseFingerprint(before: QuarantineState, fingerprint: string, time: number): QuarantineChange {
-	const state = expireQuarantine(before, time);
-	const entry = state.entries.find(known => known.fingerprint === fingerprint);
+export function releaseFingerprint(previous: QuarantineState, fingerprint: string, time: number): QuarantineChange {
+	const state = expireQuarantine(previous, time);
+	const entry = state.entries.find(existing => existing.fingerprint === fingerprint);
 	return entry === undefined
 		? {state, notices: []}
 		: setStatus({state, notices: []}, {
@@ -164,12 +164,12 @@
 	fingerprint: string,
 	{name, time}: {readonly name: string; readonly time: number},
 ): QuarantineChange {
-	const known = change.state.entries.find(entry => entry.fingerprint === fingerprint);
-	if (known !== undefined && (known.standing !== 'suspect' || known.crashes.includes(name))) {
+	const existing = change.state.entries.find(entry => entry.fingerprint === fingerprint);
+	if (existing !== undefined && (existing.standing !== 'suspect' || existing.crashes.includes(name))) {
 		return change;
 	}
 
-	const crashes = [...known?.crashes ?? [], name];
+	const crashes = [...existing?.crashes ?? [], name];
 	const isQuarantined = crashes.length >= CRASHES_TO_QUARANTINE;
 	return setStatus(change, {
 		fingerprint,
--- a/packages/wagtailroute-records/src/shares.ts
+++ b/packages/wagtailroute-records/src/shares.ts
@@ -108,21 +108,21 @@
 }
 
 /**
-Grants or renews a share.
+Grants or renews the share of the requesting host. `time` is the group time in ms.
 */
 export function renewShare(
-	before: ShareState,
+	previous: ShareState,
 	original: ShareRequest,
 	{time, unit}: {readonly time: number; readonly unit: ShareUnit},
 ): {readonly state: ShareState; readonly share: Share} {
 	const round = ROUNDING[unit];
-	const sequence = before.sequence + 1;
-	const grants = before.grants.filter(({host, sequence: earlier, until}) =>
+	const sequence = previous.sequence + 1;
+	const grants = previous.grants.filter(({host, sequence: earlier, until}) =>
 		until > time && (host !== original.host || earlier >= original.holds));
 	const request = {...original, limit: getMinLimit(grants, original)};
-	const safeParts = renewSafePart(before.safeParts, request, {sequence, round});
+	const safeParts = renewSafePart(previous.safeParts, request, {sequence, round});
 	const safe = safeParts.find(({host}) => host === request.host)?.amount ?? 0;
-	const isSettling = time < before.settlingUntil;
+	const isSettling = time < previous.settlingUntil;
 	const amount = isSettling ? 0 : round(getLeasedAmount(grants, safeParts, request));
 	const grant: Grant = {
 		host: request.host,
@@ -134,7 +134,7 @@
 	};
 	return {
 		state: {
-			...before, sequence, grants: [...grants, grant], safeParts,
+			...previous, sequence, grants: [...grants, grant], safeParts,
 		},
 		share: {sequence, amount: safe + amount, safe},
 	};
