--- a/packages/wagtailroute-records/src/claims.ts
+++ b/packages/wagtailroute-records/src/claims.ts
@@ -4,9 +4,9 @@
 */
 import {
 	MAX_ANSWER_CHARACTERS,
-	MAX_TOTAL_ANSWER_CHARACTERS,
 	MAX_RECORDS,
 	MAX_RECORDS_PER_ORGANISATION,
+	MAX_TOTAL_ANSWER_CHARACTERS,
 	RECORD_RETENTION_MILLISECONDS,
 } from './constants.ts';
 
@@ -21,7 +21,7 @@
 
 /**
 Requests permission to send a request. `attempt` is unique across the fleet and over time; a repeated claim with the same
-attempt returns the same grant.
+attempt returns the same grant. `bootId` identifies the process of the host.
 */
 export type Claim = RecordId & {
 	readonly digest: string;
--- a/packages/wagtailroute-records/src/commands.ts
+++ b/packages/wagtailroute-records/src/commands.ts
@@ -65,7 +65,8 @@
 type WithService<Payload> = Payload & {readonly service: string};
 
 /**
-Payloads by name of the command in the log.
+Payloads by name of the command in the log. `lose-host`: a process of a host was lost, and its running records become
+`unknown`. `forget-host`: a host has left the fleet. `tick`: advances group time and expires entries.
 */
 export type CommandPayloads = {
 	'open-service': {readonly service: string; readonly origin: ServiceOrigin};
@@ -97,7 +98,7 @@
 export type Done = {readonly kind: 'done'};
 
 /**
-Results by name of the command.
+Results by name of the command. `unknown` of `lose-host` is the number of records that became `unknown`.
 */
 export type CommandResults = {
 	'open-service': Done | {readonly kind: 'already-open'};
--- a/packages/wagtailroute-records/src/constants.ts
+++ b/packages/wagtailroute-records/src/constants.ts
@@ -1,6 +1,6 @@
 /**
-Times and bounds of the records of a replica group. All times are in milliseconds. Those in group time never run faster
-than a host's monotonic clock.
+Times and bounds of the records of a replica group. Group time never runs faster than a host's
+monotonic clock.
 */
 
 /**
