--- a/packages/wagtailroute-replication/src/__tests__/unit/checks.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/checks.ts
@@ -1,24 +1,24 @@
 /**
-What must hold whatever happens: one leader a term, committed entries never changed, every state machine through the same
-states, no read that goes back, no refused command taken.
+Invariants of every run: at most one leader per term, committed entries never change, all state machines pass through the
+same states, reads are linearizable, and refused commands are never committed.
 */
 import * as log from '../../log.ts';
 import type * as replication from '../../index.ts';
 
 /**
-A state machine that any difference in the sequence of commands shows in.
+A state machine whose state is a hash chain of its commands, so that any difference in their sequence shows.
 */
 export type ChainMachine = {readonly index: number; readonly chain: number};
 
 /**
-Thrown when something doesn't hold.
+Thrown when an invariant is violated.
 */
 export class Violation extends Error {
 	override readonly name = 'Violation';
 }
 
 /**
-What a run has seen so far, by term or index.
+What a run has observed so far, by term, log index or request.
 */
 export type Checks = {
 	readonly leaders: Map<number, string>;
@@ -28,7 +28,7 @@
 	readonly refused: Set<number>;
 	readonly reads: Map<string, number>;
 	/**
-	Highest index that a caller knows to be accepted or has read.
+	Highest index that a caller has seen acknowledged or has read; later reads must reach it.
 	*/
 	minReadIndex: number;
 	lastAcknowledged: number;
@@ -49,7 +49,7 @@
 }
 
 /**
-Creates the record of a run.
+Creates the empty record of a run.
 */
 export function createChecks(): Checks {
 	return {
@@ -65,7 +65,7 @@
 }
 
 /**
-Checks one step of a replica.
+Checks a step of a replica: newly committed entries, and that its term has one leader.
 */
 export function checkStep(checks: Checks, before: replication.Replica, after: replication.Replica): void {
 	for (let index = before.commit + 1; index <= after.commit; index++) {
@@ -82,7 +82,7 @@
 }
 
 /**
-Entries covered by a snapshot are checked by its state.
+Skips entries covered by a snapshot, which are checked by its state.
 */
 function checkCommit(checks: Checks, index: number, entry: replication.Entry | undefined): void {
 	if (entry === undefined) {
@@ -95,7 +95,7 @@
 }
 
 /**
-Applies a command to a state machine and checks that it went through the same states as the others.
+Applies a command to a state machine and checks that it passes through the same states as the others.
 */
 export function applyCommand(checks: Checks, machine: ChainMachine, index: number, command: number): ChainMachine {
 	check(index > machine.index, `entry ${index} was applied twice`);
@@ -110,14 +110,14 @@
 }
 
 /**
-Checks a state that came by snapshot.
+Checks a state restored from a snapshot.
 */
 export function checkRestored(checks: Checks, machine: ChainMachine): void {
 	check((checks.chains.get(machine.index) ?? machine.chain) === machine.chain, 'a snapshot holds another state');
 }
 
 /**
-Checks an answer to a read or a proposal; says whether it was a read that succeeded.
+Checks the answer to a read or a proposal; returns whether it is that of a successful read.
 */
 export function checkAnswer(checks: Checks, machine: ChainMachine, id: string, answer: replication.Answer): boolean {
 	const command = checks.commands.get(id);
@@ -137,7 +137,7 @@
 }
 
 /**
-Checks the healed group.
+Checks the healed group at the end of a run.
 */
 export function checkEnd(checks: Checks, machines: readonly ChainMachine[]): void {
 	for (const machine of machines) {
--- a/packages/wagtailroute-replication/src/__tests__/unit/cluster.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/cluster.ts
@@ -1,18 +1,18 @@
 /**
-Replicas on a network and disks that the explorer drives one event at a time. Every event is checked.
+Replicas on a simulated network with simulated disks, driven one event at a time by the explorer. Each step is checked.
 */
 import * as utils from 'wagtailroute-utils';
 import * as replication from '../../index.ts';
 import * as checking from './checks.ts';
 
 /**
-Faults put in on purpose, to show that the checks find them. `early-confirmation`: the store confirms before it wrote.
-`kept-identity`: a wiped host goes on under its old identity. `unconfirmed-read`: reads are answered without a quorum.
+Injected faults, which the checks must find. `early-confirmation`: the store confirms a write before it is durable.
+`kept-identity`: a wiped host keeps its old identity. `unconfirmed-read`: reads are answered without a quorum.
 */
 export type Mutation = 'none' | 'early-confirmation' | 'kept-identity' | 'unconfirmed-read';
 
 /**
-What a run did.
+Counts of the events of a run.
 */
 export type Counts = {
 	acknowledged: number;
@@ -24,7 +24,7 @@
 };
 
 /**
-A host. Without a replica its process is down.
+A host; `replica` is undefined while its process is down.
 */
 export type Node = {
 	readonly host: string;
@@ -35,7 +35,7 @@
 };
 
 /**
-The hosts, what is in flight and which links lose everything (`from>to`).
+The hosts, the messages in flight and the links that lose all messages (`from>to`).
 */
 export type Cluster = {
 	readonly nodes: readonly Node[];
@@ -46,7 +46,7 @@
 	readonly cutLinks: Set<string>;
 	readonly initialMembers: readonly replication.Member[];
 	/**
-	Elections start after a delay that the network often brings, so that terms change all the time.
+	Election timeouts are as short as common network delays, so that terms change frequently.
 	*/
 	readonly hasShortTimeouts: boolean;
 	network: replication.Message[];
@@ -61,7 +61,7 @@
 };
 
 /**
-Creates hosts that are all voters of a new group.
+Creates and starts hosts that are all voters of a new group.
 */
 export function createCluster(seed: number, hostCount: number, mutation: Mutation): Cluster {
 	const initialMembers = Array.from({length: hostCount}, (_, at) => ({id: `h${at}~first`, role: 'voter'} as const));
@@ -94,7 +94,7 @@
 }
 
 /**
-Starts a process from its disk. Small limits make snapshots and compactions frequent.
+Starts a process from its disk. Low limits make snapshots and compactions frequent.
 */
 export function start(cluster: Cluster, node: Node): void {
 	const settings = replication.createSettings({
@@ -105,14 +105,14 @@
 }
 
 /**
-Returns the nodes that believe they lead.
+Returns the nodes in the role of leader; several may be, in different terms.
 */
 export function getLeaders(cluster: Cluster): readonly Node[] {
 	return cluster.nodes.filter(node => node.replica?.role === 'leader');
 }
 
 /**
-Runs one event on a node.
+Handles one event on a node, checks the step and carries out its effects.
 */
 export function run(cluster: Cluster, node: Node, event: replication.ReplicaEvent): void {
 	const before = node.replica!;
@@ -178,7 +178,7 @@
 };
 
 /**
-Delivers a message, unless its link is cut or its receiver down.
+Delivers a message, unless its link is cut or its receiver is down.
 */
 export function deliver(cluster: Cluster, message: replication.Message): void {
 	const from = replication.getMemberHost(message.from);
@@ -192,34 +192,34 @@
 }
 
 /**
-Writes to the disk and confirms it to the process, if that is up.
+Makes the first pending writes durable and confirms them to the process, if it is running.
 */
 export function persist(cluster: Cluster, node: Node, count: number): void {
-	const done = node.writes.splice(0, count);
-	for (const write of done) {
+	const persisted = node.writes.splice(0, count);
+	for (const write of persisted) {
 		node.disk = replication.applyWrite(node.disk, write);
 	}
 
-	const last = done.at(-1);
+	const last = persisted.at(-1);
 	if (last !== undefined && node.replica !== undefined) {
 		run(cluster, node, {kind: 'persisted', sequence: last.sequence});
 	}
 }
 
 /**
-Ends a process: some of its writes may have reached the disk without being confirmed, the rest are lost.
+Crashes a process: some of its pending writes reach the disk without being confirmed, the others are lost.
 */
 export function crash(cluster: Cluster, node: Node): void {
-	const reached = utils.pickIndex(cluster.random, node.writes.length + 1);
+	const reachedDisk = utils.pickIndex(cluster.random, node.writes.length + 1);
 	node.replica = undefined;
-	persist(cluster, node, reached);
+	persist(cluster, node, reachedDisk);
 	node.writes = [];
 	cluster.counts.crashes++;
 }
 
 /**
-Says whether every list of members, in logs, on disks or in flight, keeps a quorum of intact voters when this host loses its
-disk. Beyond that no group can go on.
+Returns whether every list of members in logs, on disks or in flight keeps a quorum of intact voters if this host loses its
+disk. Without one, no group could continue.
 */
 function canWipeDisk(cluster: Cluster, wiped: Node): boolean {
 	const intact = new Set(cluster.nodes.filter(node => node !== wiped).map(node => node.disk.self));
@@ -242,7 +242,7 @@
 }
 
 /**
-Ends a process, takes its disk and starts it anew, if the group can do without.
+Crashes a process, erases its disk and restarts it, if the group tolerates that.
 */
 export function wipeDisk(cluster: Cluster, node: Node): void {
 	if (!canWipeDisk(cluster, node)) {
@@ -258,7 +258,7 @@
 }
 
 /**
-Proposes a command, a number never used before.
+Proposes a command: a number that is unique in the run.
 */
 export function propose(cluster: Cluster, node: Node): void {
 	const command = ++cluster.nextId;
@@ -268,7 +268,7 @@
 }
 
 /**
-Asks for a linearizable read.
+Requests a linearizable read.
 */
 export function read(cluster: Cluster, node: Node): void {
 	const {checks, mutation} = cluster;
@@ -282,7 +282,7 @@
 }
 
 /**
-Makes the next step of a repair towards these hosts.
+Requests the next membership change towards the wanted hosts, if any.
 */
 export function reconcile(cluster: Cluster, leader: Node, wanted: readonly Node[]): void {
 	const hosts = wanted.map(({host, disk}) => ({host, role: 'voter', current: disk.self} as const));
@@ -296,7 +296,7 @@
 }
 
 /**
-Moves the clock.
+Advances the clock and runs the ticks that are due.
 */
 export function advanceTime(cluster: Cluster, milliseconds: number): void {
 	cluster.now += milliseconds;
--- a/packages/wagtailroute-replication/src/__tests__/unit/engine.test.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/engine.test.ts
@@ -6,7 +6,7 @@
 const [, B, C, D] = VOTERS.map(member => member.id) as [string, string, string, string];
 
 /**
-A replica whose writes are confirmed only on demand.
+A replica whose writes are confirmed only on request.
 */
 class ReplicaHarness {
 	now = 0;
@@ -36,7 +36,7 @@
 	}
 
 	/**
-	Stands for election with these voters' answers; the own vote is not durable yet.
+	Starts an election and receives the votes given; the replica's own vote is not durable yet.
 	*/
 	campaign(voters: readonly string[]): void {
 		this.now = this.state.electionDueAt;
@@ -52,7 +52,7 @@
 	}
 
 	/**
-	Takes the lead; the own log is durable.
+	Wins an election; the replica's own log is durable.
 	*/
 	becomeLeader(): void {
 		this.campaign([B, C]);
@@ -81,11 +81,11 @@
 	};
 }
 
-// Symptom: a term with two leaders. Sequence: a host votes, crashes before the sync, votes again.
-test('a vote is answered once it is durable, and given once a term', t => {
+// Guards against two leaders in a term: a host votes, crashes before the sync and votes again.
+test('a vote is sent once it is durable, and given at most once per term', t => {
 	const harness = new ReplicaHarness();
 	const request = {kind: 'vote', lastIndex: 0, lastTerm: 0};
-	// The term itself is known and durable already.
+	// The term itself is durable already.
 	harness.receive(D, 1, {...request, lastTerm: -1});
 	harness.persist();
 	t.deepEqual(getSent(harness.receive(B, 1, request)), []);
@@ -94,8 +94,8 @@
 	t.like(getSent(harness.receive(B, 1, request))[0], {kind: 'vote-answer', granted: true, to: B});
 });
 
-// Symptom: as above. Sequence: a candidate counts itself, leads, crashes, and votes for another in the same term.
-test('the own vote counts once it is durable', t => {
+// Guards against two leaders in a term: a candidate counts its vote, leads, crashes and votes for another.
+test('a candidate counts its own vote once it is durable', t => {
 	const harness = new ReplicaHarness();
 	harness.campaign([B, C]);
 	t.is(harness.state.role, 'candidate');
@@ -103,8 +103,8 @@
 	t.is(harness.state.role, 'leader');
 });
 
-// Symptom: elections while a leader serves. Sequence: a host that is heard but hears nobody asks for votes.
-test('votes are ignored while a leader is heard', t => {
+// Guards against elections during a healthy term: a host that can send but not receive requests votes.
+test('vote requests are ignored while the leader is live', t => {
 	const harness = new ReplicaHarness();
 	harness.receive(B, 1, {
 		kind: 'append', previousIndex: 0, previousTerm: 0, entries: [], commit: 0, round: 0,
@@ -119,7 +119,7 @@
 	t.like(getSent(harness.receive(C, 5, {kind: 'pre-vote', lastIndex: 9, lastTerm: 4}))[0], {granted: true});
 });
 
-// Symptom: an accepted change is gone. Sequence: a follower acknowledges entries and crashes before the sync.
+// Guards against the loss of a committed entry: a follower acknowledges entries and crashes before the sync.
 test('entries are acknowledged once they are durable', t => {
 	const harness = new ReplicaHarness();
 	const append = {
@@ -129,7 +129,7 @@
 	t.like(getSent(harness.persist())[0], {kind: 'append-answer', accepted: true, match: 1});
 });
 
-// Symptom: a leader commits what its own disk doesn't hold. Sequence: entries are replaced; then it leads before their sync.
+// Guards against a leader committing entries missing on its own disk: entries are replaced, and it leads before their sync.
 test('replaced entries are not durable', t => {
 	const harness = new ReplicaHarness(VOTERS, {term: 1, entries: [1, 2, 3].map(index => createEntry(index, 1))});
 	t.is(harness.state.durableIndex, 3);
@@ -141,8 +141,8 @@
 	t.is(harness.state.durableIndex, 3);
 });
 
-// Symptom: a committed entry is replaced. Sequence: a leader counts copies of an entry of an older term, and crashes; another
-// leader of a term between the two replaces it (figure 8 of the Raft paper).
+// Guards against the replacement of a committed entry: a leader counts copies of an entry of an older term and crashes; a
+// leader of a term between the two replaces the entry (figure 8 of the Raft paper).
 test('an entry of an older term is committed only through one of this term', t => {
 	const harness = new ReplicaHarness(VOTERS, {term: 1, entries: [createEntry(1, 1)]});
 	harness.becomeLeader();
@@ -155,7 +155,7 @@
 	t.is(harness.state.commit, 2);
 });
 
-// Symptom: two quorums without a common member. Sequence: two leaders each have an uncommitted change of the members.
+// Guards against quorums that don't overlap: two leaders each have an uncommitted membership change.
 test('members change one at a time, and not before the term has a commit', t => {
 	const harness = new ReplicaHarness();
 	harness.becomeLeader();
@@ -173,9 +173,8 @@
 	t.is(harness.requestChange({kind: 'promote', member: 'f~1'}), undefined);
 });
 
-// Symptom: a follower gets nothing new for as long as the leader lives. Sequence: each message with entries is lost, the
-// empty ones arrive, until the window is full.
-test('entries that are lost again and again are sent again', t => {
+// Guards against a stalled follower: messages with entries are lost while heartbeats arrive, until the window is full.
+test('entries that are lost repeatedly are resent', t => {
 	const harness = new ReplicaHarness();
 	harness.becomeLeader();
 	harness.answer(B, 1);
@@ -186,13 +185,13 @@
 		const sent = [...getSent(harness.run({kind: 'tick'})), ...getSent(harness.answer(B, 1))];
 		harness.answer(C, 1);
 		const isSentAgain = sent.some(message => message.to === B && message.kind === 'append' && message.entries.length === 1);
-		// The first heartbeat after an acknowledgement waits one more.
+		// The first heartbeat after an acknowledgement doesn't resend yet.
 		t.true(isSentAgain || round === 0, `round ${round}`);
 	}
 });
 
-// Symptom: a wiped host counts for quorums. Sequence: messages to its old identity reach its new process.
-test('messages to another identity of the host are ignored', t => {
+// Guards against a wiped host counting towards quorums: messages to its old identity reach its new process.
+test('messages to another incarnation of the host are ignored', t => {
 	const harness = new ReplicaHarness();
 	const before = harness.state;
 	const message = {
--- a/packages/wagtailroute-replication/src/__tests__/unit/explorer.test.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/explorer.test.ts
@@ -11,9 +11,9 @@
 ] as const;
 
 for (const {hosts, firstSeed, seeds} of healthy) {
-	// Symptom: an accepted change is missing, differs between hosts or is applied twice, or a read goes back.
-	// Sequence: lost, doubled, late messages; one-way cuts; crashes around writes; wiped disks, also right after a repair.
-	// Cause: any rule of the engine, the repairs or the store's contract that doesn't hold in some order of these.
+	// Guards against a committed change that is missing, differs between hosts or is applied twice, and against stale reads,
+	// under lost, duplicated and late messages, one-way partitions, crashes around writes and wiped disks, also right after a
+	// repair.
 	test(`${hosts} hosts keep every accepted change in ${seeds} seeded runs`, t => {
 		const reports = Array.from({length: seeds}, (_, at) => explorer.explore(firstSeed + at, hosts, ACTIONS));
 		const violations = reports.map(report => report.violation).filter(violation => violation !== undefined);
@@ -27,7 +27,7 @@
 	});
 }
 
-// Each of these would be a fault of the engine or its surroundings; the explorer must see it.
+// Injected faults that the explorer must find, each within this number of seeds.
 const faults: ReadonlyArray<readonly [fault: clusters.Mutation, seeds: number]> = [
 	['early-confirmation', 200],
 	['kept-identity', 20],
--- a/packages/wagtailroute-replication/src/__tests__/unit/explorer.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/explorer.ts
@@ -1,12 +1,12 @@
 /**
-A seeded explorer: random events on a cluster, then everything is healed and must come together again.
+Randomized, seeded model checking: random events on a cluster, after which all faults are healed and the group must converge.
 */
 import * as utils from 'wagtailroute-utils';
 import * as checking from './checks.ts';
 import * as clusters from './cluster.ts';
 
 /**
-What a run found and did.
+The violation found, if any, and the counts of a run.
 */
 export type Report = clusters.Counts & {
 	readonly violation: string | undefined;
@@ -21,7 +21,7 @@
 const PROPOSAL_ROUND = 60;
 
 /**
-Runs one seed.
+Runs random actions with a seed, then heals the cluster and checks that it converges.
 */
 export function explore(seed: number, hostCount: number, actions: number, mutation: clusters.Mutation = 'none'): Report {
 	const cluster = clusters.createCluster(seed, hostCount, mutation);
@@ -49,7 +49,7 @@
 }
 
 /**
-Delivers one of the oldest messages, at times any other; it may be lost, or stay in flight to come again.
+Delivers one of the oldest messages, or sometimes any other. The message may be lost or duplicated.
 */
 function deliverOne(cluster: Cluster): void {
 	const {network, random} = cluster;
@@ -59,36 +59,36 @@
 
 	const isReordered = random() < 0.1;
 	const at = utils.pickIndex(random, isReordered ? network.length : Math.min(3, network.length));
-	const fate = random();
+	const draw = random();
 	const message = network[at]!;
-	if (fate > 0.02) {
+	if (draw > 0.02) {
 		network.splice(at, 1);
 	}
 
-	if (fate < 0.97) {
+	if (draw < 0.97) {
 		clusters.deliver(cluster, message);
 	}
 }
 
 /**
-Cuts a host off: it is not heard, hears nobody, or both.
+Isolates a host: it can't send, can't receive, or neither.
 */
 function isolateHost(cluster: Cluster): void {
 	const {host} = pick(cluster, cluster.nodes);
-	const way = utils.pickIndex(cluster.random, 3);
+	const direction = utils.pickIndex(cluster.random, 3);
 	for (const other of cluster.nodes) {
-		if (way !== 0) {
+		if (direction !== 0) {
 			cluster.cutLinks.add(`${host}>${other.host}`);
 		}
 
-		if (way !== 1) {
+		if (direction !== 1) {
 			cluster.cutLinks.add(`${other.host}>${host}`);
 		}
 	}
 }
 
 /**
-Repairs; at times an operator takes a host out.
+Reconciles the members; sometimes the first host is not wanted, as if an operator removed it.
 */
 function reconcile(cluster: Cluster): void {
 	const {nodes, random} = cluster;
@@ -194,7 +194,7 @@
 }
 
 /**
-Every host is a voter, and has applied what the leader has.
+Returns whether each host is a voter and has applied the same index as the leader.
 */
 function isConverged(cluster: Cluster): boolean {
 	const leaders = clusters.getLeaders(cluster).map(node => node.replica!);
--- a/packages/wagtailroute-replication/src/__tests__/unit/fake-disk.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/fake-disk.ts
@@ -1,5 +1,5 @@
 /**
-A disk in memory that fails at a chosen operation and forgets, on a crash, what was not synced.
+An in-memory disk that fails at a chosen operation and loses unsynced data on a crash.
 */
 import {Buffer} from 'node:buffer';
 import * as utils from 'wagtailroute-utils';
@@ -8,8 +8,8 @@
 type File = {content: Buffer; synced: Buffer};
 
 /**
-Counts appends, syncs, renames and folder syncs; the operation with number `failAt` fails with `code`, an append after
-having written half.
+Counts appends, syncs, renames and folder syncs. Operation number `failAt` fails with `code`; an append that fails has written
+half of its bytes.
 */
 export type FakeDisk = replication.Disk & {
 	operations: number;
@@ -47,7 +47,7 @@
 		failAt: Infinity,
 		code: 'EIO',
 		async createFolder() {
-			// One folder is enough.
+			// All paths share one folder.
 		},
 		read: async file => visible.get(file)?.content,
 		async open(name, isNew) {
@@ -88,12 +88,12 @@
 			});
 		},
 		crash(random) {
-			// A rename that was not synced may or may not have reached the disk.
+			// An unsynced rename may or may not have reached the disk.
 			visible = new Map(random() < 0.5 ? durable : visible);
 			for (const file of visible.values()) {
 				const reached = utils.pickIndex(random, file.content.length - file.synced.length + 1);
 				const tail = Buffer.from(file.content.subarray(file.synced.length, file.synced.length + reached));
-				// Blocks of the tail may have been skipped.
+				// Blocks of the unsynced tail may not have been written.
 				file.content = Buffer.concat([file.synced, random() < 0.5 ? tail : tail.fill(0, 0, Math.floor(tail.length / 2))]);
 				file.synced = file.content;
 			}
--- a/packages/wagtailroute-replication/src/__tests__/unit/fake-hosts.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/fake-hosts.ts
@@ -1,5 +1,5 @@
 /**
-Hosts of one group on a clock that only the test moves, with a network that loses what is cut.
+Hosts of one group on a simulated clock and a network whose links can be cut.
 */
 import type * as results from 'ts-results-es';
 import * as utils from 'wagtailroute-utils';
@@ -14,12 +14,12 @@
 };
 
 /**
-Hosts by name.
+The hosts by name, their network and their clock.
 */
 export type FakeHosts = {
 	readonly hosts: Map<string, FakeHost>;
 	/**
-	Links that lose everything, written `from>to`.
+	Links that lose all messages, written `from>to`.
 	*/
 	readonly cutLinks: Set<string>;
 	readonly start: (
@@ -29,20 +29,20 @@
 		settings?: replication.GroupOptions['settings'],
 	) => Promise<FakeHost>;
 	/**
-	Ends a host at once.
+	Stops a host; its messages in flight are lost.
 	*/
 	readonly stop: (host: string) => Promise<void>;
 	/**
-	Moves the clock, in steps of 10 ms.
+	Advances the clock in steps of 10 ms.
 	*/
 	readonly advance: (milliseconds: number) => Promise<void>;
 	readonly getLeader: () => FakeHost;
 	/**
-	Moves the clock until the promise is settled.
+	Advances the clock until the promise is settled.
 	*/
 	readonly settle: <Value>(promise: Promise<Value>) => Promise<Value>;
 	/**
-	Moves the clock while the leader reconciles.
+	Lets the leader reconcile the members repeatedly while the clock advances.
 	*/
 	readonly repair: (wanted: readonly string[]) => Promise<void>;
 };
@@ -51,7 +51,7 @@
 const MAX_ROUNDS = 1000;
 
 /**
-Lets promises settle; the real disk needs turns of the loop.
+Lets promises settle; the real disk needs turns of the event loop.
 */
 async function runEventLoopTurn(): Promise<void> {
 	await new Promise(resolve => {
@@ -60,7 +60,7 @@
 }
 
 /**
-Creates an empty network.
+Creates a network without hosts.
 */
 export function createFakeHosts(seed: number): FakeHosts {
 	const random = utils.createRandom(seed);
--- a/packages/wagtailroute-replication/src/__tests__/unit/group.test.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/group.test.ts
@@ -7,12 +7,12 @@
 
 const SEED = 11;
 const NAMES = ['a', 'b', 'c', 'd', 'e'] as const;
-const FIRST: replication.InitialMembers = {hosts: NAMES};
+const INITIAL_MEMBERS: replication.InitialMembers = {hosts: NAMES};
 
 async function startAll() {
 	const world = fakeHosts.createFakeHosts(SEED);
 	const disks = new Map(NAMES.map(name => [name as string, fakeDisk.createFakeDisk()]));
-	const start = async (name: string) => world.start(name, replication.createDurableStore('folder', disks.get(name)), FIRST);
+	const start = async (name: string) => world.start(name, replication.createDurableStore('folder', disks.get(name)), INITIAL_MEMBERS);
 	for (const name of NAMES) {
 		await start(name); // eslint-disable-line no-await-in-loop -- in order.
 	}
@@ -21,7 +21,7 @@
 	return {world, disks, start};
 }
 
-test('a batch of proposals shares one sync a host', async t => {
+test('a batch of proposals shares one sync per host', async t => {
 	const {world, disks} = await startAll();
 	const leader = world.getLeader();
 	const before = disks.get('a')!.operations;
@@ -36,10 +36,9 @@
 	t.like(refused, {error: {kind: 'not-leader', leader: leader.group.getStatus().leader}});
 });
 
-// Symptom: a change that was accepted is gone.
-// Sequence: one host loses its disk and is repaired; right after, another host loses its disk; then the whole group restarts.
-// Cause: a repaired host counted for quorums before it held the log, or under the identity whose promises it forgot.
-test('changes survive a loss right after a repair, 20 times', async t => {
+// Guards against the loss of a committed change: a host loses its disk and is repaired, right after that another one does. The
+// change is lost if a repaired host counts towards quorums before it holds the log, or under its lost identity.
+test('changes survive 20 disk losses, each right after a repair', async t => {
 	const {world, disks, start} = await startAll();
 	const accepted: number[] = [];
 	for (let round = 0; round < 20; round++) {
@@ -61,10 +60,9 @@
 	}
 });
 
-// Symptom: accepted changes are gone, the group starts anew.
-// Sequence: the whole group stops; the host that created it loses its disk, and is the first one up with a few others.
-// Cause: it took itself and them for a new group, since its settings still name the first hosts.
-test('a wiped creator does not create the group again', async t => {
+// Guards against a second bootstrap that discards the group's changes: the whole group stops, and the host that bootstrapped
+// it loses its disk and restarts first with a few others. Its settings still list the initial members.
+test('a host that bootstrapped the group and lost its disk does not bootstrap it again', async t => {
 	const {world, disks, start} = await startAll();
 	await world.settle(world.getLeader().group.propose('kept'));
 	await Promise.all(NAMES.map(async name => world.stop(name)));
@@ -81,18 +79,17 @@
 	t.deepEqual(world.hosts.get('a')!.values, ['kept']);
 });
 
-// Symptom: a cut-off leader keeps believing that it leads, and its callers wait for ever.
-// Sequence: the leader is heard but hears nobody, or hears and is not heard, or neither.
-// Cause: it counted on its own heartbeats instead of the answers to them.
-for (const isHeard of [true, false]) {
-	for (const isHearing of isHeard ? [false] : [true, false]) {
-		test(`a leader that ${isHeard ? 'is' : 'is not'} heard and ${isHearing ? 'hears' : 'does not hear'} others steps down`, async t => {
+// Guards against an isolated leader that keeps leading while its callers wait forever: it can send but not receive, receive
+// but not send, or neither. A leader must rely on the responses to its heartbeats, not on sending them.
+for (const isSending of [true, false]) {
+	for (const isReceiving of isSending ? [false] : [true, false]) {
+		test(`a leader that ${isSending ? 'can' : 'cannot'} send and ${isReceiving ? 'can' : 'cannot'} receive steps down`, async t => {
 			const {world} = await startAll();
 			const old = world.getLeader();
 			const name = old.group.getStatus().leader!;
 			for (const other of NAMES) {
-				world.cutLinks.add(isHeard ? '' : `${name}>${other}`);
-				world.cutLinks.add(isHearing ? '' : `${other}>${name}`);
+				world.cutLinks.add(isSending ? '' : `${name}>${other}`);
+				world.cutLinks.add(isReceiving ? '' : `${other}>${name}`);
 			}
 
 			const lost = old.group.propose('lost');
@@ -106,17 +103,16 @@
 			const {term} = world.getLeader().group.getStatus();
 			world.cutLinks.clear();
 			await world.advance(3000);
-			// The host that comes back doesn't depose the leader.
+			// The host that returns doesn't depose the leader.
 			t.is(world.getLeader().group.getStatus().term, term);
 			t.is(old.values.at(-1), 'new');
 		});
 	}
 }
 
-// Symptom: a host acknowledges changes that its disk doesn't hold.
-// Sequence: a sync fails (or the disk is full); the process goes on.
-// Cause: the failure was ignored, or a second sync said yes.
-test('a host whose sync fails takes no further part', async t => {
+// Guards against acknowledging changes that are not on disk: a sync fails or the disk is full, and the process continues
+// because the failure was ignored or a second sync succeeded.
+test('a host whose sync fails stops replicating', async t => {
 	const {world, disks} = await startAll();
 	const leader = world.getLeader();
 	const name = leader.group.getStatus().leader!;
@@ -130,18 +126,17 @@
 	t.true(accepted.isOk());
 });
 
-test('a damaged store is not started from', async t => {
+test('a group does not start from a corrupt store', async t => {
 	const store: replication.Store = {
 		...replication.createVolatileStore(),
 		load: async () => results.Err(core.createFailure('corrupt', 'A record is damaged.')),
 	};
-	await t.throwsAsync(fakeHosts.createFakeHosts(SEED).start('a', store, FIRST));
+	await t.throwsAsync(fakeHosts.createFakeHosts(SEED).start('a', store, INITIAL_MEMBERS));
 });
 
-// Symptom: a host takes minutes to restart, or its disk fills.
-// Sequence: hundreds of changes accumulate over a state that stays small.
-// Cause: restart time and disk use follow the history.
-test('restart and disk use follow the live state', async t => {
+// Guards against restart time and disk use that grow with the history: thousands of changes accumulate while the state stays
+// small.
+test('restarts and disk use depend on the live state', async t => {
 	const sizes: number[] = [];
 	for (const changes of [100, 1000, 10_000]) {
 		const world = fakeHosts.createFakeHosts(SEED);
@@ -168,10 +163,9 @@
 	t.true(sizes[2]! < 4 * sizes[1]! && sizes[2]! < 400_000);
 });
 
-test('a command may be as large as the settings of its group say', async t => {
-	// Symptom: a catalogue of some thousand routes is never acknowledged, its operator hears 503 for ever.
-	// Sequence: the catalogue grows beyond a megabyte.
-	// Cause: the engine had one bound for the commands of all groups.
+test('the maximum size of a command is a setting of the group', async t => {
+	// Guards against a catalogue that can't be stored: with one limit for the commands of all groups, a catalogue of more than
+	// a megabyte (some thousand routes) was never acknowledged, and its operator got 503 forever.
 	const world = fakeHosts.createFakeHosts(SEED);
 	await world.start('a', replication.createDurableStore('folder', fakeDisk.createFakeDisk()), {hosts: ['a']}, {maxCommandBytes: 3_000_000});
 	await world.advance(3000);
--- a/packages/wagtailroute-replication/src/__tests__/unit/repair.test.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/repair.test.ts
@@ -4,11 +4,11 @@
 type Case = {
 	readonly name: string;
 	/**
-	Members as `host~incarnation`, with `!` voter, `?` learner, then `-` if dead and `<` if behind.
+	Members as `host~incarnation`, followed by `!` for a voter or `?` for a learner, then `-` if not live and `<` if behind.
 	*/
 	readonly members: string;
 	/**
-	What runs on the wanted hosts now; `host~` if nothing was heard.
+	The members that run on the wanted hosts now; `host~` if unknown.
 	*/
 	readonly wanted: string;
 	readonly step: string;
@@ -16,37 +16,37 @@
 
 const cases: readonly Case[] = [
 	{
-		name: 'nothing to do', members: 'a~1! b~1! c~1!', wanted: 'a~1 b~1 c~1', step: 'none',
+		name: 'no change if the members are as wanted', members: 'a~1! b~1! c~1!', wanted: 'a~1 b~1 c~1', step: 'none',
 	},
 	{
-		name: 'a silent host stays', members: 'a~1! b~1! c~1!-', wanted: 'a~1 b~1 c~', step: 'none',
+		name: 'a silent host stays a member', members: 'a~1! b~1! c~1!-', wanted: 'a~1 b~1 c~', step: 'none',
 	},
 	{
 		name: 'a wiped host is added as a learner', members: 'a~1! b~1! c~1!-', wanted: 'a~1 b~1 c~2', step: 'add-learner c~2',
 	},
 	{
-		name: 'a learner that is behind waits', members: 'a~1! b~1! c~1!- c~2?<', wanted: 'a~1 b~1 c~2', step: 'none',
+		name: 'a learner that is behind is not promoted', members: 'a~1! b~1! c~1!- c~2?<', wanted: 'a~1 b~1 c~2', step: 'none',
 	},
 	{
-		name: 'the lost identity goes before the new one votes', members: 'a~1! b~1! c~1!- c~2?', wanted: 'a~1 b~1 c~2', step: 'remove c~1',
+		name: 'the lost member is removed before the new one is promoted', members: 'a~1! b~1! c~1!- c~2?', wanted: 'a~1 b~1 c~2', step: 'remove c~1',
 	},
 	{
-		name: 'no promotion beside an old identity', members: 'a~1! b~1! c~1! c~2?', wanted: 'a~1 b~1 c~2', step: 'none',
+		name: 'no promotion while an earlier incarnation is a live voter', members: 'a~1! b~1! c~1! c~2?', wanted: 'a~1 b~1 c~2', step: 'none',
 	},
 	{
-		name: 'a learner that holds everything is promoted', members: 'a~1! b~1! c~2?', wanted: 'a~1 b~1 c~2', step: 'promote c~2',
+		name: 'a learner that is caught up is promoted', members: 'a~1! b~1! c~2?', wanted: 'a~1 b~1 c~2', step: 'promote c~2',
 	},
 	{
-		name: 'a planned replacement votes first', members: 'a~1! b~1! c~1! d~1?', wanted: 'a~1 b~1 d~1', step: 'promote d~1',
+		name: 'a planned replacement is promoted first', members: 'a~1! b~1! c~1! d~1?', wanted: 'a~1 b~1 d~1', step: 'promote d~1',
 	},
 	{
-		name: 'then the replaced host goes', members: 'a~1! b~1! c~1! d~1!', wanted: 'a~1 b~1 d~1', step: 'remove c~1',
+		name: 'then the replaced host is removed', members: 'a~1! b~1! c~1! d~1!', wanted: 'a~1 b~1 d~1', step: 'remove c~1',
 	},
 	{
-		name: 'no removal that costs the quorum', members: 'a~1! b~1!- c~1! d~1!-', wanted: 'a~1 b~ d~', step: 'none',
+		name: 'no removal that leaves no live quorum', members: 'a~1! b~1!- c~1! d~1!-', wanted: 'a~1 b~ d~', step: 'none',
 	},
 	{
-		name: 'a learner that is not wanted goes', members: 'a~1! x~1?', wanted: 'a~1', step: 'remove x~1',
+		name: 'an unwanted learner is removed', members: 'a~1! x~1?', wanted: 'a~1', step: 'remove x~1',
 	},
 ];
 
--- a/packages/wagtailroute-replication/src/__tests__/unit/store.test.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/store.test.ts
@@ -9,14 +9,14 @@
 import * as fakeDisk from './fake-disk.ts';
 
 const SEED = 20_250;
-const FIRST = replication.createDurableState('a~1', [{id: 'a~1', role: 'voter'}]);
+const INITIAL_STATE = replication.createDurableState('a~1', [{id: 'a~1', role: 'voter'}]);
 
 function createWrite(sequence: number, hasSnapshot: boolean): replication.Write {
 	const entry: replication.Entry = {
 		index: sequence, term: 1, kind: 'command', value: 'x'.repeat(sequence % 7), bytes: 8,
 	};
 	const snapshot: replication.Snapshot = {
-		index: sequence, term: 1, members: FIRST.snapshot.members, state: {sequence}, bytes: 8,
+		index: sequence, term: 1, members: INITIAL_STATE.snapshot.members, state: {sequence}, bytes: 8,
 	};
 	return {
 		sequence, term: 1, votedFor: 'a~1', commit: sequence, from: sequence, entries: [entry], ...(hasSnapshot && {snapshot}),
@@ -27,10 +27,10 @@
 	const store = replication.createDurableStore('folder', disk);
 	await store.load();
 	let state: replication.DurableState | undefined;
-	let next: replication.DurableState = FIRST;
-	const created = await store.create(FIRST);
+	let next: replication.DurableState = INITIAL_STATE;
+	const created = await store.create(INITIAL_STATE);
 	let isDone = created.isOk();
-	state = isDone ? FIRST : undefined;
+	state = isDone ? INITIAL_STATE : undefined;
 	for (const write of writes) {
 		if (!isDone) {
 			break;
@@ -45,9 +45,8 @@
 	return {store, confirmed: state, attempted: next};
 }
 
-// Symptom: after a crash an acknowledged entry is missing, or the store doesn't open.
-// Sequence: a write, sync, rename or folder sync fails (EIO, ENOSPC), the process ends, the disk keeps any part of the rest.
-// Cause: something was confirmed before it was synced, or a torn record was taken for damage.
+// Guards against confirming a write before it is synced, and against treating a torn record as corruption: a write, sync, rename
+// or folder sync fails (EIO, ENOSPC), the process ends, and any part of the unsynced data reaches the disk.
 test('a crash at any operation keeps what was confirmed', async t => {
 	t.log(`fast-check seed ${SEED}`);
 	const cases = fc.record({
@@ -61,7 +60,7 @@
 		const writes = snapshots.map((hasSnapshot, at) => createWrite(at + 1, hasSnapshot));
 		const {store, confirmed, attempted} = await createStoreWith(disk, writes);
 		const isFailed = disk.operations >= failAt;
-		// Once failed, it confirms nothing more.
+		// After a failure the store confirms nothing more.
 		const later = await store.write([createWrite(99, false)]);
 		disk.crash(utils.createRandom(seed));
 		const loaded = await replication.createDurableStore('folder', disk).load();
@@ -72,10 +71,9 @@
 	await t.notThrowsAsync(fc.assert(property, {seed: SEED, numRuns: 2000}));
 });
 
-// Symptom: a host forgets an entry it acknowledged, and a change is lost once another host is lost too.
-// Sequence: a synced record is damaged, in the middle or at the end of the file; the host restarts.
-// Cause: the damaged record was cut off as if it had been torn.
-test('damage to any synced byte is reported', async t => {
+// Guards against losing acknowledged entries on a restart: a synced record in the middle or at the end of the file is corrupted,
+// and is truncated as if it were torn.
+test('corruption of any synced byte is reported', async t => {
 	const disk = fakeDisk.createFakeDisk();
 	await createStoreWith(disk, [1, 2, 3].map(sequence => createWrite(sequence, false)));
 	const file = disk.getFile();
@@ -88,10 +86,9 @@
 	}
 });
 
-// Symptom: a host doesn't start after a power cut.
-// Sequence: the last record was being written, any number of its bytes reached the disk.
-// Cause: the torn record was taken for damage.
-test('a record torn at any byte is cut off', async t => {
+// Guards against a host that doesn't start after a power failure: any number of bytes of the last record reached the disk, and
+// the torn record is treated as corruption.
+test('a record torn at any byte is truncated', async t => {
 	const disk = fakeDisk.createFakeDisk();
 	await createStoreWith(disk, [createWrite(1, false)]);
 	const file = disk.getFile();
@@ -106,13 +103,13 @@
 	}
 });
 
-test('the real disk keeps a state over a restart', async t => {
+test('a state on the real disk survives a restart', async t => {
 	const folder = await fs.mkdtemp(path.join(os.tmpdir(), 'replication-'));
 	const store = replication.createDurableStore(path.join(folder, 'g'));
 	const empty = await store.load();
 	t.is(empty.unwrap(), undefined);
 	const done = [
-		await store.create(FIRST),
+		await store.create(INITIAL_STATE),
 		await store.write([createWrite(1, false), createWrite(2, true), createWrite(3, false)]),
 		await store.write([createWrite(4, false)]),
 	];
@@ -129,7 +126,7 @@
 
 const DAMAGES: ReadonlyArray<readonly [title: string, damage: (records: readonly Buffer[]) => readonly Buffer[]]> = [
 	['missing in the middle', ([first, , ...others]) => [first!, ...others]],
-	['there twice in a row', ([first, second, ...others]) => [first!, second!, second!, ...others]],
+	['duplicated in place', ([first, second, ...others]) => [first!, second!, second!, ...others]],
 	['repeated at the end', records => [...records, records[1]!]],
 	['swapped with the next', ([first, second, third, ...others]) => [first!, third!, second!, ...others]],
 	['joined with the next by a zero byte', records => records.map((record, at) => (
@@ -138,9 +135,8 @@
 ];
 
 for (const [title, damage] of DAMAGES) {
-	// Symptom: a member comes back with a state that never was; an entry that a quorum acknowledged is gone.
-	// Sequence: whole records of the file are lost, repeated or moved by the disk or by a copy; the host restarts.
-	// Cause: a record's checksum said nothing of its place among the others.
+	// Guards against a restart with an inconsistent state: whole records are lost, repeated or reordered by the disk or by a
+	// copy of the file, which checksums of single records don't detect.
 	test(`a whole record ${title} is reported`, async t => {
 		const disk = fakeDisk.createFakeDisk();
 		await createStoreWith(disk, [1, 2, 3].map(sequence => createWrite(sequence, false)));
--- a/packages/wagtailroute-replication/src/__tests__/unit/voters.test.ts
+++ b/packages/wagtailroute-replication/src/__tests__/unit/voters.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of the choice of members of a group.
+Tests of the choice of voters and learners.
 */
 import test from 'ava';
 import * as replication from '../../index.ts';
@@ -15,22 +15,21 @@
 
 const CASES: readonly Case[] = [
 	{
-		name: 'further hosts become voters up to the most', voters: ['a', 'b', 'c'], running: ['a', 'b', 'c', 'd', 'e', 'f'], wanted: {voters: ['a', 'b', 'c', 'd', 'e'], learners: ['f']},
+		name: 'further hosts become voters up to the maximum', voters: ['a', 'b', 'c'], running: ['a', 'b', 'c', 'd', 'e', 'f'], wanted: {voters: ['a', 'b', 'c', 'd', 'e'], learners: ['f']},
 	},
 	{
-		name: 'a voter that is away for a moment keeps its place', voters: ['a', 'b', 'c', 'd', 'e'], running: ['a', 'b', 'c', 'd', 'f'], wanted: {voters: ['a', 'b', 'c', 'd', 'e'], learners: ['f']},
+		name: 'a voter that is absent briefly stays a voter', voters: ['a', 'b', 'c', 'd', 'e'], running: ['a', 'b', 'c', 'd', 'f'], wanted: {voters: ['a', 'b', 'c', 'd', 'e'], learners: ['f']},
 	},
 	{
-		name: 'one that is gone is replaced by another that runs', voters: ['a', 'b', 'c', 'd', 'e'], running: ['a', 'b', 'c', 'd', 'f'], gone: ['e'], wanted: {voters: ['a', 'b', 'c', 'd', 'f']},
+		name: 'an absent voter is replaced by a running host', voters: ['a', 'b', 'c', 'd', 'e'], running: ['a', 'b', 'c', 'd', 'f'], gone: ['e'], wanted: {voters: ['a', 'b', 'c', 'd', 'f']},
 	},
 	{
-		// Symptom: after a loss with no host to replace it, the next loss stops the group.
-		// Sequence: one of five voters is gone; it is removed; one more is lost, then a third.
-		// Cause: a smaller group bears fewer losses, and the removed one could have come back.
-		name: 'one that is gone stays while no other can take its place', voters: ['a', 'b', 'c', 'd', 'e'], running: ['a', 'b', 'c', 'd'], gone: ['e'], wanted: {voters: ['a', 'b', 'c', 'd', 'e']},
+		// Guards against a group that tolerates fewer failures: an absent voter is removed without a replacement, although it
+		// could have returned, and two further losses stop the group.
+		name: 'an absent voter stays while no other host can replace it', voters: ['a', 'b', 'c', 'd', 'e'], running: ['a', 'b', 'c', 'd'], gone: ['e'], wanted: {voters: ['a', 'b', 'c', 'd', 'e']},
 	},
 	{
-		name: 'two that are gone are replaced as far as there are others',
+		name: 'two absent voters are replaced as far as other hosts are available',
 		voters: ['a', 'b', 'c', 'd', 'e'],
 		learners: ['f'],
 		running: ['a', 'b', 'c', 'f'],
@@ -38,7 +37,7 @@
 		wanted: {voters: ['a', 'b', 'c', 'd', 'f']},
 	},
 	{
-		name: 'a learner that is gone is forgotten', voters: ['a', 'b', 'c'], learners: ['d'], running: ['a', 'b', 'c'], gone: ['d'], wanted: {voters: ['a', 'b', 'c']},
+		name: 'an absent learner is removed', voters: ['a', 'b', 'c'], learners: ['d'], running: ['a', 'b', 'c'], gone: ['d'], wanted: {voters: ['a', 'b', 'c']},
 	},
 ];
 
@@ -59,7 +58,7 @@
 	});
 }
 
-test('new voters come from the failure domains with the fewest', t => {
+test('new voters come from the failure domains with the fewest voters', t => {
 	const chosen = replication.chooseMembers({
 		members: [{id: 'a~1', role: 'voter'}, {id: 'b~1', role: 'voter'}],
 		runningHosts: [
--- a/packages/wagtailroute-replication/src/bench/network.ts
+++ b/packages/wagtailroute-replication/src/bench/network.ts
@@ -1,11 +1,11 @@
 /**
-Replicas in one process on simulated time, for the figures: messages arrive after a millisecond, writes are durable at once.
+Replicas in one process on a simulated clock: messages arrive after a millisecond, writes are durable at once.
 */
 import * as utils from 'wagtailroute-utils';
 import * as replication from '../index.ts';
 
 /**
-What was sent and how long the steps took, of all replicas and of the leader.
+Messages, bytes and processing time, of all replicas and of the leader. `applied` counts commands proposed by the benchmark.
 */
 export type Traffic = {
 	messages: number;
@@ -18,13 +18,13 @@
 };
 
 /**
-Replicas of one group by identity.
+The replicas of one group by identity, and the messages in flight.
 */
 export type Network = {
 	readonly replicas: Map<string, replication.Replica>;
 	readonly traffic: Traffic;
 	/**
-	Measuring each message's JSON takes time: set when bytes are wanted, unset when time is.
+	Whether the size of each message is counted. Serialization takes time, so bytes and times are measured in separate runs.
 	*/
 	isCountingBytes: boolean;
 	now: number;
@@ -35,7 +35,7 @@
 const SEED = 5;
 
 /**
-Creates a group of so many members, the first of them voters, and lets it elect a leader.
+Creates a group whose first `voters` members vote, and advances the clock until it has elected a leader.
 */
 export function createNetwork(members: number, voters: number, seed = SEED): Network {
 	const initialMembers = Array.from({length: members}, (_, at): replication.Member => ({
@@ -65,14 +65,14 @@
 }
 
 /**
-Sets all counters to zero.
+Resets all counters to zero.
 */
 export function resetTraffic(network: Network): void {
 	Object.assign(network.traffic, createTraffic());
 }
 
 /**
-Identity of the leader.
+Returns the identity of the leader; throws if there is none.
 */
 export function getLeader(network: Network): replication.MemberId {
 	const leader = network.replicas.values().find(replica => replica.role === 'leader');
@@ -81,7 +81,7 @@
 }
 
 /**
-Runs an event and those that follow from it at once.
+Handles an event on a replica, and the events that its effects cause at once.
 */
 export function run(network: Network, id: replication.MemberId, event: replication.ReplicaEvent): void {
 	const before = network.replicas.get(id);
@@ -139,7 +139,7 @@
 }
 
 /**
-Lets time pass.
+Advances the clock by milliseconds, delivering messages and ticks.
 */
 export function advanceTime(network: Network, milliseconds: number): void {
 	const end = network.now + milliseconds;
--- a/packages/wagtailroute-replication/src/bench/replication.bench.ts
+++ b/packages/wagtailroute-replication/src/bench/replication.bench.ts
@@ -1,12 +1,12 @@
 /**
-Entry of the replication bench: groups of 3, 5, 7 and 28 members, restarts, and failover, with their bounds.
+Entry point of the replication benchmark: groups of 3, 5, 7 and 28 members, restarts and failover, with their bounds.
 */
 import * as replication from './replication.ts';
 
 const DECIMALS = 10;
 
 /**
-Runs all three and checks their bounds.
+Runs all three benchmarks and checks their bounds.
 */
 export async function run(): Promise<{
 	title: string;
--- a/packages/wagtailroute-replication/src/bench/replication.ts
+++ b/packages/wagtailroute-replication/src/bench/replication.ts
@@ -1,6 +1,6 @@
 /**
-What replication costs: messages and bytes when idle and per command, processor time, and restart time and disk use by the
-number of changes over a live state that stays the same.
+The cost of replication: messages and bytes when idle and per command, processor time, and restart time and disk use by the
+number of changes to a live state of constant size.
 */
 import * as fs from 'node:fs/promises';
 import * as os from 'node:os';
@@ -10,7 +10,7 @@
 import * as networks from './network.ts';
 
 /**
-A group of a size. Bytes are those of the JSON, without the envelope of the peer protocol.
+Figures of a group. Bytes are those of the messages as JSON, without the envelope of the peer protocol.
 */
 export type GroupRow = {
 	readonly members: number;
@@ -29,7 +29,8 @@
 };
 
 /**
-A single host on the real disk after so many changes. `restartMilliseconds`: load, replay and restore, best of several.
+Figures of a single host on the real disk after a number of changes. `restartMilliseconds`: load, replay and restore, best of
+several runs.
 */
 export type RestartRow = {
 	readonly changes: number;
@@ -39,7 +40,7 @@
 };
 
 /**
-A ratio of two figures of one run and the most it may be.
+The ratio of two figures of one run, and its maximum.
 */
 export type Bound = {
 	readonly name: string;
@@ -56,6 +57,9 @@
 const CHANGE_COUNTS = [100, 1000, 10_000];
 const KEY_COUNT = 200;
 const VALUE = 'v'.repeat(200);
+/**
+Milliseconds in a second, and microseconds in a millisecond.
+*/
 const UNIT_FACTOR = 1000;
 const RESTART_RUNS = 20;
 const FAILOVER_RUNS = 400;
@@ -65,7 +69,7 @@
 Measures groups of 3, 5, 7 and 28 members.
 */
 export function benchGroups(): GroupRow[] {
-	// The first run warms the code up.
+	// The first run warms up the JIT compiler.
 	measureGroup(MAX_VOTERS);
 	return GROUP_SIZES.map(members => measureGroup(members));
 }
@@ -102,13 +106,13 @@
 		bytesPerBatchedCommand: batched.bytes / batched.applied,
 		microsecondsPerCommand: single.milliseconds * UNIT_FACTOR / single.applied,
 		leaderMicrosecondsPerCommand: single.leaderMilliseconds * UNIT_FACTOR / single.applied,
-		// One message out and one back.
+		// A heartbeat consists of a message and its response.
 		microsecondsPerHeartbeat: idleCost / (idle.messages / 2),
 	};
 }
 
 /**
-Runs the same twice, once for the bytes and once for the time.
+Runs an action twice: once to count bytes, once to measure time.
 */
 function measure(network: networks.Network, action: () => void): networks.Traffic {
 	network.isCountingBytes = true;
@@ -130,8 +134,7 @@
 }
 
 /**
-How long a group of five goes without a leader when its leader ends, in milliseconds, from the end to the first commit of
-the next one; a millisecond a message, writes durable at once.
+Failover times of a group of five in simulated milliseconds, from the end of the leader to the first commit of the next one.
 */
 export type FailoverRow = {
 	readonly runs: number;
@@ -141,7 +144,7 @@
 };
 
 /**
-Measures failovers; the leader ends at another moment between two heartbeats in each run.
+Measures failovers; in each run the leader ends at a different time between two heartbeats.
 */
 export function benchFailover(): FailoverRow {
 	const times = Array.from({length: FAILOVER_RUNS}, (_, run) => measureFailover(run)).toSorted((one, other) => one - other);
@@ -168,7 +171,7 @@
 }
 
 /**
-Bounds of the figures of groups: cost grows with the number of members and no faster.
+Returns the bounds for groups: the cost grows at most linearly with the number of members.
 */
 export function getGroupBounds(rows: readonly GroupRow[]): readonly Bound[] {
 	const small = rows.find(row => row.members === MAX_VOTERS)!;
@@ -184,7 +187,7 @@
 }
 
 /**
-Bounds of the figures of restarts: they follow the live state and not the number of changes.
+Returns the bounds for restarts: the cost depends on the live state and not on the number of changes.
 */
 export function getRestartBounds(rows: readonly RestartRow[]): readonly Bound[] {
 	const [, middle, last] = rows;
@@ -195,15 +198,15 @@
 }
 
 /**
-Measures restarts of a single host on the disk of this machine, in a folder for temporary files.
+Measures restarts of a single host on this machine's disk, in a temporary folder.
 */
 export async function benchRestarts(): Promise<RestartRow[]> {
 	const rows: RestartRow[] = [];
 	for (const changes of [CHANGE_COUNTS[0]!, ...CHANGE_COUNTS]) {
-		rows.push(await measureRestart(changes)); // eslint-disable-line no-await-in-loop -- one at a time, for the time's sake.
+		rows.push(await measureRestart(changes)); // eslint-disable-line no-await-in-loop -- one at a time, since times are measured.
 	}
 
-	// The first one warmed the code up.
+	// The first run only warms up the JIT compiler.
 	return rows.slice(1);
 }
 
--- a/packages/wagtailroute-replication/src/committing.ts
+++ b/packages/wagtailroute-replication/src/committing.ts
@@ -1,6 +1,6 @@
 /**
-The leader's bookkeeping of answers: commits, check-quorum and linearizable reads; and the application of committed
-entries on every replica.
+The leader's handling of append responses: commits, check-quorum and linearizable reads. Also the application of committed
+entries and log compaction, on every replica.
 */
 import * as constants from './constants.ts';
 import * as election from './election.ts';
@@ -12,7 +12,7 @@
 import type * as steps from './step.ts';
 
 /**
-Takes a follower's answer.
+Updates a follower's progress from its response and sends what it lacks.
 */
 export function receiveAppendAnswer(step: steps.StepContext, message: messages.AppendAnswer): void {
 	const {draft} = step;
@@ -40,8 +40,8 @@
 }
 
 /**
-Goes back to where the logs may agree. A rejection of something other than the current probe is late and is ignored:
-each would otherwise start another resend.
+Moves back to the highest index at which the logs may match. A rejection of anything but the current probe is late and is
+ignored; otherwise each one would cause another resend.
 */
 function applyRejectedAnswer(progress: replica.Progress, message: messages.AppendAnswer): replica.Progress {
 	const isLate = message.previousIndex <= progress.matchIndex || (progress.isProbing && message.previousIndex !== progress.nextIndex - 1);
@@ -58,7 +58,7 @@
 }
 
 /**
-Says whether a voter answered this leader within the shortest election timeout.
+Returns whether a member has responded to this leader within the minimum election timeout; always true of the leader itself.
 */
 export function isRecentlyActive(state: Pick<replica.Replica, 'settings' | 'progress'>, id: members.MemberId, now: number): boolean {
 	const lastResponseAt = state.progress.get(id)?.lastResponseAt ?? -Infinity;
@@ -66,10 +66,10 @@
 }
 
 /**
-Steps down without a quorum of recent answers, by the own monotonic clock.
+Check-quorum: steps down if no quorum has responded recently by this host's monotonic clock.
 
-A leader that is heard but hears nobody, or is cut off, would otherwise believe in itself for hours: callers would wait
-on proposals that can't be committed, and the others could not elect a leader while they hear its heartbeats.
+Otherwise a leader that is partitioned, or that can send but not receive, would remain leader: callers would wait for
+proposals that can't be committed, and the others could not elect a leader while they receive its heartbeats.
 */
 export function checkQuorum(step: steps.StepContext): void {
 	const {draft} = step;
@@ -79,8 +79,8 @@
 }
 
 /**
-Advances the commit index to the highest entry of this term that a quorum holds durably; the leader counts itself only up
-to what its own store confirmed.
+Advances the commit index to the highest entry of the current term that a quorum holds durably. The leader counts its own
+log only up to the last entry that its store has confirmed.
 */
 export function advanceCommit(step: steps.StepContext): void {
 	const {draft} = step;
@@ -94,11 +94,11 @@
 }
 
 /**
-Starts a read round when none is under way: reads that arrive meanwhile share the next one.
+Starts a read round if none is in progress; reads that arrive during a round share the next one.
 
-The read is answered only after a quorum confirmed, since the read came in, that this leader still leads; a deposed one
-that doesn't know it yet would otherwise give an old state. Before its first commit in the term a leader doesn't know what
-was committed before it, so reads wait for that too.
+A read is answered only after a quorum has confirmed, since the read arrived, that this leader still leads; otherwise a
+deposed leader could return stale state. Reads also wait for the leader's first commit in its term, since before that it
+doesn't know which earlier entries are committed.
 */
 export function advanceReads(step: steps.StepContext): void {
 	finishReads(step);
@@ -132,7 +132,7 @@
 }
 
 /**
-Hands out the committed entries in order, each once, with the proposals that wait for them.
+Emits the committed entries in order, each exactly once, with the identifiers of the proposals that wait for them.
 */
 export function applyCommitted(step: steps.StepContext): void {
 	const {draft} = step;
@@ -173,13 +173,13 @@
 }
 
 /**
-Replaces the entries up to `index` by a snapshot, but for a few that followers may still need.
+Compacts the log up to `index` into a snapshot, but retains some entries that followers may still need.
 */
 export function compactLog(step: steps.StepContext, index: number, state: unknown, bytes: number): void {
 	const {draft} = step;
 	const term = log.getTerm(draft, index);
 	const isUsable = index > draft.snapshot.index && index <= draft.applied && term !== undefined;
-	// A state too large for one message is not taken as a snapshot; it is asked for again after as many bytes.
+	// A state too large for one message can't become a snapshot; another one is requested after as many bytes of entries.
 	draft.bytesSinceSnapshot = 0;
 	if (!isUsable || bytes > constants.MAX_SNAPSHOT_BYTES) {
 		return;
--- a/packages/wagtailroute-replication/src/constants.ts
+++ b/packages/wagtailroute-replication/src/constants.ts
@@ -1,76 +1,76 @@
 /**
-Default timings and bounds of a replica group on a near network.
+Default timings and limits of a replica group within one region.
 */
 
 /**
-Milliseconds between a leader's heartbeats to a member that has yet to confirm something; also the time after which
-unanswered entries are sent again.
+Interval of a leader's heartbeats to a member with unacknowledged entries; also the delay before these entries are resent.
 */
 export const HEARTBEAT_INTERVAL_MILLISECONDS = 150;
 /**
-Milliseconds between a leader's heartbeats to a voter that has confirmed everything: two may be lost within the shortest
-election timeout.
+Interval of a leader's heartbeats to a voter that has acknowledged all entries. Two heartbeats fit into the minimum election
+timeout, so that a single lost one starts no election.
 */
 export const IDLE_HEARTBEAT_INTERVAL_MILLISECONDS = 400;
 /**
-Milliseconds between a leader's heartbeats to a learner that has confirmed everything: learners neither vote nor start elections, so they need fewer.
+Interval of a leader's heartbeats to a learner that has acknowledged all entries. Learners neither vote nor start elections,
+so they need fewer.
 */
 export const LEARNER_HEARTBEAT_INTERVAL_MILLISECONDS = 600;
 /**
-Shortest election timeout in milliseconds. A leader that hears no quorum for this long steps down, and a follower that
-heard its leader within it ignores votes.
+Minimum election timeout. A leader without responses from a quorum for this long steps down, and a follower that has heard
+from its leader within it ignores vote requests.
 */
 export const MIN_ELECTION_TIMEOUT_MILLISECONDS = 1000;
 /**
-Longest election timeout in milliseconds. Each timeout is drawn anew, so that two followers rarely start together.
+Maximum election timeout. Each timeout is drawn at random, so that two followers rarely start an election together.
 */
 export const MAX_ELECTION_TIMEOUT_MILLISECONDS = 2000;
 /**
-Milliseconds before a snapshot that was not answered is sent again.
+Delay before an unacknowledged snapshot is resent.
 */
 export const SNAPSHOT_RETRY_MILLISECONDS = 2000;
 /**
-Most entries in one append message.
+Maximum number of entries in an append message.
 */
 export const MAX_BATCH_ENTRIES = 128;
 /**
-Most bytes of commands (as JSON) in one append message, unless a single command is larger.
+Maximum size of the entries of an append message, in bytes of JSON; a single larger entry is sent alone.
 */
 export const MAX_BATCH_BYTES = 262_144;
 /**
-Most unanswered append messages with entries per follower.
+Maximum number of unacknowledged append messages with entries per follower.
 */
 export const MAX_WINDOW_MESSAGES = 8;
 /**
-Most proposals that wait for their commit; more are refused.
+Maximum number of uncommitted proposals; further ones are refused.
 */
 export const MAX_PENDING_PROPOSALS = 4096;
 /**
-Most linearizable reads that wait; more are refused.
+Maximum number of queued linearizable reads; further ones are refused.
 */
 export const MAX_PENDING_READS = 4096;
 /**
-Largest command in bytes of JSON, unless a group's settings say otherwise.
+Default for the maximum size of a command, in bytes of JSON.
 */
 export const MAX_COMMAND_BYTES = 1_048_576;
 /**
-Largest snapshot in bytes of JSON: it travels in one message.
+Maximum size of a snapshot, in bytes of JSON; a snapshot is sent in one message.
 */
 export const MAX_SNAPSHOT_BYTES = 33_554_432;
 /**
-Bytes of log after the snapshot at which a new snapshot is asked for, or the size of the last snapshot if that is
-larger: disk and restart stay proportional to the live state, and the cost of snapshots to that of the commands.
+A snapshot is requested once the entries since the last one exceed this size or that of the last snapshot, whichever is
+larger. Disk use and restart time thus stay proportional to the live state, and the cost of snapshots to that of the commands.
 */
 export const MIN_COMPACTION_BYTES = 65_536;
 /**
-Entries kept in memory after a compaction, so that a follower slightly behind needs no snapshot.
+Number of entries kept in memory after a compaction, so that a follower slightly behind needs no snapshot.
 */
 export const RETAINED_ENTRIES = 256;
 /**
-Milliseconds between the announcements of a host that is not yet a member.
+Interval of the announcements of a host that has no group or no leader.
 */
 export const ANNOUNCEMENT_INTERVAL_MILLISECONDS = 1000;
 /**
-Milliseconds after which a host that was not heard counts as unreachable for repairs.
+A host that sent nothing for this long counts as unreachable when repairs are planned.
 */
 export const REACHABLE_MILLISECONDS = 3000;
--- a/packages/wagtailroute-replication/src/disk.ts
+++ b/packages/wagtailroute-replication/src/disk.ts
@@ -1,5 +1,5 @@
 /**
-The few file operations that the durable store needs, so that a test can put a faulty disk in their place.
+File operations of the durable store, as an interface so that tests can inject disk failures.
 */
 import type {Buffer} from 'node:buffer';
 import * as fs from 'node:fs/promises';
@@ -15,34 +15,34 @@
 };
 
 /**
-File operations; each rejects with the error of the system.
+File operations; each rejects with the system's error.
 */
 export type Disk = {
 	/**
-	Makes the folder and its parents last.
+	Creates a folder and missing parents, and syncs its entry in the parent folder.
 	*/
 	readonly createFolder: (folder: string) => Promise<void>;
 	/**
-	Reads a whole file; undefined if there is none.
+	Reads a file; undefined if it does not exist.
 	*/
 	readonly read: (file: string) => Promise<Buffer | undefined>;
 	/**
-	Opens for appending; `isNew` empties it first.
+	Opens a file for appending; `isNew` truncates it first.
 	*/
 	readonly open: (file: string, isNew: boolean) => Promise<DiskFile>;
 	/**
-	Cuts a file and syncs it.
+	Truncates a file to a length and syncs it.
 	*/
 	readonly truncate: (file: string, length: number) => Promise<void>;
 	readonly rename: (from: string, to: string) => Promise<void>;
 	/**
-	Makes created and renamed files in a folder last.
+	Makes files created or renamed in a folder durable.
 	*/
 	readonly syncFolder: (folder: string) => Promise<void>;
 };
 
 /**
-Creates the disk of this machine.
+Creates the implementation on this machine's file system.
 */
 export function createDisk(): Disk {
 	return {
--- a/packages/wagtailroute-replication/src/durable-store.ts
+++ b/packages/wagtailroute-replication/src/durable-store.ts
@@ -1,7 +1,7 @@
 /**
-The store of a host with a disk: one file of records, the first of which holds a whole state and the others the writes
-since. A snapshot starts a new file, put in place by a rename: after a crash there is either the old file or the new one,
-and restart time and disk use follow the live state.
+The store on disk: one file of records, of which the first holds a full state and the others the writes since then. A
+snapshot starts a new file that replaces the old one by a rename: after a crash either one is in place, and restart time and
+disk use stay proportional to the live state.
 */
 import * as path from 'node:path';
 import * as results from 'ts-results-es';
@@ -20,7 +20,7 @@
 type OpenFile = {
 	file: disks.DiskFile | undefined;
 	/**
-	Checksum of the last record of the file.
+	Checksum of the file's last record.
 	*/
 	checksum: number;
 	state: replica.DurableState | undefined;
@@ -28,7 +28,7 @@
 };
 
 /**
-Creates a store in a folder of its own.
+Creates a store. The folder must not be shared with another store.
 */
 export function createDurableStore(folder: string, disk: disks.Disk = disks.createDisk()): stores.Store {
 	const open: OpenFile = {
@@ -47,8 +47,8 @@
 }
 
 /**
-Runs a write; a failure is for good. After a failed sync the system may have dropped the pages and report the next sync as
-done, so a store that tried again could confirm what isn't there.
+Runs a write unless an earlier one failed. Failures are permanent: after a failed sync the system may drop the dirty pages
+and report the next sync as successful, so a retry could confirm data that is not on disk.
 */
 async function runUnlessFailed(open: OpenFile, run: () => Promise<void>): Promise<Written> {
 	if (open.failure !== undefined) {
@@ -79,7 +79,7 @@
 		}
 
 		const read = records.parseRecords(bytes);
-		// The file was put in place whole, so its first record can't be torn.
+		// The first record can't be torn: the file was renamed only after it was synced.
 		if (read.isCorrupt || read.values.length === 0) {
 			return results.Err(core.createFailure('corrupt', `The record at byte ${read.length} of ${file} is damaged.`));
 		}
@@ -108,7 +108,7 @@
 }
 
 /**
-Adds writes as one record, so that a crash tears at most the last record of the file.
+Appends writes as one record, so that a crash tears at most the last record of the file.
 */
 async function appendRecord(open: OpenFile, folder: string, disk: disks.Disk, writes: readonly replica.Write[]): Promise<void> {
 	let state = open.state!;
--- a/packages/wagtailroute-replication/src/election.ts
+++ b/packages/wagtailroute-replication/src/election.ts
@@ -1,5 +1,5 @@
 /**
-Elections: pre-vote, vote, leader stickiness and the change of roles.
+Elections: pre-vote, vote, leader stickiness and changes of role.
 */
 import * as log from './log.ts';
 import * as members from './members.ts';
@@ -8,7 +8,7 @@
 import * as steps from './step.ts';
 
 /**
-Draws the next election timeout.
+Draws a new election timeout at random.
 */
 export function resetElectionTimer(step: steps.StepContext): void {
 	const {minElectionTimeoutMs, maxElectionTimeoutMs} = step.draft.settings;
@@ -16,10 +16,10 @@
 }
 
 /**
-Becomes a follower, of a newer term or of the same.
+Becomes a follower in the same or a newer term.
 
-A leader that steps down answers its waiting proposals `unknown`: they are in its log and a later leader may commit them,
-so neither yes nor no would be true.
+A leader that steps down answers its pending proposals with `unknown`: they are in its log, and a later leader may or may not
+commit them.
 */
 export function becomeFollower(step: steps.StepContext, term: number, leader: members.MemberId | null): void {
 	const {draft} = step;
@@ -42,7 +42,7 @@
 }
 
 /**
-Answers everything that waits at a leader which no longer leads.
+Answers all pending proposals with `unknown` and all pending reads with `not-leader`.
 */
 export function abandonRequests(step: steps.StepContext, leader: members.MemberId | null): void {
 	const {draft} = step;
@@ -60,10 +60,10 @@
 }
 
 /**
-Asks the other voters whether they would vote for this one.
+Asks the other voters whether they would vote for this replica.
 
-Without this round a host that was cut off would come back with a higher term and depose a healthy leader; one would
-notice elections whenever a partition heals.
+Without a pre-vote, a host that was partitioned would return with a higher term and depose a healthy leader, so that each
+healed partition would cause an election.
 */
 export function startPreVote(step: steps.StepContext): void {
 	const {draft} = step;
@@ -88,8 +88,9 @@
 }
 
 /**
-Says whether this replica may stand for election: as a voter, or as one whose removal is in its log but not committed. The
-others may still count on the latter, and refused its longer log they could never elect anyone. It doesn't count itself.
+Returns whether this replica may campaign: it is a voter, or its removal is in its log but not committed. In the second case
+the others may lack that entry and still need this replica's vote, which it denies to candidates with a shorter log; if it
+couldn't campaign, no one could be elected. Its own vote doesn't count then.
 */
 function canCampaign(step: steps.StepContext): boolean {
 	const {draft} = step;
@@ -107,7 +108,7 @@
 	draft.votes = new Set();
 	draft.pendingMessages = [];
 	step.isHardStateChanged = true;
-	// The own vote counts once the write of this step is durable.
+	// The replica's own vote counts once this step's write is durable.
 	draft.voteSequence = draft.lastSequence + 1;
 	resetElectionTimer(step);
 	const body = createRequest(step, 'vote');
@@ -129,10 +130,10 @@
 }
 
 /**
-Says whether a live leader was heard within the shortest election timeout.
+Returns whether this replica leads or has heard from its leader within the minimum election timeout.
 
-While it was, vote requests are ignored: a host that hears nobody but is heard (a one-way partition), or one that was
-removed and does not know it, cannot depose a leader that serves the others.
+If so, it ignores vote requests: a host that can send but not receive (a one-way partition), or that doesn't know of its own
+removal, must not depose a leader that serves the others.
 */
 export function isLeaderLive(step: steps.StepContext): boolean {
 	const {draft} = step;
@@ -141,7 +142,7 @@
 }
 
 /**
-Answers a pre-vote; nothing changes here.
+Answers a pre-vote request without changing any state.
 */
 export function receivePreVote(step: steps.StepContext, message: messages.VoteRequest): void {
 	const {draft} = step;
@@ -154,7 +155,7 @@
 }
 
 /**
-Counts a pre-vote. A refusal from a newer term brings this replica to that term, or it would never be electable.
+Counts a pre-vote. A refusal from a newer term moves this replica to that term; otherwise it could never be elected.
 */
 export function receivePreVoteAnswer(step: steps.StepContext, message: messages.VoteAnswer): void {
 	const {draft} = step;
@@ -177,8 +178,8 @@
 }
 
 /**
-Votes, at most once a term, for a candidate whose log holds everything this one holds. The answer waits for the vote to
-be durable: a host that forgot its vote in a crash could vote twice, and a term would have two leaders.
+Votes, at most once per term, for a candidate whose log is at least as up-to-date as this one. The response waits until the
+vote is durable: a host that lost its vote in a crash could vote twice, and the term could have two leaders.
 */
 export function receiveVote(step: steps.StepContext, message: messages.VoteRequest): void {
 	const {draft} = step;
@@ -197,7 +198,7 @@
 }
 
 /**
-Counts a vote.
+Handles the response to a vote request; responses of other terms are ignored.
 */
 export function receiveVoteAnswer(step: steps.StepContext, message: messages.VoteAnswer): void {
 	if (message.granted && message.term === step.draft.term) {
@@ -206,7 +207,7 @@
 }
 
 /**
-Counts a vote of this term and takes the lead with a quorum.
+Counts a vote of the current term and becomes leader once a quorum has voted for this replica.
 */
 export function countVote(step: steps.StepContext, voter: members.MemberId): void {
 	const {draft} = step;
--- a/packages/wagtailroute-replication/src/engine.ts
+++ b/packages/wagtailroute-replication/src/engine.ts
@@ -1,8 +1,8 @@
 /**
 The replication engine: a Raft replica as a pure state machine.
 
-Every event is handled by one entry of a table; then, in a fixed order, the leader commits and answers reads, committed
-entries are applied and the changes of the durable state become one write.
+Each event is dispatched to its handler; then, in a fixed order, the leader advances its commit index, committed entries are
+applied, reads are answered, and all changes of the durable state become one write.
 */
 import type * as core from 'wagtailroute-core';
 import * as committing from './committing.ts';
@@ -18,7 +18,7 @@
 import * as steps from './step.ts';
 
 /**
-Settings with the default timings.
+Returns settings with defaults for those not given.
 */
 export function createSettings(
 	settings: Pick<replica.ReplicaSettings, 'group' | 'self'> & Partial<replica.ReplicaSettings>,
@@ -37,8 +37,8 @@
 }
 
 /**
-The durable state of a member that has just come to be. `first` is empty for a host that will join or create a group;
-otherwise all of the members listed must start with the same list.
+Returns the durable state of a new member. `initialMembers` is empty for a host that will join or bootstrap a group; otherwise
+all the listed members must start with the same list.
 */
 export function createDurableState(self: members.MemberId, initialMembers: readonly members.Member[]): replica.DurableState {
 	return {
@@ -54,8 +54,8 @@
 }
 
 /**
-Creates a replica from what its store held. The caller restores the state machine from the snapshot, if its index is above
-0, before the first step; that step hands out the entries known to be committed.
+Creates a replica from its stored state. Before the first step, the caller has to restore the state machine from the snapshot
+if its index is above 0; the first step emits the entries known to be committed.
 */
 export function createReplica(
 	settings: replica.ReplicaSettings,
@@ -135,12 +135,12 @@
 };
 
 /**
-Events that still get an answer after the store failed.
+Events that are still answered after a store failure.
 */
 const ANSWERED_WHEN_FAILED: ReadonlySet<replica.ReplicaEvent['kind']> = new Set(['propose', 'read', 'change-members']);
 
 /**
-Runs one event.
+Handles one event and returns the new state with its effects.
 */
 export const stepReplica: replica.ReplicaStep = (state, event, circumstances) => {
 	if (state.role === 'failed' && !ANSWERED_WHEN_FAILED.has(event.kind)) {
@@ -174,7 +174,7 @@
 }
 
 /**
-A leader that committed its own removal stops leading.
+A leader steps down once its own removal is committed.
 */
 function stepDownIfRemoved(step: steps.StepContext): void {
 	const {draft} = step;
@@ -198,14 +198,14 @@
 }
 
 /**
-Says whether this replica never took part in a group.
+Returns whether this replica has never been a member of a group.
 */
 export function isEmpty(state: replica.Replica): boolean {
 	return log.getLastIndex(state) === 0 && state.members.length === 0;
 }
 
 /**
-Monotonic time at which the replica wants its next tick; `Infinity` for a leader without other members.
+Returns the monotonic time in milliseconds of the next tick; `Infinity` for a leader without other members.
 */
 export function getNextTick(state: replica.Replica): number {
 	return state.role === 'leader' ? Math.min(...state.progress.values().map(progress => progress.heartbeatDueAt)) : state.electionDueAt;
@@ -229,7 +229,7 @@
 };
 
 /**
-Messages whose term is only a question or the answer to one.
+Pre-votes carry the term of a possible election, which doesn't change the receiver's term.
 */
 const TERM_INDEPENDENT_KINDS: ReadonlySet<messages.Message['kind']> = new Set(['pre-vote', 'pre-vote-answer']);
 const LEADER_KINDS: ReadonlySet<messages.Message['kind']> = new Set(['append', 'install']);
@@ -237,7 +237,7 @@
 function receive(step: steps.StepContext, message: messages.Message): void {
 	const {draft} = step;
 	const {group, self} = draft.settings;
-	// A message to the old identity of a host that lost its state is not for this member.
+	// A message to an earlier incarnation of this host is not for this member.
 	const isAddressedHere = message.group === group && message.to === self;
 	const isIgnoredVote = message.kind === 'vote' && election.isLeaderLive(step);
 	if (!isAddressedHere || isIgnoredVote) {
@@ -262,7 +262,7 @@
 }
 
 /**
-Tells a leader of an older term of the newer one, so that it stops; anything else of an older term is dropped.
+Reports the newer term to a leader of an older one, so that it steps down. Other messages of an older term are dropped.
 */
 function rejectStale(step: steps.StepContext, message: messages.Message): void {
 	if (LEADER_KINDS.has(message.kind)) {
@@ -287,8 +287,8 @@
 }
 
 /**
-Stops for good. After a failed sync nobody knows what the disk holds, and a second sync may say yes to pages that were
-dropped; a replica that went on could acknowledge what is not there.
+Stops permanently. After a failed sync the contents of the disk are unknown, and a second sync may succeed although dirty
+pages were dropped; a replica that continued could acknowledge entries that are not on disk.
 */
 function stop(step: steps.StepContext): void {
 	const {draft} = step;
--- a/packages/wagtailroute-replication/src/formation.ts
+++ b/packages/wagtailroute-replication/src/formation.ts
@@ -1,15 +1,15 @@
 /**
-How hosts without a group come to one: by announcing themselves, and by creating it.
+Cluster formation: hosts without a group announce themselves to join one or to bootstrap it.
 
-Every host starts with a random incarnation and no members. It announces itself to the others; the leader, if there is one,
-takes it in by a repair. A group is created by the first of its hosts alone, once all the others have answered its
-announcement and said that their logs are empty.
+Every host starts with a random incarnation and no members, and announces itself to the others. If there is a leader, it adds
+the host by a membership change. A new group is bootstrapped only by the first of its initial hosts, once all the others have
+answered its announcement with an empty log.
 
-What goes wrong with a plain list of members and a flag for the first start: the flag stays in the settings, the first host
-loses its disk and starts again as if the group were new; with the hosts that lag behind it finds a quorum, and accepted
-changes are gone. Here it can't: the others' answers name the incarnation of this start, so they were sent after the old
-process had ended; if all of them were empty then, no entry of an earlier group was ever acknowledged by any of them and so
-none was accepted. One that is not empty prevents the creation. The price is that all first hosts must be up together once.
+A static list of members with a first-start flag is unsafe: if the flag stays in the settings and the first host loses its
+disk, it starts as if the group were new, forms a quorum with hosts that lag behind, and committed entries are lost. Here the
+others' answers name the incarnation of this start, so they were sent after the previous process had ended; if all their logs
+are empty, none of them has acknowledged an entry of an earlier group, and so none was committed. A single log that is not
+empty prevents the bootstrap. The cost is that all initial hosts must be up at the same time once.
 */
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
@@ -20,7 +20,7 @@
 import type * as runner from './runner.ts';
 
 /**
-Sends and takes announcements.
+Sends and receives announcements.
 */
 export type Formation = {
 	readonly receive: (announcement: group.Announcement) => void;
@@ -28,7 +28,7 @@
 };
 
 /**
-Starts announcing at once and then every {@link constants.ANNOUNCEMENT_INTERVAL_MILLISECONDS}.
+Sends announcements at once and then every {@link constants.ANNOUNCEMENT_INTERVAL_MILLISECONDS}.
 */
 export function createFormation(
 	options: group.GroupOptions,
@@ -93,7 +93,8 @@
 }
 
 /**
-A member that hears no leader announces itself too: it may have been removed while it was cut off.
+Returns whether this host is not a member or has no leader. A member without a leader may have been removed while it was
+partitioned, so it announces itself too.
 */
 function isWithoutGroup(loop: runner.ReplicaLoop): boolean {
 	const {leader, members: listed, settings} = loop.getState();
--- a/packages/wagtailroute-replication/src/group.ts
+++ b/packages/wagtailroute-replication/src/group.ts
@@ -1,5 +1,5 @@
 /**
-A group as its user sees it: what it needs, what it offers, and its start from what the store holds.
+The public interface of a replicated group, and its start from the stored state.
 */
 import * as crypto from 'node:crypto';
 import * as results from 'ts-results-es';
@@ -14,8 +14,8 @@
 import type * as stores from './store.ts';
 
 /**
-What a group replicates. Commands and snapshots are JSON values; `apply` must be deterministic and must not throw: a command
-that can't be carried out is answered by a value that says so.
+The replicated state machine. Commands and snapshots are JSON values. `apply` must be deterministic and must not throw; for a
+command that can't be carried out it returns a value that describes the failure.
 */
 export type StateMachine = {
 	readonly apply: (command: unknown, token: replica.FencingToken) => unknown;
@@ -24,18 +24,18 @@
 };
 
 /**
-Sent by a host that is not a member, or hears no leader, so that the leader learns its incarnation.
+Sent by a host that is not a member or has no leader, so that the leader gets to know its incarnation.
 */
 export type Announcement = {
 	readonly kind: 'announce';
 	readonly group: string;
 	readonly from: members.MemberId;
 	/**
-	The member last heard from at the receiving host; null if none was.
+	The member last announced by the receiving host; null if there is none.
 	*/
 	readonly to: members.MemberId | null;
 	/**
-	The sender's log is empty: it never took part in this group.
+	Whether the sender's log is empty, that is, it has never been a member of this group.
 	*/
 	readonly isEmpty: boolean;
 };
@@ -46,8 +46,8 @@
 export type GroupMessage = messages.Message | Announcement;
 
 /**
-`not-leader` and `refused`: not taken, so a resend is safe. `unknown`: may have been taken. `closed`: this group was closed
-or its store failed; what was proposed before may have been taken.
+`not-leader` and `refused`: the request had no effect, so a retry is safe. `unknown`: the command may be committed. `closed`:
+this group was closed; commands proposed before may be committed.
 */
 export type GroupFailure = core.Failure<'not-leader' | 'refused' | 'unknown' | 'closed'> & {
 	/**
@@ -58,7 +58,7 @@
 };
 
 /**
-A command's result with its place in the order.
+The result of a committed command, with its position in the log.
 */
 export type Applied = {
 	readonly value: unknown;
@@ -66,14 +66,14 @@
 };
 
 /**
-The hosts of a group that may have to be created. It is safe to give them at every start; see the module `formation`.
+The first members of a group that may have to be bootstrapped. Safe to pass at every start; see the module `formation`.
 */
 export type InitialMembers = {
 	readonly hosts: readonly core.HostId[];
 };
 
 /**
-What a group needs.
+Dependencies and settings of a group.
 */
 export type GroupOptions = {
 	readonly group: string;
@@ -89,19 +89,19 @@
 	readonly schedule: (delayMs: number, run: () => void) => utils.Teardown;
 	readonly initialMembers?: InitialMembers;
 	/**
-	Hosts to announce this one to while it is not a member or hears no leader.
+	Hosts that this one announces itself to while it is not a member or has no leader.
 	*/
 	readonly getSeeds?: () => readonly core.HostId[];
 	readonly createIncarnation?: () => string;
 	readonly settings?: Partial<replica.ReplicaSettings>;
 	/**
-	Told when the store failed: this replica stopped and its process should be restarted or repaired.
+	Called once after a store failure. The replica has stopped; its process should be restarted or its disk repaired.
 	*/
 	readonly onStopped?: (failure: stores.StoreFailure) => void;
 };
 
 /**
-What a group tells of itself.
+Status of a replica; `commit` and `applied` are log indexes.
 */
 export type GroupStatus = {
 	readonly self: members.MemberId;
@@ -119,17 +119,17 @@
 export type Group = {
 	readonly receive: (message: GroupMessage) => void;
 	/**
-	Proposes a command; answered once it is committed and applied here.
+	Proposes a command; resolves once it is committed and applied on this host.
 	*/
 	readonly propose: (command: unknown) => Promise<results.Result<Applied, GroupFailure>>;
 	/**
-	Answered once everything accepted before the call is applied here; a read after it is linearizable.
+	Resolves once all commands committed before the call are applied on this host; a read after it is linearizable.
 	*/
 	readonly readBarrier: () => Promise<results.Result<replica.FencingToken, GroupFailure>>;
 	readonly changeMembers: (change: members.MembershipChange) => Promise<results.Result<replica.FencingToken, GroupFailure>>;
 	/**
-	Makes the next step, if any, towards the wanted hosts: call it on the leader every second or so. Hosts not named are
-	removed.
+	Makes the next membership change, if any, towards the wanted hosts; other hosts are removed. To be called on the leader
+	about every second.
 	*/
 	readonly reconcile: (
 		wanted: ReadonlyArray<Pick<repair.WantedHost, 'host' | 'role'>>,
@@ -141,7 +141,7 @@
 const INCARNATION_BYTES = 6;
 
 /**
-Loads the store and starts the replica.
+Loads the stored state, or creates an empty one with a new incarnation, and starts the replica.
 */
 export async function createGroup(options: GroupOptions): Promise<results.Result<Group, stores.StoreFailure>> {
 	const loaded = await options.store.load();
--- a/packages/wagtailroute-replication/src/index.ts
+++ b/packages/wagtailroute-replication/src/index.ts
@@ -1,5 +1,5 @@
 /**
-Replication: a Raft engine as a pure state machine, its stores, and the runner that ties them to timers and messages.
+Raft replication: an engine as a pure state machine, its stores, and a runner that connects them to timers and messages.
 */
 export {
 	createDurableState,
--- a/packages/wagtailroute-replication/src/log.ts
+++ b/packages/wagtailroute-replication/src/log.ts
@@ -1,38 +1,38 @@
 /**
-Queries over the log in memory.
+Queries on the part of the log held in memory.
 */
 import type * as members from './members.ts';
 import type * as messages from './messages.ts';
 import type * as replica from './replica.ts';
 
 /**
-The part of a replica that these queries read.
+The entries in memory and the base that precedes them.
 */
 export type Log = Pick<replica.Replica, 'base' | 'log'>;
 
 /**
-Index of the last entry.
+Returns the index of the last entry; that of the base if there is none.
 */
 export function getLastIndex(log: Log): number {
 	return log.base.index + log.log.length;
 }
 
 /**
-Term of the last entry.
+Returns the term of the last entry; that of the base if there is none.
 */
 export function getLastTerm(log: Log): number {
 	return log.log.at(-1)?.term ?? log.base.term;
 }
 
 /**
-Term of the entry at an index; undefined before the base and after the end.
+Returns the term of the entry at an index; undefined before the base and after the last entry.
 */
 export function getTerm(log: Log, index: number): number | undefined {
 	return index === log.base.index ? log.base.term : log.log[index - log.base.index - 1]?.term;
 }
 
 /**
-Entries from an index on.
+Returns the entries from one index to another, both included.
 */
 export function getEntries(log: Log, from: number, to = Infinity): readonly messages.Entry[] {
 	return log.log.slice(Math.max(0, from - log.base.index - 1), Math.max(0, to - log.base.index));
@@ -53,7 +53,7 @@
 }
 
 /**
-Says whether a log that ends at this place holds at least everything that this one does.
+Returns whether a log with this last term and index is at least as up-to-date as this one, as Raft defines it for votes.
 */
 export function isUpToDate(log: Log, lastTerm: number, lastIndex: number): boolean {
 	const ownTerm = getLastTerm(log);
--- a/packages/wagtailroute-replication/src/members.ts
+++ b/packages/wagtailroute-replication/src/members.ts
@@ -1,8 +1,8 @@
 /**
-Members of a group and quorums over them.
+Members of a group, and quorums.
 
-A member is a host AND its incarnation. A host that lost its state comes back with a fresh incarnation and so as another
-member: nothing that the lost state promised (a vote, an acknowledged entry) can be counted from the new one.
+A member is identified by its host and incarnation. A host that lost its state rejoins with a new incarnation, as a new
+member, so that votes and acknowledgements of the lost state are not attributed to it.
 */
 import type * as core from 'wagtailroute-core';
 
@@ -12,12 +12,12 @@
 export type MemberId = string;
 
 /**
-Voters count towards quorums; learners only receive the log.
+Voters count towards quorums; learners only replicate the log.
 */
 export type MemberRole = 'voter' | 'learner';
 
 /**
-A member of a group.
+A member of a group; stored in log entries and snapshots.
 */
 export type Member = {
 	readonly id: MemberId;
@@ -25,8 +25,7 @@
 };
 
 /**
-One step of a membership change. Each changes at most one voter, so that a quorum before and one after always share a
-member.
+A single-server membership change. It adds or removes at most one voter, so any quorum before it overlaps any quorum after it.
 */
 export type MembershipChange =
 	| {readonly kind: 'add-learner'; readonly member: MemberId}
@@ -36,42 +35,42 @@
 const SEPARATOR = '~';
 
 /**
-Writes the identity of a member.
+Returns `host~incarnation`.
 */
 export function createMemberId(host: core.HostId, incarnation: string): MemberId {
 	return `${host}${SEPARATOR}${incarnation}`;
 }
 
 /**
-Returns the host of a member.
+Returns the host part of a member's identity.
 */
 export function getMemberHost(id: MemberId): core.HostId {
 	return id.slice(0, id.lastIndexOf(SEPARATOR));
 }
 
 /**
-Returns the voters.
+Returns the members that count towards quorums, in the order given.
 */
 export function getVoters(members: readonly Member[]): readonly Member[] {
 	return members.filter(member => member.role === 'voter');
 }
 
 /**
-Says whether the member is a voter.
+Returns whether the list contains the member as a voter.
 */
 export function isVoter(members: readonly Member[], id: MemberId): boolean {
 	return members.some(member => member.id === id && member.role === 'voter');
 }
 
 /**
-Number of voters that make a quorum.
+Returns the majority of a number of voters.
 */
 export function getQuorum(voters: number): number {
 	return Math.floor(voters / 2) + 1;
 }
 
 /**
-Says whether the voters that satisfy the predicate are a quorum.
+Returns whether the voters that satisfy the predicate form a quorum.
 */
 export function isQuorum(members: readonly Member[], predicate: (id: MemberId) => boolean): boolean {
 	const voters = getVoters(members);
@@ -86,7 +85,7 @@
 };
 
 /**
-Returns the members after a change.
+Returns the members after a change, without checking that the change is allowed.
 */
 export function changeMembers(members: readonly Member[], change: MembershipChange): readonly Member[] {
 	return CHANGES[change.kind](members, change.member);
--- a/packages/wagtailroute-replication/src/messages.ts
+++ b/packages/wagtailroute-replication/src/messages.ts
@@ -1,15 +1,15 @@
 /**
-Log entries and the messages between replicas. All are JSON values.
+Log entries and the messages between replicas. All are JSON values; log entries are also stored on disk.
 */
 import type * as members from './members.ts';
 
 /**
-`empty` opens a leader's term, `members` changes the group (its value is the list of members).
+`empty`: the first entry of a leader's term. `members`: a membership change; its value is the new list of members.
 */
 export type EntryKind = 'command' | 'members' | 'empty';
 
 /**
-An entry of the log.
+An entry of the replicated log; indexes start at 1.
 */
 export type Entry = {
 	readonly index: number;
@@ -17,13 +17,13 @@
 	readonly kind: EntryKind;
 	readonly value: unknown;
 	/**
-	Size of the value as JSON in bytes (in UTF-16 units, which is close enough for bounds).
+	Size of the value as JSON, counted in UTF-16 units; used for limits only.
 	*/
 	readonly bytes: number;
 };
 
 /**
-The state after the entry at `index`, with the members at that place of the log.
+The state machine's state after the entry at `index`, with the members in force at that index.
 */
 export type Snapshot = {
 	readonly index: number;
@@ -42,7 +42,7 @@
 };
 
 /**
-Asks for a vote. `pre-vote` asks whether a vote would be given and changes nothing.
+Requests a vote. `pre-vote` asks whether the receiver would grant one and changes no state.
 */
 export type VoteRequest = Envelope<'pre-vote' | 'vote'> & {
 	readonly lastIndex: number;
@@ -50,14 +50,14 @@
 };
 
 /**
-Answers a vote request; `term` is that of the request if granted.
+Response to a vote request; if granted, `term` is that of the request.
 */
 export type VoteAnswer = Envelope<'pre-vote-answer' | 'vote-answer'> & {
 	readonly granted: boolean;
 };
 
 /**
-Entries after `previousIndex`, or none: a heartbeat.
+Entries that follow `previousIndex`; a heartbeat if there are none.
 */
 export type Append = Envelope<'append'> & {
 	readonly previousIndex: number;
@@ -65,13 +65,13 @@
 	readonly entries: readonly Entry[];
 	readonly commit: number;
 	/**
-	Read round of the leader; echoed in the answer.
+	The leader's read round, echoed in the response.
 	*/
 	readonly round: number;
 };
 
 /**
-Answers `append` and `install`. Sent only once everything up to `match` is durable at the sender.
+Response to `append` and `install`, sent once all entries up to `match` are durable on the sender.
 */
 export type AppendAnswer = Envelope<'append-answer'> & {
 	readonly accepted: boolean;
@@ -80,14 +80,14 @@
 	*/
 	readonly previousIndex: number;
 	/**
-	Accepted: last index known to equal the leader's log. Rejected: the highest index that may still be equal.
+	If accepted, the last index known to match the leader's log; if rejected, the highest index that may match.
 	*/
 	readonly match: number;
 	readonly round: number;
 };
 
 /**
-A whole snapshot for a follower whose next entry the leader no longer keeps.
+A snapshot for a follower whose next entry the leader has already compacted.
 */
 export type Install = Envelope<'install'> & {
 	readonly snapshot: Snapshot;
--- a/packages/wagtailroute-replication/src/observation.ts
+++ b/packages/wagtailroute-replication/src/observation.ts
@@ -1,5 +1,5 @@
 /**
-What a leader sees of the members and of hosts that want to join.
+A leader's view of the members and of hosts that want to join.
 */
 import type * as core from 'wagtailroute-core';
 import type * as group from './group.ts';
@@ -9,7 +9,7 @@
 import type * as replica from './replica.ts';
 
 /**
-Returns the members as this replica sees them; only a leader knows who is live.
+Returns the members as this replica sees them. Only a leader knows which others are live and caught up.
 */
 export function observeMembers(state: replica.Replica, now: number): readonly repair.ObservedMember[] {
 	return state.members.map(member => {
@@ -24,16 +24,16 @@
 }
 
 /**
-Announcements heard lately.
+Recently received announcements, the last one of each host.
 */
 export type Announcements = {
 	readonly add: (announcement: group.Announcement, now: number) => void;
 	/**
-	The last announcement of a host, unless it is too old.
+	Returns the last announcement of a host, unless it is older than {@link constants.REACHABLE_MILLISECONDS}.
 	*/
 	readonly get: (host: core.HostId, now: number) => group.Announcement | undefined;
 	/**
-	Adds to each wanted host the member that runs there now.
+	Adds to each wanted host the member that runs there now: from its last announcement, else the live member of the group.
 	*/
 	readonly resolveMembers: (
 		state: replica.Replica,
@@ -43,7 +43,7 @@
 };
 
 /**
-Creates an empty table, one row a host.
+Creates an empty table; it has at most one announcement per host.
 */
 export function createAnnouncements(): Announcements {
 	const latest = new Map<core.HostId, {readonly announcement: group.Announcement; readonly at: number}>();
--- a/packages/wagtailroute-replication/src/receiving.ts
+++ b/packages/wagtailroute-replication/src/receiving.ts
@@ -1,5 +1,5 @@
 /**
-The follower's side of replication: appends and snapshots.
+The follower's side of replication: append messages and snapshots.
 */
 import * as election from './election.ts';
 import * as log from './log.ts';
@@ -19,7 +19,7 @@
 }
 
 /**
-Takes entries that follow on this log; answers once they are durable.
+Appends entries that continue this log, and responds once they are durable. Rejects entries whose predecessor doesn't match.
 */
 export function receiveAppend(step: steps.StepContext, message: messages.Append): void {
 	const {draft} = step;
@@ -43,8 +43,8 @@
 }
 
 /**
-Replaces the log from the first entry that differs. Entries that are already there are kept: a late, reordered message
-must not cut off what came after it and was acknowledged.
+Replaces the log from the first entry that differs. Matching entries are kept, since a late or reordered message must not
+truncate later entries that were acknowledged.
 */
 function appendMissingEntries(step: steps.StepContext, entries: readonly messages.Entry[]): void {
 	const {draft} = step;
@@ -55,7 +55,7 @@
 }
 
 /**
-The highest index at which the leader's log may still agree: a whole conflicting term is skipped in one round.
+Returns the highest index at which the leader's log may match. Skips a whole conflicting term per round trip.
 */
 function findPossibleMatch(step: steps.StepContext, previousIndex: number): number {
 	const {draft} = step;
@@ -73,7 +73,7 @@
 }
 
 /**
-Replaces the state by a snapshot. What follows in the log is kept only if the log agrees at the snapshot's end.
+Installs a snapshot. Later entries of the log are kept only if the log contains the snapshot's last entry.
 */
 export function receiveInstall(step: steps.StepContext, message: messages.Install): void {
 	const {draft} = step;
--- a/packages/wagtailroute-replication/src/records.ts
+++ b/packages/wagtailroute-replication/src/records.ts
@@ -1,12 +1,12 @@
 /**
-Records of a log file: one a line, `checksum length json`, checksum (CRC-32) and length in hexadecimal. The checksum runs on
-from that of the record before: without that, a record that is whole but missing, twice there or in the wrong place would be
-taken, and a member of a quorum would come back with a state that never was, its votes and acknowledged entries gone.
-
-JSON has no line breaks and no zero bytes, which is what tells a torn write from damage. A write that a crash tore lacks
-its end, or has zero bytes where blocks were not written; it was never acknowledged and is cut off. Anything else that
-doesn't match its checksum was once synced and acknowledged: cutting it off would make this host forget what it promised,
-so it is reported.
+Records of a log file, one per line: `checksum length json`, with the CRC-32 checksum and the length in hexadecimal.
+
+Each checksum continues that of the previous record. With independent checksums, records that are lost, repeated or out of
+order would go unnoticed, and a voter could restart without votes and entries that it has acknowledged.
+
+Serialized JSON contains no line breaks and no zero bytes, so a torn write can be told from corruption. A write interrupted
+by a crash lacks its end or has zero bytes where blocks were not written; it was never acknowledged and is truncated. Any
+other record that doesn't match its checksum was once synced and may have been acknowledged, so it is reported as corrupt.
 */
 import {Buffer} from 'node:buffer';
 import * as zlib from 'node:zlib';
@@ -18,28 +18,28 @@
 const LINE_BREAK = 10;
 
 /**
-What a file holds. `length`: bytes up to the end of the last whole record. `isCorrupt`: a record before or at the end is
-damaged.
+Contents of a file. `length`: bytes up to the end of the last valid record. `isCorrupt`: the record that starts there is
+corrupt, not merely torn.
 */
 export type Records = {
 	readonly values: readonly unknown[];
 	readonly length: number;
 	readonly isCorrupt: boolean;
 	/**
-	Checksum of the last whole record, from which that of the next one runs on.
+	Checksum of the last valid record, which the next record's checksum continues.
 	*/
 	readonly checksum: number;
 };
 
 /**
-A record as bytes, with its checksum.
+A serialized record with its checksum.
 */
 export type FormattedRecord = {readonly bytes: Buffer; readonly checksum: number};
 
 /**
-Writes a record.
+Serializes a record.
 
-@param previous Checksum of the record before it, 0 for the first one of a file.
+@param previous Checksum of the previous record; 0 for the first one of a file.
 */
 export function formatRecord(value: unknown, previous: number): FormattedRecord {
 	const json = Buffer.from(JSON.stringify(value));
@@ -50,7 +50,7 @@
 }
 
 /**
-Reads the records of a file.
+Parses records up to the first invalid one.
 */
 export function parseRecords(file: Buffer): Records {
 	const values: unknown[] = [];
@@ -91,8 +91,8 @@
 }
 
 /**
-Says whether the rest of a file is one write that a crash tore. One write is one record, so its line break can only be the
-last byte.
+Returns whether the rest of a file is a single write torn by a crash. One write is one record, so its line break can only
+be the last byte.
 */
 function isTorn(rest: Buffer): boolean {
 	const lineBreak = rest.indexOf(LINE_BREAK);
@@ -101,7 +101,7 @@
 		return false;
 	}
 
-	// Two records whose line break became a zero byte look like one line: the first of them was synced, as another followed.
+	// If a line break was corrupted to a zero byte, two records look like one; the first was synced before the second was written.
 	const [, length] = readHeader(rest);
 	if (rest.length > HEADER_BYTES + length + 1) {
 		return false;
--- a/packages/wagtailroute-replication/src/repair.ts
+++ b/packages/wagtailroute-replication/src/repair.ts
@@ -1,16 +1,16 @@
 /**
-Plans the next single step that brings the members of a group in line with the wanted hosts.
+Plans the next membership change that brings the members of a group in line with the wanted hosts.
 
-A host that lost its state comes as another incarnation, and the order is: the new one becomes a learner; it catches up; the
-lost identity is removed; the new one is promoted. A lost identity never acknowledges anything, so its removal takes no copy
-of an accepted change away and the quorum doesn't grow. Promoted before the removal, the new one would raise the quorum
-while the lost one is still counted: three voters with one lost would be four, of which three are needed, and if the host
-is lost again at that moment the group could never agree again, not even on a repair.
+A host that lost its state returns with a new incarnation. The new member is added as a learner and catches up; then the lost
+member is removed, and the new one is promoted. The lost member acknowledges nothing any more, so its removal neither
+reduces the number of copies of committed entries nor raises the quorum. If the new member were promoted first, three voters with one
+lost would become four with a quorum of three; if the host were lost again at that moment, no quorum would remain, and the
+group could commit nothing, not even another membership change.
 
-A voter that still answers and is no longer wanted goes the other way round: its replacement is promoted first, so that an
-accepted change is never on fewer hosts than before.
+A live voter that is no longer wanted is replaced in the opposite order: its replacement is promoted first, so that committed
+entries are never on fewer hosts than before.
 
-Each step changes one voter at most, so quorums before and after overlap; the engine checks each step again.
+Each change affects at most one voter, so that the quorums before and after overlap; the engine checks each change again.
 */
 import type * as core from 'wagtailroute-core';
 import * as members from './members.ts';
@@ -20,11 +20,11 @@
 */
 export type ObservedMember = members.Member & {
 	/**
-	Answered lately.
+	Has responded to the leader within `REACHABLE_MILLISECONDS`.
 	*/
 	readonly isLive: boolean;
 	/**
-	Holds durably everything that is committed.
+	Holds all committed entries durably.
 	*/
 	readonly isCaughtUp: boolean;
 };
@@ -36,13 +36,13 @@
 	readonly host: core.HostId;
 	readonly role: members.MemberRole;
 	/**
-	The member that runs there now; null while none was heard.
+	The member that runs on the host now; null if unknown.
 	*/
 	readonly current: members.MemberId | null;
 };
 
 /**
-Returns the next step, or undefined if none is needed or possible now.
+Returns the next membership change; undefined if none is needed or possible now.
 */
 export function planRepair(
 	observed: readonly ObservedMember[],
@@ -72,8 +72,8 @@
 }
 
 /**
-A voter that is not wanted goes when enough others remain. A dead one also goes when its host's new incarnation is ready,
-or when no wanted host could take its place now.
+An unwanted voter is removed if there are more voters than wanted. An unwanted voter that isn't live is also removed if its
+host's new incarnation is ready, or if no wanted host is available to replace it.
 */
 function planVoterRemoval(observed: readonly ObservedMember[], wanted: readonly WantedHost[]): members.MembershipChange | undefined {
 	const voters = observed.filter(member => member.role === 'voter');
@@ -82,7 +82,7 @@
 	const isReplacementComing = wantedVoters.some(item => item.current !== null && voters.every(voter => voter.id !== item.current));
 	const isReplaceable = (voter: ObservedMember) =>
 		!isReplacementComing || observed.some(member => isReady(member) && isSameHost(member, voter));
-	// Dead ones first; each removal must leave a quorum of live voters.
+	// Removes voters that aren't live first; each removal must leave a quorum of live voters.
 	const candidates = voters
 		.filter(voter => !isKept(voter, wantedVoters))
 		.filter(voter => hasEnough || (!voter.isLive && isReplaceable(voter)))
@@ -92,8 +92,8 @@
 }
 
 /**
-A member stays while its host is wanted, unless another incarnation runs there. A host that is merely silent stays: it may
-come back with its state.
+A member is kept while its host is wanted, unless another incarnation runs there. The member of a silent host is kept too,
+since the host may return with its state.
 */
 function isKept(member: ObservedMember, wanted: readonly WantedHost[]): boolean {
 	const host = members.getMemberHost(member.id);
@@ -101,7 +101,7 @@
 }
 
 /**
-A voter whose host came back as another incarnation is lost, even if it answered a moment ago.
+A voter whose host returned with another incarnation counts as lost, even if it has responded recently.
 */
 function hasLiveQuorum(voters: readonly ObservedMember[], wanted: readonly WantedHost[]): boolean {
 	const isLost = (voter: ObservedMember) => wanted.some(item =>
--- a/packages/wagtailroute-replication/src/replica.ts
+++ b/packages/wagtailroute-replication/src/replica.ts
@@ -1,19 +1,19 @@
 /**
-The state of a replica, what happens to it and what it asks to be done.
+The state of a replica, its events and its effects.
 
-The state is immutable from the outside: a step copies what it changes.
+The state is immutable; a step returns a modified copy.
 */
 import type * as core from 'wagtailroute-core';
 import type * as members from './members.ts';
 import type * as messages from './messages.ts';
 
 /**
-`failed`: the store refused a write; the replica takes no further part until its process restarts.
+`failed`: a write to the store failed; the replica is stopped until its process restarts.
 */
 export type Role = 'follower' | 'pre-candidate' | 'candidate' | 'leader' | 'failed';
 
 /**
-Settings of a replica; times in milliseconds, sizes in bytes of JSON.
+Settings of a replica; sizes are in bytes of JSON. The module `constants` describes the defaults.
 */
 export type ReplicaSettings = {
 	readonly group: string;
@@ -24,43 +24,52 @@
 	readonly minElectionTimeoutMs: number;
 	readonly maxElectionTimeoutMs: number;
 	readonly minCompactionBytes: number;
-	readonly retainedEntries: number;
 	/**
-	Largest command in bytes of JSON.
+	Number of entries kept in memory after a compaction.
 	*/
+	readonly retainedEntries: number;
 	readonly maxCommandBytes: number;
 };
 
 /**
-What a leader knows of another member.
+A leader's view of another member.
 */
 export type Progress = {
 	/**
-	Last index known to be durable there and equal to the leader's.
+	Last index at which the member's log is known to match the leader's and to be durable.
 	*/
 	readonly matchIndex: number;
+	/**
+	Index of the next entry to send.
+	*/
 	readonly nextIndex: number;
 	/**
-	Last index of each unanswered append with entries.
+	Last index of each unacknowledged append message with entries.
 	*/
 	readonly inFlightIndexes: readonly number[];
 	/**
-	While true the place where the logs agree is unknown: one message at a time.
+	True while it is unknown where the logs match; only one message is in flight then.
 	*/
 	readonly isProbing: boolean;
+	/**
+	`matchIndex` at the last heartbeat, to detect a stalled window.
+	*/
 	readonly matchIndexAtHeartbeat: number;
+	/**
+	Last commit index sent.
+	*/
 	readonly sentCommit: number;
 	readonly lastResponseAt: number;
 	readonly snapshotSentAt: number;
 	readonly heartbeatDueAt: number;
 	/**
-	Last read round it confirmed.
+	Last read round that the member has confirmed.
 	*/
 	readonly confirmedReadRound: number;
 };
 
 /**
-The place in the log before its first entry in memory.
+Position of the entry before the first one in memory, with the members in force there.
 */
 export type LogBase = {
 	readonly index: number;
@@ -69,14 +78,14 @@
 };
 
 /**
-What a store holds for one replica.
+The state of a replica that its store persists.
 */
 export type DurableState = {
 	readonly self: members.MemberId;
 	readonly term: number;
 	readonly votedFor: members.MemberId | null;
 	/**
-	A committed index; may lag.
+	An index known to be committed; may lag behind.
 	*/
 	readonly commit: number;
 	readonly snapshot: messages.Snapshot;
@@ -84,8 +93,8 @@
 };
 
 /**
-A change of the durable state. With `from`, entries at and after that index are replaced by `entries`. A snapshot
-replaces the entries it covers.
+A change of the durable state. With `from`, the entries at and after that index are replaced by `entries`. A snapshot
+replaces the entries it covers. `sequence` numbers the writes of a process.
 */
 export type Write = {
 	readonly sequence: number;
@@ -98,7 +107,7 @@
 };
 
 /**
-A replica.
+The state of a replica. `commit` and `applied` are log indexes; times are monotonic, in milliseconds.
 */
 export type Replica = {
 	readonly settings: ReplicaSettings;
@@ -112,7 +121,7 @@
 	readonly applied: number;
 	readonly members: readonly members.Member[];
 	/**
-	Index of the entry that set the members; the base's index if no entry in memory did.
+	Index of the entry that set the current members; that of the base if no entry in memory did.
 	*/
 	readonly membersIndex: number;
 	readonly leader: members.MemberId | null;
@@ -120,38 +129,56 @@
 	readonly electionDueAt: number;
 	readonly votes: ReadonlySet<members.MemberId>;
 	/**
-	Sequence of the write that holds the candidate's vote for itself.
+	Sequence of the write that contains the candidate's vote for itself.
 	*/
 	readonly voteSequence: number;
+	/**
+	Sequence of the last write issued.
+	*/
 	readonly lastSequence: number;
+	/**
+	Sequence of the last write known to be durable.
+	*/
 	readonly persistedSequence: number;
 	readonly unsyncedWrites: ReadonlyArray<{readonly sequence: number; readonly lastIndex: number}>;
+	/**
+	Index of the last entry known to be durable on this host.
+	*/
 	readonly durableIndex: number;
 	/**
-	Messages that wait until the write of their sequence is durable.
+	Messages to send once the write of the given sequence is durable.
 	*/
 	readonly pendingMessages: ReadonlyArray<{readonly sequence: number; readonly message: messages.Message}>;
 	/**
-	Index of the entry that opened the leader's term.
+	Index of the first entry of the leader's term.
 	*/
 	readonly termStartIndex: number;
 	readonly progress: ReadonlyMap<members.MemberId, Progress>;
+	/**
+	Proposals and membership changes that are appended but not yet committed.
+	*/
 	readonly pendingProposals: ReadonlyArray<{readonly index: number; readonly id: string}>;
 	readonly readRound: number;
+	/**
+	Identifiers of the reads in the current round.
+	*/
 	readonly activeReads: readonly string[];
+	/**
+	Identifiers of the reads that wait for the next round.
+	*/
 	readonly queuedReads: readonly string[];
 	/**
-	Bytes of entries after the snapshot.
+	Size of the entries after the snapshot, in bytes of JSON.
 	*/
 	readonly bytesSinceSnapshot: number;
 	/**
-	Index at which the last snapshot was asked for.
+	Index at which the last snapshot was requested.
 	*/
 	readonly snapshotRequestedIndex: number;
 };
 
 /**
-Why a proposal or read was refused: it was definitely not taken.
+Why a request was refused. A refused request had no effect.
 */
 export type RefusalReason =
 	| 'too-many-pending'
@@ -166,8 +193,8 @@
 	| 'quorum-at-risk';
 
 /**
-What happened to a proposal, a membership change or a read. `unknown`: appended, then leadership was lost; it may or may
-not be taken. `not-leader` and `refused`: definitely not taken.
+The outcome of a proposal, a membership change or a read. `unknown`: leadership was lost after the entry was appended, so it
+may or may not be committed. `not-leader` and `refused`: the request had no effect.
 */
 export type Answer =
 	| {readonly outcome: 'done'; readonly token: FencingToken}
@@ -176,7 +203,7 @@
 	| {readonly outcome: 'unknown'};
 
 /**
-Orders the applied changes of a group. Effects outside carry it; receivers refuse one lower than the highest they saw.
+Orders the commands of a group. External effects carry it; a receiver refuses a token lower than the highest it has seen.
 */
 export type FencingToken = {
 	readonly term: number;
@@ -184,7 +211,7 @@
 };
 
 /**
-A command to propose, with an identifier unique in this process.
+A command to propose; `id` is unique in this process, `bytes` is the size of the command as JSON.
 */
 export type Proposal = {
 	readonly id: string;
@@ -193,7 +220,7 @@
 };
 
 /**
-What can happen to a replica.
+Input of a step.
 */
 export type ReplicaEvent =
 	| {readonly kind: 'tick'}
@@ -207,8 +234,8 @@
 	| {readonly kind: 'snapshot-taken'; readonly index: number; readonly state: unknown; readonly bytes: number};
 
 /**
-What a replica asks to be done, in order. `take-snapshot` is answered by `snapshot-taken` right away, before anything
-else is applied.
+Output of a step, to be carried out in order. `take-snapshot` has to be answered by the event `snapshot-taken` before any other
+command is applied.
 */
 export type ReplicaEffect =
 	| {readonly kind: 'send'; readonly message: messages.Message}
--- a/packages/wagtailroute-replication/src/requests.ts
+++ b/packages/wagtailroute-replication/src/requests.ts
@@ -1,5 +1,5 @@
 /**
-Requests to a replica: proposals, reads and membership changes.
+Local requests to a replica: proposals, reads and membership changes.
 */
 import * as committing from './committing.ts';
 import * as constants from './constants.ts';
@@ -27,7 +27,7 @@
 }
 
 /**
-Appends commands in one batch.
+Appends the accepted commands to the log as one batch; the others are refused.
 */
 export function propose(step: steps.StepContext, proposals: readonly replica.Proposal[]): void {
 	const {draft} = step;
@@ -61,7 +61,7 @@
 }
 
 /**
-Queues linearizable reads.
+Queues linearizable reads; `advanceReads` starts their round.
 */
 export function queueReads(step: steps.StepContext, ids: readonly string[]): void {
 	const {draft} = step;
@@ -75,7 +75,7 @@
 }
 
 /**
-Makes the first entry of a new group: its members. Only an empty replica does; the others get it as any entry.
+Bootstraps a group: appends the entry with its first members, on an empty replica only. The others receive it by replication.
 */
 export function bootstrapGroup(step: steps.StepContext, initialMembers: readonly members.Member[]): void {
 	const {draft} = step;
@@ -88,15 +88,15 @@
 	steps.replaceLog(step, 1, [{
 		index: 1, term: 0, kind: 'members', value: initialMembers, bytes,
 	}]);
-	// Nobody leads yet, so there is nothing to wait for.
+	// There is no leader yet, so the election starts at once.
 	draft.electionDueAt = step.now;
 }
 
 /**
-Starts one membership change.
+Starts a membership change.
 
-One at a time, and only after an entry of this term was committed: two changes that are both uncommitted, from two
-leaders, could have quorums without a common member, and two leaders would commit different entries.
+Changes are made one at a time, and only after an entry of the current term is committed. Otherwise two leaders could each
+have an uncommitted change, their quorums might not overlap, and both could commit different entries at the same index.
 */
 export function requestMembershipChange(step: steps.StepContext, id: string, change: members.MembershipChange): void {
 	const {draft} = step;
@@ -138,8 +138,8 @@
 			return member === undefined ? 'not-a-member' : 'already-voter';
 		}
 
-		// A new voter must hold durably what is committed. Promoted earlier it would count for quorums with a log that
-		// lacks accepted changes; the loss of a second host would then leave a majority without them.
+		// A new voter must hold all committed entries durably. If it were promoted earlier, it would count towards quorums
+		// without them, and the loss of another host could leave a majority that lacks committed entries.
 		const isCaughtUp = draft.progress.get(id)!.matchIndex >= draft.commit && committing.isRecentlyActive(draft, id, step.now);
 		return isCaughtUp ? findQuorumRisk(step, {kind: 'promote', member: id}) : 'not-caught-up';
 	},
@@ -150,7 +150,7 @@
 };
 
 /**
-A change after which the voters heard lately are no quorum could never be committed, and would block every later one.
+Refuses a change after which the recently active voters form no quorum: it might never commit, and would block later changes.
 */
 function findQuorumRisk(step: steps.StepContext, change: members.MembershipChange): replica.RefusalReason | undefined {
 	const {draft} = step;
--- a/packages/wagtailroute-replication/src/runner.ts
+++ b/packages/wagtailroute-replication/src/runner.ts
@@ -1,5 +1,5 @@
 /**
-Runs one replica: timers, messages, the store and the state machine, all on one thread.
+Runs a replica: connects the engine to timers, messages, the store and the state machine.
 */
 import * as results from 'ts-results-es';
 import * as core from 'wagtailroute-core';
@@ -20,7 +20,7 @@
 };
 
 /**
-The part of a running replica that takes events.
+Passes events to the engine and carries out its effects.
 */
 export type ReplicaLoop = {
 	readonly getState: () => replica.Replica;
@@ -29,7 +29,7 @@
 };
 
 /**
-Starts a replica from its durable state.
+Starts a replica from its durable state and returns its public interface.
 */
 export function runReplica(options: group.GroupOptions, restored: replica.DurableState): group.Group {
 	const {clock} = options;
@@ -94,7 +94,7 @@
 }
 
 /**
-Events in, effects out. An event that an effect brings about waits until the effects before it are done.
+Creates the loop of a replica. Events raised while effects are carried out are queued until all effects of the step are done.
 */
 function createReplicaLoop(options: group.GroupOptions, restored: replica.DurableState, pendingRequests: waiters.Waiters): ReplicaLoop {
 	const {clock, random, stateMachine, store} = options;
@@ -200,7 +200,7 @@
 };
 
 /**
-Collects the requests of one turn of the loop into one event.
+Batches the requests of one event loop turn into one event.
 */
 function createBatches(dispatch: ReplicaLoop['dispatch']): Batches {
 	let proposals: replica.Proposal[] = [];
--- a/packages/wagtailroute-replication/src/sending.ts
+++ b/packages/wagtailroute-replication/src/sending.ts
@@ -1,5 +1,5 @@
 /**
-The leader's side of replication: what is sent to whom, and the start of its term.
+The leader's side of replication: the start of its term, and the messages to its followers.
 */
 import * as constants from './constants.ts';
 import * as log from './log.ts';
@@ -9,8 +9,8 @@
 import * as steps from './step.ts';
 
 /**
-Takes the lead: an empty entry opens the term. Entries of earlier terms are committed only through it, since counting
-copies of an older entry does not keep a later leader from replacing it.
+Becomes leader and appends an empty entry of the new term. Entries of earlier terms are committed only through an entry of this
+term, since a later leader may still replace an older entry that a quorum holds.
 */
 export function becomeLeader(step: steps.StepContext): void {
 	const {draft} = step;
@@ -39,7 +39,7 @@
 }
 
 /**
-Brings the table of followers in line with the members.
+Updates the table of followers after a change of the members.
 */
 export function refreshProgress(step: steps.StepContext): void {
 	const {draft} = step;
@@ -73,7 +73,7 @@
 }
 
 /**
-Sends every follower what it lacks, as far as its window allows.
+Sends each follower the entries it lacks, within its window.
 */
 export function broadcastEntries(step: steps.StepContext): void {
 	for (const id of step.draft.progress.keys()) {
@@ -82,7 +82,7 @@
 }
 
 /**
-Sends a message to each voter at once, so that they confirm the read round.
+Sends a message to each voter at once, so that the voters confirm the read round.
 */
 export function broadcastReadRound(step: steps.StepContext): void {
 	for (const member of step.draft.members) {
@@ -93,10 +93,10 @@
 }
 
 /**
-Sends heartbeats that are due.
+Sends the heartbeats that are due.
 
-A window without any progress since the last heartbeat was lost: it is sent anew, one message at a time. Without this a
-single lost message would stall that follower for as long as the leader lives.
+If the window made no progress since the last heartbeat, its messages are considered lost and resent, one message at a time.
+Otherwise a single lost message would stall the follower until the next election.
 */
 export function sendHeartbeats(step: steps.StepContext): void {
 	const {draft} = step;
@@ -129,7 +129,7 @@
 }
 
 /**
-Tells followers of a new commit index, with entries if there are any for them.
+Sends a new commit index to the followers, with the entries that they lack, if any.
 */
 export function broadcastCommit(step: steps.StepContext): void {
 	for (const [id, progress] of step.draft.progress) {
@@ -147,7 +147,7 @@
 }
 
 /**
-Sends a follower what it lacks; says whether anything was sent.
+Sends a follower the entries it lacks, or a snapshot; returns whether anything was sent.
 */
 export function sendMissingEntries(step: steps.StepContext, id: members.MemberId): boolean {
 	const {draft} = step;
@@ -181,7 +181,7 @@
 		nextIndex: progress.isProbing ? progress.nextIndex : last + 1,
 		inFlightIndexes: [...progress.inFlightIndexes, last],
 		sentCommit: draft.commit,
-		// The next heartbeat notices if this one is lost.
+		// Ensures that a loss of this message is detected by a timely heartbeat.
 		heartbeatDueAt: Math.min(progress.heartbeatDueAt, step.now + draft.settings.heartbeatIntervalMs),
 	});
 }
--- a/packages/wagtailroute-replication/src/step.ts
+++ b/packages/wagtailroute-replication/src/step.ts
@@ -1,9 +1,9 @@
 /**
-A step in progress: a copy of the replica that the step may change, and what it collected so far.
+The context of a step: a mutable draft of the replica, and the effects collected so far.
 
-At the end of a step its changes of the durable state become one write, and the messages that promise something (votes,
-acknowledgements) wait for that write. Without this a host that crashes after an acknowledgement and before its sync
-would forget an entry that the leader counted: an accepted change would be gone after the next election.
+At the end of a step, all changes of the durable state become one write; votes and acknowledgements are sent only once that
+write is durable. Otherwise a host that crashes between an acknowledgement and its sync would lose an entry that the leader
+has counted, and a committed entry could be missing after the next election.
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
@@ -15,14 +15,14 @@
 type Mutable<Value> = {-readonly [Key in keyof Value]: Value[Key]};
 
 /**
-The replica inside a step; its progress map is a copy.
+A mutable copy of the replica; its progress map is copied too.
 */
 export type Draft = Mutable<Omit<replica.Replica, 'progress'>> & {
 	progress: Map<members.MemberId, replica.Progress>;
 };
 
 /**
-A step in progress.
+The draft, the inputs and the effects of one step.
 */
 export type StepContext = {
 	readonly draft: Draft;
@@ -30,10 +30,16 @@
 	readonly random: () => number;
 	readonly effects: replica.ReplicaEffect[];
 	/**
-	Messages that wait for everything written so far.
+	Messages to send once all changes made so far are durable.
 	*/
 	readonly messagesAfterWrite: messages.Message[];
+	/**
+	Whether the term or the vote changed.
+	*/
 	isHardStateChanged: boolean;
+	/**
+	Index from which on the log was replaced.
+	*/
 	firstChangedIndex: number | undefined;
 	newSnapshot: messages.Snapshot | undefined;
 };
@@ -46,7 +52,7 @@
 	: never;
 
 /**
-Opens a step.
+Creates the context of a step on a replica, which itself stays unchanged.
 */
 export function startStep(state: replica.Replica, circumstances: core.Circumstances): StepContext {
 	return {
@@ -62,14 +68,14 @@
 }
 
 /**
-Sends at once: for messages that promise nothing about this replica's durable state.
+Sends a message at once; only for messages that don't depend on this replica's durable state.
 */
 export function send(step: StepContext, to: members.MemberId, body: MessageBody, term: number = step.draft.term): void {
 	step.effects.push({kind: 'send', message: createMessage(step, to, body, term)});
 }
 
 /**
-Sends once everything changed so far is durable.
+Sends a message once all changes made so far are durable.
 */
 export function sendWhenDurable(step: StepContext, to: members.MemberId, body: MessageBody): void {
 	step.messagesAfterWrite.push(createMessage(step, to, body, step.draft.term));
@@ -87,7 +93,7 @@
 }
 
 /**
-Replaces the log from an index on.
+Replaces the entries of the log at and after an index.
 */
 export function replaceLog(step: StepContext, from: number, entries: readonly messages.Entry[]): void {
 	const {draft} = step;
@@ -103,8 +109,8 @@
 }
 
 /**
-Takes the members from the last entry that sets them. They hold from the moment the entry is in the log, committed or
-not: that is what keeps two successive quorums overlapping.
+Sets the members from the last entry that changes them. They are in force as soon as the entry is in the log, committed or
+not, so that the quorums before and after a change overlap.
 */
 export function refreshMembers(draft: Draft): void {
 	const found = log.findMembers(draft, log.getLastIndex(draft));
@@ -113,7 +119,7 @@
 }
 
 /**
-Closes a step: one write for all changes, promises held until it is durable.
+Ends a step: combines all changes into one write and holds back the messages that depend on it.
 */
 export function finishStep(step: StepContext): core.Transition<replica.Replica, replica.ReplicaEffect> {
 	const {draft} = step;
@@ -137,7 +143,7 @@
 	const from = step.firstChangedIndex;
 	draft.lastSequence++;
 	if (from !== undefined) {
-		// A replaced entry is no longer the one an earlier write made durable.
+		// Earlier writes made the replaced entries durable, not the new ones.
 		draft.durableIndex = Math.min(draft.durableIndex, from - 1);
 		draft.unsyncedWrites = draft.unsyncedWrites.map(item => ({...item, lastIndex: Math.min(item.lastIndex, from - 1)}));
 	}
--- a/packages/wagtailroute-replication/src/store.ts
+++ b/packages/wagtailroute-replication/src/store.ts
@@ -1,37 +1,36 @@
 /**
-What a replica needs of a store, and the store that keeps nothing over a restart.
+The interface of a replica's store, and a volatile store.
 */
 import * as results from 'ts-results-es';
 import type * as core from 'wagtailroute-core';
 import type * as replica from './replica.ts';
 
 /**
-`corrupt`: a record that was once synced is damaged; the host must come back as a new member. `unusable`: the disk refused
-a read, write or sync.
+`corrupt`: a synced record is corrupt, and the host must rejoin as a new member. `unusable`: a read, write or sync failed.
 */
 export type StoreFailure = core.Failure<'corrupt' | 'unusable'>;
 
 /**
-Keeps the durable state of one replica. Calls are made one at a time. After a failure every later write fails.
+Persists the state of one replica. Calls must not overlap. After a failure, all later writes fail.
 */
 export type Store = {
 	/**
-	Reads what is kept; undefined if nothing was created yet.
+	Reads the stored state; undefined if none has been created.
 	*/
 	readonly load: () => Promise<results.Result<replica.DurableState | undefined, StoreFailure>>;
 	/**
-	Keeps the first state.
+	Persists the initial state.
 	*/
 	readonly create: (state: replica.DurableState) => Promise<results.Result<void, StoreFailure>>;
 	/**
-	Keeps several writes with one sync; done once they are durable.
+	Persists several writes with one sync; resolves once they are durable.
 	*/
 	readonly write: (writes: readonly replica.Write[]) => Promise<results.Result<void, StoreFailure>>;
 	readonly close: () => Promise<void>;
 };
 
 /**
-Returns the durable state after a write.
+Returns the durable state that results from a write.
 */
 export function applyWrite(state: replica.DurableState, write: replica.Write): replica.DurableState {
 	const {
@@ -48,8 +47,8 @@
 }
 
 /**
-Creates a store in memory, for groups whose state need not outlive all of their hosts at once. A process that restarts is
-a new member.
+Creates a store that persists nothing, for groups whose state may be lost if all hosts restart at once. A restarted process
+is a new member.
 */
 export function createVolatileStore(): Store {
 	return {
--- a/packages/wagtailroute-replication/src/timer.ts
+++ b/packages/wagtailroute-replication/src/timer.ts
@@ -1,11 +1,11 @@
 /**
-One timer that is moved as the replica's next tick moves. A tick that moves later leaves the set timer as it is: heartbeats
-move it all the time, and it looks again when it fires.
+A timer for the replica's next tick. Postponing the tick leaves the scheduled timer in place, since every heartbeat postpones
+it; when the timer fires early, its callback sets it again.
 */
 import type * as utils from 'wagtailroute-utils';
 
 /**
-A timer for monotonic times in milliseconds.
+A timer set to monotonic times in milliseconds.
 */
 export type Timer = {
 	readonly set: (at: number) => void;
@@ -13,7 +13,7 @@
 };
 
 /**
-Creates a timer. `run` is called at or after the earliest time set since the last call; it sets the timer again.
+Creates a timer. `run` is called at or after the earliest time set since its last call and has to set the timer again.
 */
 export function createTimer(
 	clock: () => number,
--- a/packages/wagtailroute-replication/src/voters.ts
+++ b/packages/wagtailroute-replication/src/voters.ts
@@ -1,14 +1,14 @@
 /**
-Chooses which hosts vote in a group and which only follow.
+Chooses which hosts of a group are voters and which are learners.
 
-Voters that run keep their place; a host that is gone is replaced only when another can take its place, since each change of
-members is a risk and most hosts come back. New voters are taken from the failure domains with the fewest.
+Running voters stay voters. An absent voter is replaced only if another host is available, since every membership change
+carries a risk and most hosts return. New voters come from the failure domains with the fewest voters.
 */
 import type * as core from 'wagtailroute-core';
 import {getMemberHost, type Member, type MemberRole} from './members.ts';
 
 /**
-A host that belongs into a group.
+A host that should be a member, with its role.
 */
 export type WantedMember = {
 	readonly host: core.HostId;
@@ -16,23 +16,23 @@
 };
 
 /**
-What a choice is made from.
+The current members and the hosts to choose from.
 */
 export type MemberChoiceOptions = {
 	readonly members: readonly Member[];
 	/**
-	Hosts that run and may be members.
+	Running hosts that may be members.
 	*/
 	readonly runningHosts: ReadonlyArray<{readonly host: core.HostId; readonly failureDomain: core.FailureDomain}>;
 	/**
-	Says whether a host is gone for so long that another may take its place.
+	Returns whether a host has been absent long enough to be replaced.
 	*/
 	readonly isReplaceable: (host: core.HostId) => boolean;
 	readonly maxVoters: number;
 };
 
 /**
-Returns the hosts that belong into a group. A host that is gone stays as long as no other could vote in its place.
+Returns the hosts that should be members. An absent voter stays until another host can replace it.
 */
 export function chooseMembers(choice: MemberChoiceOptions): readonly WantedMember[] {
 	const {members, runningHosts, isReplaceable, maxVoters} = choice;
@@ -41,7 +41,7 @@
 	const hosts = [...new Set([...memberHosts.filter(host => isRunning(host) || !isReplaceable(host)), ...runningHosts.map(({host}) => host)])];
 	const targetVoters = Math.min(maxVoters, Math.max(hosts.length, countVoters(members)));
 	const voters = chooseVoters(choice, hosts, targetVoters);
-	// Without a host in its place, a lost voter stays: fewer voters would bear fewer losses.
+	// A lost voter without a replacement stays, since a smaller group tolerates fewer failures.
 	const keptVoters = memberHosts.filter(host => !hosts.includes(host) && isVoterHost(members, host)).slice(0, Math.max(0, targetVoters - voters.size));
 	return [
 		...hosts.map(host => ({host, role: voters.has(host) ? 'voter' : 'learner'} as const)),
--- a/packages/wagtailroute-replication/src/waiters.ts
+++ b/packages/wagtailroute-replication/src/waiters.ts
@@ -1,5 +1,5 @@
 /**
-Requests that wait for an answer of the replica.
+Requests that wait for the replica's answer.
 */
 import * as results from 'ts-results-es';
 import * as core from 'wagtailroute-core';
@@ -10,23 +10,26 @@
 type Result = results.Result<group.Applied, group.GroupFailure>;
 
 /**
-Waiting requests by identifier.
+Table of waiting requests by identifier.
 */
 export type Waiters = {
 	/**
-	Adds a request, starts it with its identifier and waits for its answer.
+	Adds a request, calls `start` with its identifier and resolves with its result.
 	*/
 	readonly add: (start: (id: string) => void) => Promise<Result>;
+	/**
+	Resolves a request with its applied command.
+	*/
 	readonly complete: (id: string, applied: group.Applied) => void;
 	readonly answer: (id: string, answer: replica.Answer) => void;
 	/**
-	Ends all requests.
+	Fails all requests with `closed`.
 	*/
 	readonly close: () => void;
 };
 
 /**
-Creates an empty table.
+Creates an empty table; identifiers are unique within it.
 */
 export function createWaiters(): Waiters {
 	const waiting = new Map<string, (result: Result) => void>();
--- a/packages/wagtailroute-replication/src/writer.ts
+++ b/packages/wagtailroute-replication/src/writer.ts
@@ -1,23 +1,23 @@
 /**
-Hands writes to the store one after another. Those that arrive during a sync share the next one, so that the rate of
-commands isn't bound to the rate of syncs.
+Group commit: passes writes to the store one batch at a time. Writes that arrive during a sync share the next one, so that
+the rate of commands is not limited by that of syncs.
 */
 import type * as replica from './replica.ts';
 import type * as stores from './store.ts';
 
 /**
-A queue of writes.
+A queue of writes to one store.
 */
 export type Writer = {
 	readonly add: (write: replica.Write) => void;
 	/**
-	Resolves once nothing is being written.
+	Resolves once the queue is empty or a write has failed.
 	*/
 	readonly wait: () => Promise<void>;
 };
 
 /**
-Creates an empty queue. After a failure nothing more is written.
+Creates a queue. `onWritten` gets the sequence of the last durable write. After a failure nothing more is written.
 */
 export function createWriter(
 	store: stores.Store,
@@ -43,7 +43,7 @@
 	};
 
 	const writeAll = async () => {
-		// Writes of the same turn of the loop share the first sync too.
+		// Lets all writes of the current event loop turn share the first sync.
 		await Promise.resolve();
 		while (hasWork()) {
 			await writeBatch(); // eslint-disable-line no-await-in-loop -- one sync at a time.
