--- a/packages/wagtailroute-host/src/services.ts
+++ b/packages/wagtailroute-host/src/services.ts
@@ -32,7 +32,7 @@
 Verdicts of detection on the upstreams of a service.
 */
 export type Verdicts = {
-	readonly getAdmission: (service: core.ServiceName, upstream: core.UpstreamId) => selection.Admission;
+	readonly getAdmission: (service: core.ServiceName, upstream: core.UpstreamId) => selection.EjectionState;
 	readonly isAvoided: (service: core.ServiceName, upstream: core.UpstreamId) => boolean;
 	/**
 	Monotonic time at which an upstream's ramp began; undefined when it is warm.
@@ -168,7 +168,7 @@
 	};
 
 	const chooseUpstream = ({excluded, requestClass}: proxy.ChoiceRequest) => selector.choose({
-		now: now(), random, excluded, trialAllowed: core.isIdempotent(requestClass),
+		now: now(), random, excluded, isTrialAllowed: core.isIdempotent(requestClass),
 	});
 
 	refresh();
@@ -214,13 +214,13 @@
 		failureDomain: upstream.failureDomain,
 		slots: upstream.slots,
 		state: upstream.state,
-		admission: verdicts.getAdmission(upstream.service, upstream.id),
-		avoided: verdicts.isAvoided(upstream.service, upstream.id),
-		rampStartedAt: verdicts.getRampStart(upstream.service, upstream.id),
+		ejectionState: verdicts.getAdmission(upstream.service, upstream.id),
+		isAvoided: verdicts.isAvoided(upstream.service, upstream.id),
+		rampUpStartedAt: verdicts.getRampStart(upstream.service, upstream.id),
 	};
 }
 
-const SELECTION_RESULTS: Readonly<Record<proxy.AttemptEnding, selection.Result>> = {
+const SELECTION_RESULTS: Readonly<Record<proxy.AttemptEnding, selection.RequestResult>> = {
 	success: 'success',
 	'server-error': 'failure',
 	shed: 'shed',
--- a/packages/wagtailroute-host/src/watches.ts
+++ b/packages/wagtailroute-host/src/watches.ts
@@ -35,7 +35,7 @@
 	readonly tick: (time: number, periods: WatchPeriods) => void;
 	readonly begin: (target: proxy.Target) => void;
 	readonly end: (report: proxy.AttemptReport) => void;
-	readonly getAdmission: (upstream: core.UpstreamId) => selection.Admission;
+	readonly getAdmission: (upstream: core.UpstreamId) => selection.EjectionState;
 	readonly isAvoided: (upstream: core.UpstreamId) => boolean;
 	readonly getRampStart: (upstream: core.UpstreamId) => number | undefined;
 	readonly stop: () => void;
@@ -82,7 +82,7 @@
 	cancelled: 'cancelled',
 };
 
-const ADMISSIONS: Readonly<Record<detection.Phase['kind'], selection.Admission>> = {
+const ADMISSIONS: Readonly<Record<detection.Phase['kind'], selection.EjectionState>> = {
 	serving: 'in',
 	requested: 'in',
 	ejected: 'ejected',
--- a/packages/wagtailroute-selection/src/__tests__/unit/selection.test.ts
+++ b/packages/wagtailroute-selection/src/__tests__/unit/selection.test.ts
@@ -10,55 +10,55 @@
 	readonly name: string;
 	readonly upstreams: ReadonlyArray<Partial<selection.Upstream>>;
 	/**
-	Requests that this host already has in flight, by upstream.
+	Requests that this host has in flight, by upstream.
 	*/
 	readonly outstanding?: readonly number[];
 	readonly excluded?: readonly string[];
-	readonly trialAllowed?: boolean;
+	readonly isTrialAllowed?: boolean;
 	/**
-	Upstreams that are chosen at least once in many choices.
+	Upstreams that are chosen at least once in 500 choices.
 	*/
 	readonly chosen: readonly string[];
 };
 
 const CASES: readonly Case[] = [
-	{name: 'none when there is none', upstreams: [], chosen: []},
-	{name: 'all that are alike', upstreams: [{}, {}, {}], chosen: ['0', '1', '2']},
-	{name: 'no draining one', upstreams: [{state: 'draining'}, {}], chosen: ['1']},
-	{name: 'no ejected one, even as the last', upstreams: [{admission: 'ejected'}], chosen: []},
+	{name: 'no upstream when there is none', upstreams: [], chosen: []},
+	{name: 'each of several equal upstreams', upstreams: [{}, {}, {}], chosen: ['0', '1', '2']},
+	{name: 'no draining upstream', upstreams: [{state: 'draining'}, {}], chosen: ['1']},
+	{name: 'no ejected upstream, even when there is no other', upstreams: [{ejectionState: 'ejected'}], chosen: []},
 	{
-		name: 'no excluded one', upstreams: [{}, {}], excluded: ['1'], chosen: ['0'],
+		name: 'no excluded upstream', upstreams: [{}, {}], excluded: ['1'], chosen: ['0'],
 	},
 	{
-		name: 'no full one', upstreams: [{}, {}], outstanding: [4, 3], chosen: ['1'],
+		name: 'no upstream without a free slot', upstreams: [{}, {}], outstanding: [4, 3], chosen: ['1'],
 	},
 	{
-		name: 'none when all are full', upstreams: [{}, {}], outstanding: [4, 4], chosen: [],
+		name: 'no upstream when none has a free slot', upstreams: [{}, {}], outstanding: [4, 4], chosen: [],
 	},
-	{name: 'one on trial now and then', upstreams: [{admission: 'trial'}, {}], chosen: ['0', '1']},
+	{name: 'an upstream on trial for some requests', upstreams: [{ejectionState: 'trial'}, {}], chosen: ['0', '1']},
 	{
-		name: 'none on trial for a request that must not run twice',
-		upstreams: [{admission: 'trial'}, {}],
-		trialAllowed: false,
+		name: 'no upstream on trial for a request that must not run twice',
+		upstreams: [{ejectionState: 'trial'}, {}],
+		isTrialAllowed: false,
 		chosen: ['1'],
 	},
 	{
-		name: 'an avoided one only as the last', upstreams: [{avoided: true}, {}], outstanding: [0, 3], chosen: ['1'],
+		name: 'no avoided upstream while another has a free slot', upstreams: [{isAvoided: true}, {}], outstanding: [0, 3], chosen: ['1'],
 	},
 	{
-		name: 'an avoided one when others are full', upstreams: [{avoided: true}, {}], outstanding: [0, 4], chosen: ['0'],
+		name: 'an avoided upstream when no other has a free slot', upstreams: [{isAvoided: true}, {}], outstanding: [0, 4], chosen: ['0'],
 	},
-	{name: 'the local one first', upstreams: [{failureDomain: 'a'}, {failureDomain: 'b'}], chosen: ['0']},
+	{name: 'a local upstream before a remote one', upstreams: [{failureDomain: 'a'}, {failureDomain: 'b'}], chosen: ['0']},
 	{
-		name: 'a remote one when the local one is busier',
+		name: 'a remote upstream when the local one has more requests in flight',
 		upstreams: [{failureDomain: 'a'}, {failureDomain: 'b'}],
 		outstanding: [2, 0],
 		chosen: ['1'],
 	},
-	{name: 'a ramping one now and then', upstreams: [{rampStartedAt: 0}, {}], chosen: ['0', '1']},
+	{name: 'an upstream that ramps up for some requests', upstreams: [{rampUpStartedAt: 0}, {}], chosen: ['0', '1']},
 ];
 
-for (const {name, upstreams, outstanding = [], excluded = [], trialAllowed, chosen} of CASES) {
+for (const {name, upstreams, outstanding = [], excluded = [], isTrialAllowed, chosen} of CASES) {
 	test(`chooses ${name}`, t => {
 		const selector = createSelector(upstreams);
 		for (const [index, count] of outstanding.entries()) {
@@ -74,7 +74,7 @@
 				now: 0,
 				random,
 				excluded: new Set(excluded),
-				trialAllowed,
+				isTrialAllowed,
 			});
 			if (id !== undefined) {
 				seen.add(id);
@@ -85,10 +85,9 @@
 	});
 }
 
-test('an upstream that fails at once does not draw the traffic', t => {
-	// Symptom: a broken server takes most requests, since it answers fastest and is never busy.
-	// Sequence: it fails each request within a millisecond.
-	// Cause: the latency of failures taken for that of work.
+test('an upstream that fails immediately does not attract traffic', t => {
+	// Guards against a broken server that receives most requests: it fails each request within a millisecond, so that it seems
+	// to be the fastest and is never busy when the latency of failures counts as that of successes.
 	const selector = createSelector([{}, {}]);
 	for (const [id, result] of [['0', 'failure'], ['1', 'success']] as const) {
 		for (let request = 0; request < 5; request++) {
@@ -101,7 +100,7 @@
 	t.is(selector.choose({now: 5, random}), '1');
 });
 
-test('a shed makes the host go elsewhere for a moment, longer each time', t => {
+test('an upstream is avoided after a shed, longer after each consecutive one', t => {
 	const selector = createSelector([{}, {}]);
 	const random = utils.createRandom(1);
 	const shed = (now: number): void => {
@@ -119,10 +118,9 @@
 	t.false(isAvoided(110));
 });
 
-test('an upstream that left and came back still counts what it has in flight', t => {
-	// Symptom: more requests at an upstream than it has slots.
-	// Sequence: its lease runs out while requests are in flight; it announces itself again.
-	// Cause: a record that is forgotten with the lease.
+test('an upstream that is removed and announced again keeps its count of requests in flight', t => {
+	// Guards against more requests at an upstream than it has slots: its lease expires while requests are in flight, its state
+	// is deleted with the lease, and it announces itself again.
 	const selector = createSelector([{}]);
 	selector.begin('0', 0);
 	selector.setUpstreams([]);
@@ -133,7 +131,7 @@
 	t.is(selector.getOutstanding('0'), 0);
 });
 
-test('the slots are dealt out to the carriers whole: none twice, none left over', t => {
+test('each slot is owned by exactly one carrier', t => {
 	const seed = 9;
 	t.log(`seed ${seed}`);
 	const slots = fc.array(fc.integer({min: 1, max: 8}), {minLength: 1, maxLength: 30});
@@ -150,13 +148,13 @@
 	}), {seed, numRuns: 100});
 });
 
-test('a choice is always allowed, and there is one whenever a naive search finds one', t => {
+test('the chosen upstream is eligible, and one is chosen whenever a naive search finds one', t => {
 	const seed = 4;
 	t.log(`seed ${seed}`);
 	const upstream = fc.record({
 		state: fc.constantFrom('serving' as const, 'draining' as const),
-		admission: fc.constantFrom('in' as const, 'ejected' as const),
-		avoided: fc.boolean(),
+		ejectionState: fc.constantFrom('in' as const, 'ejected' as const),
+		isAvoided: fc.boolean(),
 		failureDomain: fc.constantFrom('a', 'b'),
 		slots: fc.integer({min: 1, max: 4}),
 		outstanding: fc.nat({max: 4}),
@@ -169,8 +167,8 @@
 			}
 		}
 
-		const allowed = all.flatMap(({state, admission, outstanding, slots}, index) =>
-			state === 'serving' && admission === 'in' && outstanding < slots ? [String(index)] : []);
+		const allowed = all.flatMap(({state, ejectionState, outstanding, slots}, index) =>
+			state === 'serving' && ejectionState === 'in' && outstanding < slots ? [String(index)] : []);
 		const chosen = selector.choose({now: 0, random: utils.createRandom(chance)});
 		t.is(chosen === undefined, allowed.length === 0);
 		t.true(chosen === undefined || allowed.includes(chosen));
@@ -189,32 +187,32 @@
 		failureDomain: 'a',
 		slots: 4,
 		state: 'serving',
-		admission: 'in',
+		ejectionState: 'in',
 		...changes,
 	};
 }
 
 for (const {name, result, latencyMilliseconds, after, isChosen} of [
 	{
-		name: 'failed just now', result: 'failure', latencyMilliseconds: 2, after: 10, isChosen: false,
+		name: 'has just failed', result: 'failure', latencyMilliseconds: 2, after: 10, isChosen: false,
 	},
 	{
-		name: 'failed a while ago', result: 'failure', latencyMilliseconds: 2, after: 4000, isChosen: true,
+		name: 'failed 4 seconds ago', result: 'failure', latencyMilliseconds: 2, after: 4000, isChosen: true,
 	},
 	{
-		name: 'was slow a while ago', result: 'success', latencyMilliseconds: 2000, after: 4000, isChosen: false,
+		name: 'was slow 4 seconds ago', result: 'success', latencyMilliseconds: 2000, after: 4000, isChosen: false,
 	},
 	{
-		name: 'was slow long ago', result: 'success', latencyMilliseconds: 2000, after: 60_000, isChosen: true,
+		name: 'was slow 60 seconds ago', result: 'success', latencyMilliseconds: 2000, after: 60_000, isChosen: true,
 	},
 ] as const) {
-	test(`among idle ones, one that ${name} is ${isChosen ? 'tried again' : 'left alone'}`, t => {
-		// Symptom: a healthy upstream stays without work after a single failure; a sick one is never ejected.
-		// Sequence: a request fails; the others are idle, so that any estimate above theirs loses every comparison.
-		// Cause: an estimate that changes only when a request ends.
+	test(`among idle upstreams, one that ${name} is ${isChosen ? 'tried again' : 'not chosen'}`, t => {
+		// Guards against an estimate that changes only when a request ends: a request fails while the other upstreams are idle,
+		// so that any higher estimate loses every comparison. A healthy upstream then stays without requests, and a faulty one
+		// is never ejected for lack of evidence.
 		const selector = selection.createSelector({localFailureDomain: 'a'});
 		selector.setUpstreams(['0', '1', '2', '3'].map(id => ({
-			id, failureDomain: 'a', slots: 4, state: 'serving', admission: 'in',
+			id, failureDomain: 'a', slots: 4, state: 'serving', ejectionState: 'in',
 		})));
 		for (const id of ['1', '2', '3']) {
 			selector.begin(id, 0);
--- a/packages/wagtailroute-selection/src/bench/choosers.ts
+++ b/packages/wagtailroute-selection/src/bench/choosers.ts
@@ -1,22 +1,22 @@
 /**
-Ways to choose an upstream that the bench compares. Each host has its own chooser and knows only its own requests.
+Policies of choosing an upstream that the bench compares. Each host has its own chooser, which knows only its own requests.
 */
 import type * as utils from 'wagtailroute-utils';
 import * as selection from '../index.ts';
 
 /**
-The choice on one host.
+Chooser of one host. Upstreams are numbered from 0.
 */
 export type Chooser = {
 	readonly choose: (now: number, excluded: ReadonlySet<number>) => number | undefined;
 	readonly begin: (upstream: number, now: number) => void;
-	readonly end: (upstream: number, ending: selection.Ending) => void;
+	readonly end: (upstream: number, ended: selection.EndedRequest) => void;
 };
 
 /**
-Where a host and the upstreams are.
+The host of a chooser, and the sizes of the simulated fleet.
 */
-export type Place = {
+export type ChooserOptions = {
 	readonly host: number;
 	readonly hosts: number;
 	readonly upstreams: number;
@@ -26,35 +26,35 @@
 };
 
 /**
-Name of a way to choose.
+Name of a policy.
 */
 export type ChooserName = 'random' | 'least-outstanding' | 'power-of-two' | 'selector without shares' | 'selector';
 
 /**
-Ways to choose by name. `power-of-two` weighs requests in flight by peak-EWMA latency.
+Policies by name. `power-of-two` weights requests in flight by peak-EWMA latency. `selector` is the selector of this package.
 */
-export const CHOOSERS: Readonly<Record<ChooserName, (place: Place) => Chooser>> = {
-	random: place => createCounting(place, candidates =>
-		candidates[Math.floor(place.random() * candidates.length)]!.upstream),
-	'least-outstanding': place => createCounting(place, candidates => {
+export const CHOOSERS: Readonly<Record<ChooserName, (options: ChooserOptions) => Chooser>> = {
+	random: options => createOutstandingChooser(options, candidates =>
+		candidates[Math.floor(options.random() * candidates.length)]!.upstream),
+	'least-outstanding': options => createOutstandingChooser(options, candidates => {
 		const least = Math.min(...candidates.map(({outstanding}) => outstanding));
 		const tied = candidates.filter(({outstanding}) => outstanding === least);
-		return tied[Math.floor(place.random() * tied.length)]!.upstream;
+		return tied[Math.floor(options.random() * tied.length)]!.upstream;
 	}),
-	'power-of-two': createPowerOfTwo,
-	'selector without shares': place => createSelecting(place, {count: 1, rank: 0}),
-	selector: place => createSelecting(place, {count: place.hosts, rank: place.host}),
+	'power-of-two': createPowerOfTwoChooser,
+	'selector without shares': options => createSelectorChooser(options, {count: 1, rank: 0}),
+	selector: options => createSelectorChooser(options, {count: options.hosts, rank: options.host}),
 };
 
 type Candidate = {readonly upstream: number; readonly outstanding: number};
 
-function createCounting(place: Place, pick: (candidates: readonly Candidate[]) => number): Chooser {
-	const counts = Array.from({length: place.upstreams}, () => 0);
+function createOutstandingChooser(options: ChooserOptions, pick: (candidates: readonly Candidate[]) => number): Chooser {
+	const counts = Array.from({length: options.upstreams}, () => 0);
 	return {
 		choose(_now, excluded) {
 			const candidates = counts
 				.map((outstanding, upstream) => ({upstream, outstanding}))
-				.filter(({upstream, outstanding}) => outstanding < place.slots && !excluded.has(upstream));
+				.filter(({upstream, outstanding}) => outstanding < options.slots && !excluded.has(upstream));
 			return candidates.length === 0 ? undefined : pick(candidates);
 		},
 		begin(upstream) {
@@ -68,45 +68,45 @@
 
 const LATENCY_DECAY_MILLISECONDS = 3000;
 
-function createPowerOfTwo(place: Place): Chooser {
-	const latencies = Array.from({length: place.upstreams}, () => ({milliseconds: 1, at: 0}));
+function createPowerOfTwoChooser(options: ChooserOptions): Chooser {
+	const latencies = Array.from({length: options.upstreams}, () => ({milliseconds: 1, at: 0}));
 	const getCost = ({upstream, outstanding}: Candidate): number => (outstanding + 1) * latencies[upstream]!.milliseconds;
-	const counting = createCounting(place, candidates => {
-		const left = candidates[Math.floor(place.random() * candidates.length)]!;
-		const right = candidates[Math.floor(place.random() * candidates.length)]!;
+	const outstandingChooser = createOutstandingChooser(options, candidates => {
+		const left = candidates[Math.floor(options.random() * candidates.length)]!;
+		const right = candidates[Math.floor(options.random() * candidates.length)]!;
 		return getCost(right) < getCost(left) ? right.upstream : left.upstream;
 	});
 	return {
-		...counting,
-		end(upstream, ending) {
-			counting.end(upstream, ending);
-			if (ending.result !== 'success') {
+		...outstandingChooser,
+		end(upstream, ended) {
+			outstandingChooser.end(upstream, ended);
+			if (ended.result !== 'success') {
 				return;
 			}
 
 			const {milliseconds, at} = latencies[upstream]!;
-			const weight = Math.exp((at - ending.now) / LATENCY_DECAY_MILLISECONDS);
-			const decayed = (milliseconds * weight) + (ending.latencyMilliseconds * (1 - weight));
-			latencies[upstream] = {milliseconds: Math.max(ending.latencyMilliseconds, decayed), at: ending.now};
+			const weight = Math.exp((at - ended.now) / LATENCY_DECAY_MILLISECONDS);
+			const decayed = (milliseconds * weight) + (ended.latencyMilliseconds * (1 - weight));
+			latencies[upstream] = {milliseconds: Math.max(ended.latencyMilliseconds, decayed), at: ended.now};
 		},
 	};
 }
 
-function createSelecting(place: Place, carriers: selection.Carriers): Chooser {
-	const selector = selection.createSelector({localFailureDomain: getFailureDomain(place.host, place.failureDomains)});
-	const ids = Array.from({length: place.upstreams}, (_, upstream) => String(upstream).padStart(3, '0'));
+function createSelectorChooser(options: ChooserOptions, position: selection.CarrierPosition): Chooser {
+	const selector = selection.createSelector({localFailureDomain: getFailureDomain(options.host, options.failureDomains)});
+	const ids = Array.from({length: options.upstreams}, (_, upstream) => String(upstream).padStart(3, '0'));
 	selector.setUpstreams(ids.map((id, upstream) => ({
 		id,
-		failureDomain: getFailureDomain(upstream, place.failureDomains),
-		slots: place.slots,
+		failureDomain: getFailureDomain(upstream, options.failureDomains),
+		slots: options.slots,
 		state: 'serving',
-		admission: 'in',
-	})), carriers);
+		ejectionState: 'in',
+	})), position);
 	return {
 		choose(now, excluded) {
 			const chosen = selector.choose({
 				now,
-				random: place.random,
+				random: options.random,
 				excluded: new Set(Array.from(excluded, upstream => ids[upstream]!)),
 			});
 			return chosen === undefined ? undefined : Number(chosen);
@@ -114,14 +114,14 @@
 		begin(upstream, now) {
 			selector.begin(ids[upstream]!, now);
 		},
-		end(upstream, ending) {
-			selector.end(ids[upstream]!, ending);
+		end(upstream, ended) {
+			selector.end(ids[upstream]!, ended);
 		},
 	};
 }
 
 /**
-Failure domain of a host or an upstream.
+Returns the failure domain of the host or upstream with the given number.
 */
 export function getFailureDomain(index: number, failureDomains: number): string {
 	return `domain ${index % failureDomains}`;
--- a/packages/wagtailroute-selection/src/bench/agenda.ts
+++ b/packages/wagtailroute-selection/src/bench/event-queue.ts
@@ -1,22 +1,22 @@
 /**
-Simulated time: what is due, in order (a binary heap).
+Event queue of simulated time: a binary heap.
 */
 
 /**
-Runs what was scheduled, in order of time.
+Runs scheduled events in the order of time, then of scheduling.
 */
-export type Agenda = {
+export type EventQueue = {
 	readonly schedule: (at: number, run: (now: number) => void) => void;
 	readonly runUntil: (end: number) => void;
 };
 
-type Entry = {readonly at: number; readonly order: number; readonly run: (now: number) => void};
+type ScheduledEvent = {readonly at: number; readonly order: number; readonly run: (now: number) => void};
 
 /**
-Creates an empty agenda.
+Creates an empty queue.
 */
-export function createAgenda(): Agenda {
-	const heap: Entry[] = [];
+export function createEventQueue(): EventQueue {
+	const heap: ScheduledEvent[] = [];
 	let order = 0;
 	return {
 		schedule(at, run) {
@@ -33,11 +33,11 @@
 	};
 }
 
-function isBefore(left: Entry, right: Entry): boolean {
+function isBefore(left: ScheduledEvent, right: ScheduledEvent): boolean {
 	return left.at === right.at ? left.order < right.order : left.at < right.at;
 }
 
-function siftUp(heap: Entry[]): void {
+function siftUp(heap: ScheduledEvent[]): void {
 	let index = heap.length - 1;
 	while (index > 0) {
 		const parent = Math.floor((index - 1) / 2);
@@ -50,7 +50,7 @@
 	}
 }
 
-function removeFirst(heap: Entry[]): Entry {
+function removeFirst(heap: ScheduledEvent[]): ScheduledEvent {
 	const first = heap[0]!;
 	const last = heap.pop()!;
 	if (heap.length > 0) {
@@ -61,7 +61,7 @@
 	return first;
 }
 
-function siftDown(heap: Entry[]): void {
+function siftDown(heap: ScheduledEvent[]): void {
 	let index = 0;
 	for (;;) {
 		const left = (index * 2) + 1;
@@ -84,7 +84,7 @@
 	}
 }
 
-function swap(heap: Entry[], left: number, right: number): void {
+function swap(heap: ScheduledEvent[], left: number, right: number): void {
 	const moved = heap[left]!;
 	heap[left] = heap[right]!;
 	heap[right] = moved;
--- a/packages/wagtailroute-selection/src/bench/selection.bench.ts
+++ b/packages/wagtailroute-selection/src/bench/selection.bench.ts
@@ -1,10 +1,10 @@
 /**
-Entry of the bench of selection. A run by default takes 40 and 8 hosts; `SELECTION_BENCH=all` adds 4 hosts.
+Entry point of the selection bench. By default it runs with 40 and 8 hosts; `SELECTION_BENCH=all` adds 4 hosts.
 */
 import process from 'node:process';
 import * as selection from './selection.ts';
 
-const GUARDED_HOSTS: readonly number[] = [40, 8];
+const DEFAULT_HOSTS: readonly number[] = [40, 8];
 
 /**
 Runs the bench.
@@ -14,8 +14,8 @@
 	readonly rows: ReadonlyArray<Record<string, string | number>>;
 	readonly broken: readonly string[];
 }> {
-	const isWhole = process.env.SELECTION_BENCH === 'all';
-	const rows = selection.runSelectionBench(isWhole ? {} : {hosts: GUARDED_HOSTS});
+	const isFullRun = process.env.SELECTION_BENCH === 'all';
+	const rows = selection.runSelectionBench(isFullRun ? {} : {hosts: DEFAULT_HOSTS});
 	return {
 		title: 'Choice of an upstream with one of them slow',
 		rows,
--- a/packages/wagtailroute-selection/src/bench/selection.ts
+++ b/packages/wagtailroute-selection/src/bench/selection.ts
@@ -1,16 +1,16 @@
 /**
-Bench of the choice of an upstream: latency and sheds against random and least-outstanding, with one slow upstream and
-hosts that don't talk about single requests. Deterministic: seeded, in simulated time.
+Bench of the choice of an upstream: latency and sheds compared with random and least-outstanding choice, with one slow
+upstream and hosts that do not coordinate single requests. Deterministic: seeded, in simulated time.
 
-An upstream whose slots are all busy sheds (503, not-run) and the host tries another one, three in all; then it waits a
-moment and begins again, until the deadline.
+An upstream whose slots are all busy sheds the request (503, `not-run`) and the host tries another one, up to three upstreams;
+then it tries them again after a backoff, until the deadline.
 */
 import * as utils from 'wagtailroute-utils';
-import * as agendas from './agenda.ts';
+import * as eventQueues from './event-queue.ts';
 import * as choosers from './choosers.ts';
 
 /**
-One row of the table.
+Result of one chooser at one load.
 */
 export type Row = {
 	readonly hosts: number;
@@ -20,11 +20,11 @@
 	readonly p50Milliseconds: number;
 	readonly p99Milliseconds: number;
 	/**
-	Sheds by upstreams per 100 requests.
+	Sheds per 100 requests.
 	*/
 	readonly shedsPercent: number;
 	/**
-	Requests without an answer by their deadline, per 100.
+	Requests without an answer by their deadline, per 100 requests.
 	*/
 	readonly failedPercent: number;
 };
@@ -38,7 +38,7 @@
 const SLOW_FACTOR = 10;
 const LOCAL_MILLISECONDS = 0.25;
 const REMOTE_MILLISECONDS = 1;
-const TRIES = 3;
+const MAX_ATTEMPTS = 3;
 const BACKOFF_MILLISECONDS = 5;
 const DEADLINE_MILLISECONDS = 2000;
 const WARM_UP_MILLISECONDS = 3000;
@@ -59,8 +59,8 @@
 }
 
 /**
-Returns what the rows break of the bounds: the selector's p99 and sheds must stay below those of both baselines, and of
-the rows of the same run only.
+Returns the broken bounds: the p99 and the sheds of the selector must stay below those of both baselines with the same hosts
+and load. Only rows of the same run are compared.
 */
 export function getBrokenBounds(rows: readonly Row[]): string[] {
 	return rows.filter(({chooser}) => chooser === 'selector').flatMap(row => {
@@ -70,27 +70,27 @@
 		const sheds = Math.min(...baselines.map(({shedsPercent}) => shedsPercent));
 		const name = `selection, ${row.hosts} hosts at ${row.load * 100}% load`;
 		return [
-			...(row.p99Milliseconds > p99 * P99_BOUND ? [`${name}: p99 ${row.p99Milliseconds} ms, baseline ${p99} ms`] : []),
-			...(row.shedsPercent > sheds * SHEDS_BOUND ? [`${name}: sheds ${row.shedsPercent}%, baseline ${sheds}%`] : []),
+			...(row.p99Milliseconds > p99 * MAX_P99_RATIO ? [`${name}: p99 ${row.p99Milliseconds} ms, baseline ${p99} ms`] : []),
+			...(row.shedsPercent > sheds * MAX_SHEDS_RATIO ? [`${name}: sheds ${row.shedsPercent}%, baseline ${sheds}%`] : []),
 		];
 	});
 }
 
-const P99_BOUND = 0.95;
-const SHEDS_BOUND = 0.95;
+const MAX_P99_RATIO = 0.95;
+const MAX_SHEDS_RATIO = 0.95;
 
 type Request = {
 	readonly host: number;
 	readonly arrivedAt: number;
-	readonly service: number;
+	readonly serviceMilliseconds: number;
 	readonly isCounted: boolean;
 };
 
 function run(hosts: number, load: number, chooser: choosers.ChooserName, seed: number): Row {
 	const arrivals = utils.createRandom(seed);
-	const services = utils.createRandom(seed + 1);
+	const serviceTimes = utils.createRandom(seed + 1);
 	const random = utils.createRandom(seed + 2);
-	const agenda = agendas.createAgenda();
+	const events = eventQueues.createEventQueue();
 	const byHost = Array.from({length: hosts}, (_, host) => choosers.CHOOSERS[chooser]({
 		host,
 		hosts,
@@ -99,7 +99,7 @@
 		failureDomains: FAILURE_DOMAINS,
 		random,
 	}));
-	const busy = Array.from({length: UPSTREAMS}, () => 0);
+	const busySlots = Array.from({length: UPSTREAMS}, () => 0);
 	const latencies: number[] = [];
 	let requests = 0;
 	let sheds = 0;
@@ -112,17 +112,17 @@
 		}
 
 		const host = byHost[request.host]!;
-		const upstream = tried.size >= TRIES ? undefined : host.choose(now, tried);
+		const upstream = tried.size >= MAX_ATTEMPTS ? undefined : host.choose(now, tried);
 		if (upstream === undefined) {
-			agenda.schedule(now + BACKOFF_MILLISECONDS, later => {
+			events.schedule(now + BACKOFF_MILLISECONDS, later => {
 				attempt(request, later, new Set());
 			});
 			return;
 		}
 
 		host.begin(upstream, now);
-		const oneWay = getOneWay(request.host, upstream);
-		agenda.schedule(now + oneWay, reached => {
+		const oneWayMilliseconds = getOneWayMilliseconds(request.host, upstream);
+		events.schedule(now + oneWayMilliseconds, reached => {
 			arrive(request, upstream, {now: reached, sentAt: now, tried});
 		});
 	};
@@ -132,17 +132,17 @@
 		readonly sentAt: number;
 		readonly tried: ReadonlySet<number>;
 	}): void => {
-		const isShed = busy[upstream]! >= SLOTS;
-		const service = isShed ? 0 : request.service * (upstream === SLOW_UPSTREAM ? SLOW_FACTOR : 1);
+		const isShed = busySlots[upstream]! >= SLOTS;
+		const serviceMilliseconds = isShed ? 0 : request.serviceMilliseconds * (upstream === SLOW_UPSTREAM ? SLOW_FACTOR : 1);
 		sheds += isShed && request.isCounted ? 1 : 0;
 		if (!isShed) {
-			busy[upstream]!++;
-			agenda.schedule(now + service, () => {
-				busy[upstream]!--;
+			busySlots[upstream]!++;
+			events.schedule(now + serviceMilliseconds, () => {
+				busySlots[upstream]!--;
 			});
 		}
 
-		agenda.schedule(now + service + getOneWay(request.host, upstream), ended => {
+		events.schedule(now + serviceMilliseconds + getOneWayMilliseconds(request.host, upstream), ended => {
 			const result = isShed ? 'shed' : 'success';
 			byHost[request.host]!.end(upstream, {now: ended, latencyMilliseconds: ended - sentAt, result});
 			if (isShed) {
@@ -154,24 +154,24 @@
 	};
 
 	const meanMilliseconds = MEDIAN_MILLISECONDS * Math.exp((SIGMA ** 2) / 2);
-	const perMillisecond = (load * UPSTREAMS * SLOTS) / meanMilliseconds;
-	const begin = (now: number): void => {
+	const requestsPerMillisecond = (load * UPSTREAMS * SLOTS) / meanMilliseconds;
+	const startRequest = (now: number): void => {
 		const isCounted = now >= WARM_UP_MILLISECONDS;
 		requests += isCounted ? 1 : 0;
 		attempt({
 			host: utils.pickIndex(arrivals, hosts),
 			arrivedAt: now,
-			service: MEDIAN_MILLISECONDS * Math.exp(SIGMA * drawNormal(services)),
+			serviceMilliseconds: MEDIAN_MILLISECONDS * Math.exp(SIGMA * drawNormal(serviceTimes)),
 			isCounted,
 		}, now, new Set());
-		const next = now - (Math.log(1 - arrivals()) / perMillisecond);
+		const next = now - (Math.log(1 - arrivals()) / requestsPerMillisecond);
 		if (next < DURATION_MILLISECONDS) {
-			agenda.schedule(next, begin);
+			events.schedule(next, startRequest);
 		}
 	};
 
-	begin(0);
-	agenda.runUntil(DURATION_MILLISECONDS * 2);
+	startRequest(0);
+	events.runUntil(DURATION_MILLISECONDS * 2);
 	latencies.sort((left, right) => left - right);
 	return {
 		hosts,
@@ -185,7 +185,7 @@
 	};
 }
 
-function getOneWay(host: number, upstream: number): number {
+function getOneWayMilliseconds(host: number, upstream: number): number {
 	const isLocal = choosers.getFailureDomain(host, FAILURE_DOMAINS) === choosers.getFailureDomain(upstream, FAILURE_DOMAINS);
 	return isLocal ? LOCAL_MILLISECONDS : REMOTE_MILLISECONDS;
 }
--- a/packages/wagtailroute-selection/src/candidates.ts
+++ b/packages/wagtailroute-selection/src/candidates.ts
@@ -1,12 +1,12 @@
 /**
-Candidates of one choice, and the cheapest among them. The storage is used again for each choice.
+Candidates of one choice, and the cheapest of them. The table is reused by every choice, to avoid allocations.
 */
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
 import * as upstreams from './upstreams.ts';
 
 /**
-What a choice may know.
+Parameters of one choice.
 */
 export type ChoiceContext = {
 	/**
@@ -15,50 +15,50 @@
 	readonly now: number;
 	readonly random: () => number;
 	/**
-	Upstreams that this request must not go to, such as those tried before.
+	Upstreams that must not be chosen, such as those of earlier attempts.
 	*/
 	readonly excluded?: ReadonlySet<core.UpstreamId>;
 	/**
-	Whether the request may go to an upstream on trial. Say no for a non-idempotent request.
+	Whether an upstream on trial may be chosen. Must be false for a non-idempotent request. True when absent.
 	*/
-	readonly trialAllowed?: boolean;
+	readonly isTrialAllowed?: boolean;
 };
 
 /**
-Upstreams that have room, best first. A ramping upstream beyond its share and an avoided one are `reluctant`: chosen only
-when no other has room.
+Tier of an upstream with a free slot. `reluctant`: an upstream that is ramping up and over its traffic share, or one that this
+host should avoid; it is chosen only when no `ready` upstream has a free slot.
 */
 export type Tier = 'ready' | 'reluctant';
 
 /**
-Tiers, best first.
+Tiers in the order of preference.
 */
 export const TIERS: readonly Tier[] = ['ready', 'reluctant'];
 
 /**
-Candidates of one tier, in storage that is used again for each choice.
+Reusable list of candidates: the first `count` items are valid.
 */
-type Candidates = {readonly entries: upstreams.Entry[]; count: number};
+type CandidateList = {readonly items: upstreams.TrackedUpstream[]; count: number};
 
 type Proximity = 'local' | 'remote';
 
 /**
 Candidates by tier and proximity.
 */
-export type CandidateTable = Readonly<Record<Tier, Readonly<Record<Proximity, Candidates>>>>;
+export type CandidateTable = Readonly<Record<Tier, Readonly<Record<Proximity, CandidateList>>>>;
 
 /**
 Creates an empty table.
 */
-export function createCandidates(): CandidateTable {
-	const create = () => ({local: {entries: [], count: 0}, remote: {entries: [], count: 0}});
+export function createCandidateTable(): CandidateTable {
+	const create = () => ({local: {items: [], count: 0}, remote: {items: [], count: 0}});
 	return {ready: create(), reluctant: create()};
 }
 
 /**
-Empties the table, keeping its storage.
+Empties the table and keeps its allocated lists.
 */
-export function resetCandidates(candidates: CandidateTable): void {
+export function resetCandidateTable(candidates: CandidateTable): void {
 	for (const tier of TIERS) {
 		candidates[tier].local.count = 0;
 		candidates[tier].remote.count = 0;
@@ -66,52 +66,52 @@
 }
 
 /**
-Adds a candidate.
+Appends a candidate to a list of the table.
 */
-export function append(candidates: Candidates, entry: upstreams.Entry): void {
-	candidates.entries[candidates.count] = entry;
+export function addCandidate(candidates: CandidateList, tracked: upstreams.TrackedUpstream): void {
+	candidates.items[candidates.count] = tracked;
 	candidates.count++;
 }
 
 /**
-Returns the cheapest candidate of a tier. A remote upstream must be clearly cheaper: so work stays in the failure domain
-until that is the more loaded one.
+Returns the cheapest candidate of a tier. The cost of a remote upstream is increased by {@link constants.REMOTE_COST_FACTOR},
+so that requests stay in the failure domain of this host until its upstreams are clearly more loaded.
 */
-export function chooseWithin(
-	tier: Readonly<Record<Proximity, Candidates>>,
+export function chooseFromTier(
+	tier: Readonly<Record<Proximity, CandidateList>>,
 	context: ChoiceContext,
 	usualMilliseconds: number,
-): upstreams.Entry | undefined {
+): upstreams.TrackedUpstream | undefined {
 	const local = chooseCheapest(tier.local, context, usualMilliseconds);
 	const remote = chooseCheapest(tier.remote, context, usualMilliseconds);
 	if (local === undefined || remote === undefined) {
 		return local ?? remote;
 	}
 
-	const localCost = upstreams.getCost(local, context.now, usualMilliseconds);
-	const remoteCost = upstreams.getCost(remote, context.now, usualMilliseconds) * constants.REMOTE_PENALTY;
+	const localCost = upstreams.estimateCost(local, context.now, usualMilliseconds);
+	const remoteCost = upstreams.estimateCost(remote, context.now, usualMilliseconds) * constants.REMOTE_COST_FACTOR;
 	return remoteCost < localCost ? remote : local;
 }
 
 function chooseCheapest(
-	{entries, count}: Candidates,
+	{items, count}: CandidateList,
 	{now, random}: ChoiceContext,
 	usualMilliseconds: number,
-): upstreams.Entry | undefined {
-	let cheapest: upstreams.Entry | undefined;
-	let least = Infinity;
+): upstreams.TrackedUpstream | undefined {
+	let cheapest: upstreams.TrackedUpstream | undefined;
+	let minCost = Infinity;
 	let ties = 0;
 	for (let index = 0; index < count; index++) {
-		const entry = entries[index]!;
-		const cost = upstreams.getCost(entry, now, usualMilliseconds);
-		if (cost > least) {
+		const tracked = items[index]!;
+		const cost = upstreams.estimateCost(tracked, now, usualMilliseconds);
+		if (cost > minCost) {
 			continue;
 		}
 
-		ties = cost < least ? 1 : ties + 1;
-		least = cost;
-		// Each of the tied ones is kept with the same chance.
-		cheapest = random() * ties < 1 ? entry : cheapest;
+		ties = cost < minCost ? 1 : ties + 1;
+		minCost = cost;
+		// Reservoir sampling: each of the tied candidates is chosen with the same probability.
+		cheapest = random() * ties < 1 ? tracked : cheapest;
 	}
 
 	return cheapest;
--- a/packages/wagtailroute-selection/src/constants.ts
+++ b/packages/wagtailroute-selection/src/constants.ts
@@ -1,82 +1,83 @@
 /**
-Time constants and limits of the choice of an upstream.
+Time constants, factors and limits of the choice of an upstream.
 */
 
 /**
-How long a cold or re-admitted upstream takes to reach its full share, in milliseconds.
+Time in which a cold or re-admitted upstream reaches its full share of traffic.
 */
-export const RAMP_MILLISECONDS = 10_000;
+export const RAMP_UP_MILLISECONDS = 10_000;
 
 /**
-Smallest share of its normal traffic that a ramping upstream gets, so that it warms up at all.
+Minimum fraction of its normal traffic that an upstream receives while it ramps up, so that it can warm up.
 */
-export const RAMP_FLOOR = 0.1;
+export const MIN_RAMP_UP_SHARE = 0.1;
 
 /**
-Time constant of the decay of the latency estimate, in milliseconds.
+Time constant by which the latency estimate falls towards lower samples.
 */
 export const LATENCY_DECAY_MILLISECONDS = 3000;
 
 /**
-Time constants, in milliseconds, of the decay of the estimate while no request ends: after a failure, and after a success.
-A slow server is tried less often than one that failed, since the request that tries it is slow, while a failure is sent
-again elsewhere.
+Time constants by which the latency estimate decays while no request ends: after a failure, and after a success. A slow
+upstream is tried less often than one that failed, because the request that tries it is slow, while a failed one is retried
+elsewhere.
 */
 export const FAILURE_DECAY_MILLISECONDS = 500;
 export const IDLE_DECAY_MILLISECONDS = 15_000;
 
 /**
-Latency assumed for an upstream without a sample, in milliseconds. Low, so that a new upstream is tried.
+Latency estimate of an upstream without a sample. Low, so that a new upstream is tried.
 */
 export const INITIAL_LATENCY_MILLISECONDS = 1;
 
 /**
-Factor on the latency estimate after a failure, from the least latency that counts as slow. A server that fails at once
-looks like the fastest one.
+Factor on the latency estimate after a failure; the estimate is first raised to the threshold of {@link SLOW_LATENCY_RATIO}.
+Otherwise a server that fails immediately would look like the fastest one.
 */
-export const FAILURE_PENALTY = 2;
+export const FAILURE_LATENCY_FACTOR = 2;
 
 /**
-Largest latency estimate, in milliseconds, so that failures in a row don't exclude an upstream for minutes.
+Maximum latency estimate, so that consecutive failures don't exclude an upstream for minutes.
 */
-export const LATENCY_CEILING_MILLISECONDS = 30_000;
+export const MAX_LATENCY_MILLISECONDS = 30_000;
 
 /**
-Time constant, as a part of the service's usual latency, after which slots that were busy at a shed are taken for free.
+Time constant by which slots that were busy at a shed are assumed to become free, relative to the service's usual latency.
 */
 export const SHED_DECAY_RATIO = 0.5;
 
 /**
-Sheds in a row after which that time grows no more.
+Number of consecutive sheds up to which that time constant grows.
 */
-export const SHED_CEILING = 4;
+export const MAX_COUNTED_SHEDS = 4;
 
 /**
-Extra cost, in requests in flight, of an upstream where this host has no free slot of its own.
+Additional cost, in requests in flight, of an upstream where all slots owned by this host are in use.
 */
-export const BORROWING_COST = 1;
+export const BORROWED_SLOT_COST = 1;
 
 /**
-Weight of a new sample in the usual latency of the service.
+Weight of a new sample in the exponentially weighted average of the service's latency.
 */
-export const USUAL_WEIGHT = 0.02;
+export const USUAL_LATENCY_WEIGHT = 0.02;
 
 /**
-Usual latency assumed before the first sample, in milliseconds.
+Usual latency of the service before the first sample.
 */
-export const INITIAL_USUAL_MILLISECONDS = 20;
+export const INITIAL_USUAL_LATENCY_MILLISECONDS = 20;
 
 /**
-Ratio to the usual latency from which an upstream's latency counts: below it, differences are mostly chance.
+Ratio of an upstream's latency to the service's usual latency above which it increases the cost. Below it, differences are
+mostly chance.
 */
-export const SLOW_RATIO = 4;
+export const SLOW_LATENCY_RATIO = 4;
 
 /**
 Factor on the cost of an upstream outside this host's failure domain.
 */
-export const REMOTE_PENALTY = 1.25;
+export const REMOTE_COST_FACTOR = 1.25;
 
 /**
-Share of its normal traffic that an upstream on trial gets.
+Fraction of its normal traffic that an upstream on trial receives.
 */
 export const TRIAL_SHARE = 0.1;
--- a/packages/wagtailroute-selection/src/index.ts
+++ b/packages/wagtailroute-selection/src/index.ts
@@ -1,12 +1,12 @@
 /**
-Choice of an upstream for a request, among those that may take work.
+Choice of an upstream for a request, among those that may receive requests.
 */
 export {
 	createSelector,
-	type Ending,
+	type EndedRequest,
 	type Selector,
 } from './selector.ts';
 export type {ChoiceContext} from './candidates.ts';
-export type {Admission, Result, Upstream} from './upstreams.ts';
-export {type Carriers, getOwnedSlots} from './shares.ts';
-export {RAMP_MILLISECONDS, TRIAL_SHARE} from './constants.ts';
+export type {EjectionState, RequestResult, Upstream} from './upstreams.ts';
+export {type CarrierPosition, getOwnedSlots} from './shares.ts';
+export {RAMP_UP_MILLISECONDS, TRIAL_SHARE} from './constants.ts';
--- a/packages/wagtailroute-selection/src/selector.ts
+++ b/packages/wagtailroute-selection/src/selector.ts
@@ -1,9 +1,9 @@
 /**
-Choice of an upstream: the one with the fewest requests in flight, weighted by peak-EWMA latency, among the best tier of
-upstreams that has room. Ties are broken at random.
+Choice of an upstream: the one with the fewest requests in flight, weighted by peak-EWMA latency, in the best tier that has
+free slots. Ties are broken at random.
 
-This runs for every request, so the table is mutable and held in a closure, and a choice allocates nothing. It stays
-deterministic: time and random numbers are passed in.
+This runs for every request: the state is mutable, in a closure, and a choice allocates nothing. Deterministic: the time and
+random numbers are passed in.
 */
 import type * as core from 'wagtailroute-core';
 import * as candidates from './candidates.ts';
@@ -12,15 +12,15 @@
 import * as upstreams from './upstreams.ts';
 
 /**
-End of a request at an upstream.
+A request that has ended at an upstream.
 */
-export type Ending = {
+export type EndedRequest = {
 	/**
 	Monotonic time in milliseconds.
 	*/
 	readonly now: number;
 	readonly latencyMilliseconds: number;
-	readonly result: upstreams.Result;
+	readonly result: upstreams.RequestResult;
 };
 
 /**
@@ -28,66 +28,68 @@
 */
 export type Selector = {
 	/**
-	Replaces the list. What was measured of upstreams that stay is kept.
+	Replaces the list of upstreams. Measurements of upstreams that are in both lists are kept.
+
+	@param position Without it, this host owns all slots.
 	*/
-	readonly setUpstreams: (declared: readonly upstreams.Upstream[], carriers?: shares.Carriers) => void;
+	readonly setUpstreams: (declared: readonly upstreams.Upstream[], position?: shares.CarrierPosition) => void;
 	/**
-	Returns the upstream to send to, or undefined when none has room.
+	Returns the upstream to send to, or undefined when no eligible upstream has a free slot.
 	*/
 	readonly choose: (context: candidates.ChoiceContext) => core.UpstreamId | undefined;
 	readonly begin: (id: core.UpstreamId, now: number) => void;
-	readonly end: (id: core.UpstreamId, ending: Ending) => void;
+	readonly end: (id: core.UpstreamId, ended: EndedRequest) => void;
 	/**
-	Requests that this host has in flight at the upstream.
+	Returns the number of requests that this host has in flight at the upstream.
 	*/
 	readonly getOutstanding: (id: core.UpstreamId) => number;
 	/**
-	Requests that this host may have in flight at all upstreams that take work, by its own share of slots.
+	Returns the number of slots that this host owns at all upstreams that are serving and not ejected.
 	*/
 	readonly getOwnedCapacity: () => number;
 };
 
-const ONLY_CARRIER: shares.Carriers = {count: 1, rank: 0};
+const SOLE_CARRIER: shares.CarrierPosition = {count: 1, rank: 0};
 
 /**
 Creates a selector for a host in the given failure domain.
 */
 export function createSelector({localFailureDomain}: {readonly localFailureDomain: core.FailureDomain}): Selector {
-	const byId = new Map<core.UpstreamId, upstreams.Entry>();
-	let entries: upstreams.Entry[] = [];
-	const table = candidates.createCandidates();
-	let usualMilliseconds = constants.INITIAL_USUAL_MILLISECONDS;
-
-	const collect = (context: candidates.ChoiceContext): void => {
-		candidates.resetCandidates(table);
-		for (const entry of entries) {
-			const tier = getTier(entry, context);
+	const byId = new Map<core.UpstreamId, upstreams.TrackedUpstream>();
+	let trackedUpstreams: upstreams.TrackedUpstream[] = [];
+	const table = candidates.createCandidateTable();
+	let usualMilliseconds = constants.INITIAL_USUAL_LATENCY_MILLISECONDS;
+
+	const collectCandidates = (context: candidates.ChoiceContext): void => {
+		candidates.resetCandidateTable(table);
+		for (const tracked of trackedUpstreams) {
+			const tier = getTier(tracked, context);
 			if (tier === undefined) {
 				continue;
 			}
 
-			const proximity = entry.declared.failureDomain === localFailureDomain ? 'local' : 'remote';
-			candidates.append(table[tier][proximity], entry);
+			const proximity = tracked.declared.failureDomain === localFailureDomain ? 'local' : 'remote';
+			candidates.addCandidate(table[tier][proximity], tracked);
 		}
 	};
 
 	return {
-		setUpstreams(declared, carriers = ONLY_CARRIER) {
+		setUpstreams(declared, position = SOLE_CARRIER) {
 			const ordered = declared.toSorted((left, right) => compareIds(left.id, right.id));
-			const owned = shares.getOwnedSlots(ordered.map(upstream => upstream.slots), carriers);
+			const owned = shares.getOwnedSlots(ordered.map(upstream => upstream.slots), position);
 			const next = ordered.map((upstream, index) => {
-				const entry = byId.get(upstream.id) ?? upstreams.createEntry(upstream);
-				entry.declared = upstream;
-				entry.ownedSlots = owned[index]!;
-				return entry;
+				const tracked = byId.get(upstream.id) ?? upstreams.createTrackedUpstream(upstream);
+				tracked.declared = upstream;
+				tracked.ownedSlots = owned[index]!;
+				return tracked;
 			});
-			replaceTable(byId, entries, next);
-			entries = next;
+			replaceTrackedUpstreams(byId, trackedUpstreams, next);
+			trackedUpstreams = next;
 		},
 		choose(context) {
-			collect(context);
+			collectCandidates(context);
 			for (const tier of candidates.TIERS) {
-				const chosen = candidates.chooseWithin(table[tier], context, usualMilliseconds);
+				const chosen = candidates.chooseFromTier(table[tier], context, usualMilliseconds);
 				if (chosen !== undefined) {
 					return chosen.declared.id;
 				}
@@ -96,50 +98,53 @@
 			return undefined;
 		},
 		begin(id) {
-			const entry = byId.get(id);
-			if (entry !== undefined) {
-				entry.outstanding++;
+			const tracked = byId.get(id);
+			if (tracked !== undefined) {
+				tracked.outstanding++;
 			}
 		},
-		end(id, ending) {
-			if (ending.result === 'success') {
-				usualMilliseconds += (ending.latencyMilliseconds - usualMilliseconds) * constants.USUAL_WEIGHT;
+		end(id, ended) {
+			if (ended.result === 'success') {
+				usualMilliseconds += (ended.latencyMilliseconds - usualMilliseconds) * constants.USUAL_LATENCY_WEIGHT;
 			}
 
-			const entry = byId.get(id);
-			if (entry === undefined) {
+			const tracked = byId.get(id);
+			if (tracked === undefined) {
 				return;
 			}
 
-			upstreams.observeEnd(entry, ending.result, {...ending, usualMilliseconds});
-			forgetWhenIdle(byId, entries, entry);
+			upstreams.recordEnd(tracked, ended.result, {...ended, usualMilliseconds});
+			deleteIfIdle(byId, trackedUpstreams, tracked);
 		},
 		getOutstanding: id => byId.get(id)?.outstanding ?? 0,
-		getOwnedCapacity: () => getOwnedCapacity(entries),
+		getOwnedCapacity: () => getOwnedCapacity(trackedUpstreams),
 	};
 }
 
-function getTier(entry: upstreams.Entry, context: candidates.ChoiceContext): candidates.Tier | undefined {
-	const {declared} = entry;
-	if (!isEligible(declared, context) || entry.outstanding >= declared.slots) {
+function getTier(tracked: upstreams.TrackedUpstream, context: candidates.ChoiceContext): candidates.Tier | undefined {
+	const {declared} = tracked;
+	if (!isEligible(declared, context) || tracked.outstanding >= declared.slots) {
 		return undefined;
 	}
 
-	// An upstream on trial gets its share and no more: it is still ejected, so it is never a last resort.
-	const share = upstreams.getShare(entry, context.now);
+	// An upstream on trial never receives more than its share, not even when no other upstream has a free slot: it is still
+	// ejected.
+	const share = upstreams.getTrafficShare(tracked, context.now);
 	const isWithinShare = share >= 1 || context.random() < share;
-	if (declared.admission === 'trial') {
-		return isWithinShare && entry.outstanding === 0 ? 'ready' : undefined;
+	if (declared.ejectionState === 'trial') {
+		return isWithinShare && tracked.outstanding === 0 ? 'ready' : undefined;
 	}
 
-	return !isWithinShare || declared.avoided === true ? 'reluctant' : 'ready';
+	return !isWithinShare || declared.isAvoided === true ? 'reluctant' : 'ready';
 }
 
 function isEligible(declared: upstreams.Upstream, context: candidates.ChoiceContext): boolean {
-	return declared.state === 'draining' || declared.admission === 'ejected' || (declared.admission === 'trial' && context.trialAllowed === false) ? false : !context.excluded?.has(declared.id);
+	return declared.state === 'draining' || declared.ejectionState === 'ejected' || (declared.ejectionState === 'trial' && context.isTrialAllowed === false)
+		? false
+		: !context.excluded?.has(declared.id);
 }
 
-// By code unit and not by locale: all carriers must get the same order.
+// Compares by code unit and not by locale: the order must be the same on all carriers.
 function compareIds(left: core.UpstreamId, right: core.UpstreamId): number {
 	if (left === right) {
 		return 0;
@@ -148,39 +153,39 @@
 	return left < right ? -1 : 1;
 }
 
-// An upstream that left with requests in flight stays in the table until they end, so that their ends still count if it
-// is announced again; without this its slots would seem free and it would be overfilled.
-function replaceTable(
-	byId: Map<core.UpstreamId, upstreams.Entry>,
-	previous: readonly upstreams.Entry[],
-	next: readonly upstreams.Entry[],
+// An upstream that is removed with requests in flight remains tracked until they end. Otherwise, when it is announced again,
+// its slots would seem free and it would receive too many requests.
+function replaceTrackedUpstreams(
+	byId: Map<core.UpstreamId, upstreams.TrackedUpstream>,
+	previous: readonly upstreams.TrackedUpstream[],
+	next: readonly upstreams.TrackedUpstream[],
 ): void {
 	const kept = new Set(next);
-	for (const entry of previous) {
-		if (!kept.has(entry) && entry.outstanding === 0) {
-			byId.delete(entry.declared.id);
+	for (const tracked of previous) {
+		if (!kept.has(tracked) && tracked.outstanding === 0) {
+			byId.delete(tracked.declared.id);
 		}
 	}
 
-	for (const entry of next) {
-		byId.set(entry.declared.id, entry);
+	for (const tracked of next) {
+		byId.set(tracked.declared.id, tracked);
 	}
 }
 
-function forgetWhenIdle(
-	byId: Map<core.UpstreamId, upstreams.Entry>,
-	entries: readonly upstreams.Entry[],
-	entry: upstreams.Entry,
+function deleteIfIdle(
+	byId: Map<core.UpstreamId, upstreams.TrackedUpstream>,
+	trackedUpstreams: readonly upstreams.TrackedUpstream[],
+	tracked: upstreams.TrackedUpstream,
 ): void {
-	if (entry.outstanding === 0 && !entries.includes(entry)) {
-		byId.delete(entry.declared.id);
+	if (tracked.outstanding === 0 && !trackedUpstreams.includes(tracked)) {
+		byId.delete(tracked.declared.id);
 	}
 }
 
-function getOwnedCapacity(entries: readonly upstreams.Entry[]): number {
+function getOwnedCapacity(trackedUpstreams: readonly upstreams.TrackedUpstream[]): number {
 	let capacity = 0;
-	for (const {declared, ownedSlots} of entries) {
-		capacity += declared.state === 'serving' && declared.admission === 'in' ? ownedSlots : 0;
+	for (const {declared, ownedSlots} of trackedUpstreams) {
+		capacity += declared.state === 'serving' && declared.ejectionState === 'in' ? ownedSlots : 0;
 	}
 
 	return capacity;
--- a/packages/wagtailroute-selection/src/shares.ts
+++ b/packages/wagtailroute-selection/src/shares.ts
@@ -1,39 +1,41 @@
 /**
-Each carrier's share of the slots of a service.
+Assignment of the slots of a service to its carriers, the hosts that forward its requests to the upstreams.
 
-Hosts that don't talk to each other about single requests overfill a 4-slot upstream even at half load. So the slots are
-dealt out to the carriers in turn: a host prefers upstreams where it holds a free slot of its own and borrows others only
-when its own are taken. Hosts that disagree about the lists for a moment cause sheds, never a lost request.
+Hosts that do not coordinate single requests overload a 4-slot upstream even at half load. The slots are therefore assigned
+to the carriers in rotation: a host prefers upstreams where it owns a free slot, and uses other slots only when its own are
+busy. Hosts whose lists of upstreams or carriers differ for a short time cause sheds, but never a lost request.
 */
 
 /**
-Place of this host among the carriers of the service.
+Position of this host among the carriers of a service.
 */
-export type Carriers = {
+export type CarrierPosition = {
 	/**
-	Number of hosts that carry the service.
+	Number of carriers of the service.
 	*/
 	readonly count: number;
 	/**
-	Rank of this host among them, in [0, count), by an order that all of them share.
+	Index of this host among the carriers, in [0, count), in an order that is the same on all of them.
 	*/
 	readonly rank: number;
 };
 
 /**
-Returns how many slots of each upstream belong to this host. `slots` must be in an order that all carriers share.
+Returns the number of slots of each upstream that this host owns.
+
+@param slots Slots of each upstream, in an order that is the same on all carriers.
 */
-export function getOwnedSlots(slots: readonly number[], carriers: Carriers): number[] {
-	let dealt = 0;
+export function getOwnedSlots(slots: readonly number[], position: CarrierPosition): number[] {
+	let offset = 0;
 	return slots.map(count => {
-		const owned = countOwned(dealt, count, carriers);
-		dealt += count;
+		const owned = countOwned(offset, count, position);
+		offset += count;
 		return owned;
 	});
 }
 
 // Counts the numbers in [first, first + length) that are congruent to the rank.
-function countOwned(first: number, length: number, {count, rank}: Carriers): number {
+function countOwned(first: number, length: number, {count, rank}: CarrierPosition): number {
 	return countBelow(first + length, count, rank) - countBelow(first, count, rank);
 }
 
--- a/packages/wagtailroute-selection/src/upstreams.ts
+++ b/packages/wagtailroute-selection/src/upstreams.ts
@@ -1,171 +1,176 @@
 /**
-The upstreams as the choice sees them: what the caller declares, and what this host measured.
+State of each upstream for the choice: what is announced and decided about it, and what this host has measured.
 */
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
 
 /**
-`in`: takes work. `trial`: ejected, but gets a small share to show whether it recovered. `ejected`: takes none.
+`in`: receives requests. `trial`: ejected, but receives a small share of its traffic to show whether it has recovered.
+`ejected`: receives no requests.
 */
-export type Admission = 'in' | 'trial' | 'ejected';
+export type EjectionState = 'in' | 'trial' | 'ejected';
 
 /**
-An upstream as announced, with what detection decided about it.
+An upstream as announced, with the decisions of detection about it.
 */
 export type Upstream = {
 	readonly id: core.UpstreamId;
 	readonly failureDomain: core.FailureDomain;
 	/**
-	Requests it runs at a time, over all hosts.
+	Number of requests that it runs concurrently, from all hosts.
 	*/
 	readonly slots: number;
 	readonly state: 'serving' | 'draining';
-	readonly admission: Admission;
+	readonly ejectionState: EjectionState;
 	/**
-	This host alone should avoid it (a path fault): chosen only when no other upstream has room.
+	Whether only this host should avoid it, because of a fault on the network path. Chosen only when no other upstream has a
+	free slot.
 	*/
-	readonly avoided?: boolean;
+	readonly isAvoided?: boolean;
 	/**
-	Monotonic time in milliseconds at which its ramp began; absent when it is warm.
+	Monotonic time in milliseconds at which it began to ramp up; absent when it is warm.
 	*/
-	readonly rampStartedAt?: number;
+	readonly rampUpStartedAt?: number;
 };
 
 /**
-How a request ended at an upstream, as far as the choice cares. `shed` is a 503 with the outcome not-run.
+How a request ended at an upstream. `shed`: a 503 with the outcome `not-run`.
 */
-export type Result = 'success' | 'failure' | 'shed' | 'cancelled';
+export type RequestResult = 'success' | 'failure' | 'shed' | 'cancelled';
 
 /**
-Mutable record of one upstream: measured by this host.
+Mutable state of one upstream, measured by this host.
 */
-export type Entry = {
+export type TrackedUpstream = {
 	declared: Upstream;
 	ownedSlots: number;
 	outstanding: number;
-	latency: number;
-	latencyAt: number;
+	latencyMilliseconds: number;
+	latencyUpdatedAt: number;
 	/**
-	Whether the last request that ended here failed.
+	Whether the last request that ended at the upstream failed.
 	*/
 	hasFailed: boolean;
 	shedsInRow: number;
 	/**
-	Slots that others held at the last shed, and when that was.
+	Slots that other hosts used at the last shed.
 	*/
-	foreign: number;
+	slotsUsedByOthers: number;
 	shedAt: number;
 };
 
 /**
-Creates the record of an upstream not seen before.
+Creates the state of a new upstream.
 */
-export function createEntry(declared: Upstream): Entry {
+export function createTrackedUpstream(declared: Upstream): TrackedUpstream {
 	return {
 		declared,
 		ownedSlots: declared.slots,
 		outstanding: 0,
-		latency: constants.INITIAL_LATENCY_MILLISECONDS,
-		latencyAt: 0,
+		latencyMilliseconds: constants.INITIAL_LATENCY_MILLISECONDS,
+		latencyUpdatedAt: 0,
 		hasFailed: false,
 		shedsInRow: 0,
-		foreign: 0,
+		slotsUsedByOthers: 0,
 		shedAt: 0,
 	};
 }
 
 /**
-Estimated cost of one more request: requests in flight, this host's and those of others as far as a shed showed them,
-more where this host has no free slot of its own; times how much slower than usual the upstream is.
+Estimates the cost of one more request: the requests in flight of this host and, as far as sheds showed them, of others, plus
+{@link constants.BORROWED_SLOT_COST} when this host has no free slot of its own; multiplied by how much slower than usual the
+upstream is.
 */
-export function getCost(entry: Entry, now: number, usualMilliseconds: number): number {
-	const slowness = Math.max(1, getEstimate(entry, now) / (usualMilliseconds * constants.SLOW_RATIO));
-	const borrowing = entry.outstanding < entry.ownedSlots ? 0 : constants.BORROWING_COST;
-	return (entry.outstanding + 1 + borrowing + getForeign(entry, now, usualMilliseconds)) * slowness;
+export function estimateCost(tracked: TrackedUpstream, now: number, usualMilliseconds: number): number {
+	const slowness = Math.max(1, getDecayedLatency(tracked, now) / (usualMilliseconds * constants.SLOW_LATENCY_RATIO));
+	const borrowedSlotCost = tracked.outstanding < tracked.ownedSlots ? 0 : constants.BORROWED_SLOT_COST;
+	return (tracked.outstanding + 1 + borrowedSlotCost + estimateSlotsUsedByOthers(tracked, now, usualMilliseconds)) * slowness;
 }
 
-// The estimate decays also while no request is sent. What goes wrong otherwise: where the others are idle, each host sends a
-// failing upstream one request and then none for ever. A healthy one that failed once stays without work, and of a sick one
-// the hosts see too little to eject it, so that each learns of it at its own cost.
-function getEstimate({latency, latencyAt, hasFailed}: Entry, now: number): number {
+// The estimate decays also while no request is sent. Otherwise, when the other upstreams are idle, each host would send a
+// failing upstream one request and then none: a healthy upstream that failed once would stay without requests, and for a
+// faulty one detection would get too little evidence to eject it, so that each host would lose a request to it.
+function getDecayedLatency({latencyMilliseconds, latencyUpdatedAt, hasFailed}: TrackedUpstream, now: number): number {
 	const decay = hasFailed ? constants.FAILURE_DECAY_MILLISECONDS : constants.IDLE_DECAY_MILLISECONDS;
-	return latency * Math.exp((latencyAt - now) / decay);
+	return latencyMilliseconds * Math.exp((latencyUpdatedAt - now) / decay);
 }
 
-const FORGOTTEN_SLOTS = 0.2;
+// Estimates of slots used by others below this count as 0.
+const MIN_COUNTED_SLOTS = 0.2;
 
-// A shed shows that all slots were busy. This host knows its own part; the others' part is taken to end over time, more
-// slowly after each shed in a row, so that an upstream that sheds all the time isn't asked all the time.
-function getForeign({foreign, shedAt, shedsInRow}: Entry, now: number, usualMilliseconds: number): number {
-	if (foreign === 0) {
+// A shed shows that all slots were busy. The slots that this host did not use are assumed to become free over time, more slowly
+// with each consecutive shed, so that an upstream that sheds constantly is not tried constantly.
+function estimateSlotsUsedByOthers({slotsUsedByOthers, shedAt, shedsInRow}: TrackedUpstream, now: number, usualMilliseconds: number): number {
+	if (slotsUsedByOthers === 0) {
 		return 0;
 	}
 
-	const inRow = Math.min(shedsInRow, constants.SHED_CEILING);
-	const decay = usualMilliseconds * constants.SHED_DECAY_RATIO * inRow;
-	const left = foreign * Math.exp((shedAt - now) / decay);
-	return left < FORGOTTEN_SLOTS ? 0 : left;
+	const countedSheds = Math.min(shedsInRow, constants.MAX_COUNTED_SHEDS);
+	const decay = usualMilliseconds * constants.SHED_DECAY_RATIO * countedSheds;
+	const remaining = slotsUsedByOthers * Math.exp((shedAt - now) / decay);
+	return remaining < MIN_COUNTED_SLOTS ? 0 : remaining;
 }
 
 /**
-Share of its normal traffic that an upstream may have, in [0, 1].
+Returns the fraction of its normal traffic that an upstream may receive, in [0, 1].
 */
-export function getShare(entry: Entry, now: number): number {
-	const {admission, rampStartedAt} = entry.declared;
-	if (admission === 'trial') {
+export function getTrafficShare(tracked: TrackedUpstream, now: number): number {
+	const {ejectionState, rampUpStartedAt} = tracked.declared;
+	if (ejectionState === 'trial') {
 		return constants.TRIAL_SHARE;
 	}
 
-	if (rampStartedAt === undefined) {
+	if (rampUpStartedAt === undefined) {
 		return 1;
 	}
 
-	const progress = (now - rampStartedAt) / constants.RAMP_MILLISECONDS;
-	return Math.min(1, Math.max(constants.RAMP_FLOOR, progress));
+	const progress = (now - rampUpStartedAt) / constants.RAMP_UP_MILLISECONDS;
+	return Math.min(1, Math.max(constants.MIN_RAMP_UP_SHARE, progress));
 }
 
-type Ending = {
+type EndSample = {
 	readonly now: number;
 	readonly latencyMilliseconds: number;
 	readonly usualMilliseconds: number;
 };
 
-const ENDINGS: Readonly<Record<Result, (entry: Entry, ending: Ending) => void>> = {
-	success(entry, ending) {
-		entry.shedsInRow = 0;
-		entry.foreign = 0;
-		entry.hasFailed = false;
-		observeLatency(entry, ending.latencyMilliseconds, ending.now);
+const RESULT_HANDLERS: Readonly<Record<RequestResult, (tracked: TrackedUpstream, ended: EndSample) => void>> = {
+	success(tracked, ended) {
+		tracked.shedsInRow = 0;
+		tracked.slotsUsedByOthers = 0;
+		tracked.hasFailed = false;
+		recordLatency(tracked, ended.latencyMilliseconds, ended.now);
 	},
-	failure(entry, ending) {
-		const slow = Math.max(entry.latency, ending.usualMilliseconds * constants.SLOW_RATIO);
-		const penalised = Math.max(ending.latencyMilliseconds, slow * constants.FAILURE_PENALTY);
-		entry.hasFailed = true;
-		observeLatency(entry, penalised, ending.now);
+	failure(tracked, ended) {
+		const slow = Math.max(tracked.latencyMilliseconds, ended.usualMilliseconds * constants.SLOW_LATENCY_RATIO);
+		const penalised = Math.max(ended.latencyMilliseconds, slow * constants.FAILURE_LATENCY_FACTOR);
+		tracked.hasFailed = true;
+		recordLatency(tracked, penalised, ended.now);
 	},
-	shed(entry, ending) {
-		entry.shedsInRow++;
-		entry.foreign = Math.max(0, entry.declared.slots - entry.outstanding);
-		entry.shedAt = ending.now;
+	shed(tracked, ended) {
+		tracked.shedsInRow++;
+		tracked.slotsUsedByOthers = Math.max(0, tracked.declared.slots - tracked.outstanding);
+		tracked.shedAt = ended.now;
 	},
 	cancelled() {
-		// The caller went away: this says nothing about the upstream.
+		// The caller cancelled the request: this says nothing about the upstream.
 	},
 };
 
 /**
-Takes the end of a request into the record.
+Updates the state of an upstream with the end of a request.
 */
-export function observeEnd(entry: Entry, result: Result, ending: Ending): void {
-	entry.outstanding = Math.max(0, entry.outstanding - 1);
-	ENDINGS[result](entry, ending);
+export function recordEnd(tracked: TrackedUpstream, result: RequestResult, ended: EndSample): void {
+	tracked.outstanding = Math.max(0, tracked.outstanding - 1);
+	RESULT_HANDLERS[result](tracked, ended);
 }
 
-// Peak-EWMA: a rise counts at once, a fall only over the decay time, since a slow server costs more than a missed fast one.
-function observeLatency(entry: Entry, sample: number, now: number): void {
-	const bounded = Math.min(sample, constants.LATENCY_CEILING_MILLISECONDS);
-	const weight = Math.exp((entry.latencyAt - now) / constants.LATENCY_DECAY_MILLISECONDS);
-	const decayed = (entry.latency * weight) + (bounded * (1 - weight));
-	entry.latency = Math.max(bounded, decayed);
-	entry.latencyAt = now;
+// Peak EWMA: the estimate rises to a higher sample at once and falls over the decay time, because sending to a slow upstream
+// costs more than not sending to a fast one.
+function recordLatency(tracked: TrackedUpstream, sample: number, now: number): void {
+	const bounded = Math.min(sample, constants.MAX_LATENCY_MILLISECONDS);
+	const weight = Math.exp((tracked.latencyUpdatedAt - now) / constants.LATENCY_DECAY_MILLISECONDS);
+	const decayed = (tracked.latencyMilliseconds * weight) + (bounded * (1 - weight));
+	tracked.latencyMilliseconds = Math.max(bounded, decayed);
+	tracked.latencyUpdatedAt = now;
 }
