--- a/packages/wagtailroute-host/src/services.ts
+++ b/packages/wagtailroute-host/src/services.ts
@@ -216,7 +216,7 @@
 		state: upstream.state,
 		ejectionState: verdicts.getAdmission(upstream.service, upstream.id),
 		isAvoided: verdicts.isAvoided(upstream.service, upstream.id),
-		rampUpStartedAt: verdicts.getRampStart(upstream.service, upstream.id),
+		rampStartedAt: verdicts.getRampStart(upstream.service, upstream.id),
 	};
 }
 
--- a/packages/wagtailroute-selection/src/__tests__/unit/selection.test.ts
+++ b/packages/wagtailroute-selection/src/__tests__/unit/selection.test.ts
@@ -55,7 +55,7 @@
 		outstanding: [2, 0],
 		chosen: ['1'],
 	},
-	{name: 'an upstream that ramps up for some requests', upstreams: [{rampUpStartedAt: 0}, {}], chosen: ['0', '1']},
+	{name: 'an upstream that ramps up for some requests', upstreams: [{rampStartedAt: 0}, {}], chosen: ['0', '1']},
 ];
 
 for (const {name, upstreams, outstanding = [], excluded = [], isTrialAllowed, chosen} of CASES) {
--- a/packages/wagtailroute-selection/src/constants.ts
+++ b/packages/wagtailroute-selection/src/constants.ts
@@ -5,12 +5,12 @@
 /**
 Time in which a cold or re-admitted upstream reaches its full share of traffic.
 */
-export const RAMP_UP_MILLISECONDS = 10_000;
+export const RAMP_MILLISECONDS = 10_000;
 
 /**
 Minimum fraction of its normal traffic that an upstream receives while it ramps up, so that it can warm up.
 */
-export const MIN_RAMP_UP_SHARE = 0.1;
+export const MIN_RAMP_SHARE = 0.1;
 
 /**
 Time constant by which the latency estimate falls towards lower samples.
--- a/packages/wagtailroute-selection/src/index.ts
+++ b/packages/wagtailroute-selection/src/index.ts
@@ -9,4 +9,4 @@
 export type {ChoiceContext} from './candidates.ts';
 export type {EjectionState, RequestResult, Upstream} from './upstreams.ts';
 export {type CarrierPosition, getOwnedSlots} from './shares.ts';
-export {RAMP_UP_MILLISECONDS, TRIAL_SHARE} from './constants.ts';
+export {RAMP_MILLISECONDS, TRIAL_SHARE} from './constants.ts';
--- a/packages/wagtailroute-selection/src/upstreams.ts
+++ b/packages/wagtailroute-selection/src/upstreams.ts
@@ -30,7 +30,7 @@
 	/**
 	Monotonic time in milliseconds at which it began to ramp up; absent when it is warm.
 	*/
-	readonly rampUpStartedAt?: number;
+	readonly rampStartedAt?: number;
 };
 
 /**
@@ -115,17 +115,17 @@
 Returns the fraction of its normal traffic that an upstream may receive, in [0, 1].
 */
 export function getTrafficShare(tracked: TrackedUpstream, now: number): number {
-	const {ejectionState, rampUpStartedAt} = tracked.declared;
+	const {ejectionState, rampStartedAt} = tracked.declared;
 	if (ejectionState === 'trial') {
 		return constants.TRIAL_SHARE;
 	}
 
-	if (rampUpStartedAt === undefined) {
+	if (rampStartedAt === undefined) {
 		return 1;
 	}
 
-	const progress = (now - rampUpStartedAt) / constants.RAMP_UP_MILLISECONDS;
-	return Math.min(1, Math.max(constants.MIN_RAMP_UP_SHARE, progress));
+	const progress = (now - rampStartedAt) / constants.RAMP_MILLISECONDS;
+	return Math.min(1, Math.max(constants.MIN_RAMP_SHARE, progress));
 }
 
 type EndSample = {
