--- a/packages/wagtailroute-admission/src/fair-queue.ts
+++ b/packages/wagtailroute-admission/src/fair-queue.ts
@@ -2,8 +2,8 @@
 Queue of waiting requests, max-min fair to their organisations (start-time fair queueing).
 
 Each organisation has a flow with a start tag that grows with the service it has received. The waiting flow with the smallest
-start tag is served next. A new flow starts at the virtual time, the start tag in service: an organisation neither gains nor
-loses by the time it was idle. Memory is needed only for flows with requests in flight or waiting and for a bounded number of
+start tag is served next. A new flow starts at the virtual time, the highest start tag served so far: an organisation
+neither gains nor loses by the time it was idle. Memory is needed only for flows with requests in flight or waiting and for a bounded number of
 idle flows whose tags are ahead of the virtual time; it does not grow with the number of organisations ever seen. The state
 is mutable, in a closure, and flow objects are reused, because this runs for every request.
 */
--- a/packages/wagtailroute-selection/src/upstreams.ts
+++ b/packages/wagtailroute-selection/src/upstreams.ts
@@ -17,7 +17,7 @@
 	readonly id: core.UpstreamId;
 	readonly failureDomain: core.FailureDomain;
 	/**
-	Number of requests that it runs concurrently, from all hosts.
+	Number of requests that the upstream runs concurrently, from all hosts.
 	*/
 	readonly slots: number;
 	readonly state: 'serving' | 'draining';
@@ -28,7 +28,7 @@
 	*/
 	readonly isAvoided?: boolean;
 	/**
-	Monotonic time in milliseconds at which it began to ramp up; absent when it is warm.
+	Monotonic time in milliseconds at which the upstream began to ramp up; absent when it is warm.
 	*/
 	readonly rampStartedAt?: number;
 };
@@ -44,7 +44,13 @@
 export type TrackedUpstream = {
 	declared: Upstream;
 	ownedSlots: number;
+	/**
+	Requests that this host has in flight at the upstream.
+	*/
 	outstanding: number;
+	/**
+	Peak-EWMA estimate of the latency.
+	*/
 	latencyMilliseconds: number;
 	latencyUpdatedAt: number;
 	/**
@@ -56,6 +62,9 @@
 	Slots that other hosts used at the last shed.
 	*/
 	slotsUsedByOthers: number;
+	/**
+	Monotonic time of the last shed, in milliseconds.
+	*/
 	shedAt: number;
 };
 
