--- a/packages/wagtailroute-assignment/src/__tests__/unit/assignment.test.ts
+++ b/packages/wagtailroute-assignment/src/__tests__/unit/assignment.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of carriers and directory. The index is compared with the plain version over random changes.
+Tests of carriers and directory. The index is compared with the reference implementation over random changes.
 */
 import test from 'ava';
 import fc from 'fast-check';
@@ -18,7 +18,7 @@
 	}));
 }
 
-const SIZES = [
+const CARRIER_COUNT_CASES = [
 	{name: 'eight upstreams of four slots', demand: {upstreams: 8, slots: 4, requestsPerSecond: 5000}, count: 4},
 	{name: 'a quiet small service', demand: {upstreams: 6, slots: 6, requestsPerSecond: 10}, count: 3},
 	{name: 'an archive of thirty upstreams', demand: {upstreams: 30, slots: 4, requestsPerSecond: 500}, count: 8},
@@ -29,20 +29,20 @@
 	},
 ];
 
-for (const {name, demand, hosts, count} of SIZES) {
+for (const {name, demand, hosts, count} of CARRIER_COUNT_CASES) {
 	test(`${name}: ${count} carriers`, t => {
 		t.is(assignment.getCarrierCount({...demand, connectionsPerUpstream: 400, hosts: hosts ?? 40}), count);
 	});
 }
 
-test('no two carriers share a failure domain while another has a host free', t => {
+test('no two carriers share a failure domain while another has an unselected host', t => {
 	const hosts = createHosts(40, 4);
 	for (let index = 0; index < 200; index++) {
 		const carriers = assignment.getCarriers({
 			hash,
 			service: `service-${index}`,
 			hosts,
-			size: 6,
+			count: 6,
 		});
 		const domains = carriers.map(id => hosts.find(host => host.id === id)!.failureDomain);
 		t.is(new Set(domains.slice(0, 4)).size, 4);
@@ -52,7 +52,7 @@
 
 type Change = {readonly kind: 'set' | 'remove' | 'size'; readonly index: number; readonly value: number};
 
-test('the index agrees with the plain version after any changes', t => {
+test('the index agrees with the reference implementation after any changes', t => {
 	const change: fc.Arbitrary<Change> = fc.record({
 		kind: fc.constantFrom('set', 'remove', 'size'),
 		index: fc.nat(11),
@@ -71,7 +71,7 @@
 					hash,
 					service,
 					hosts: hosts.values().toArray(),
-					size,
+					count: size,
 				});
 				const actual = index.getCarriers(service);
 				const reported = changed.includes(service);
@@ -84,27 +84,27 @@
 	t.false(check.failed, fc.defaultReportMessage(check));
 });
 
-type World = {
+type IndexUnderTest = {
 	readonly index: assignment.CarrierIndex;
 	readonly hosts: Map<string, assignment.CarrierHost>;
 	readonly sizes: Map<string, number>;
 };
 
-function applyChange(world: World, kind: Change['kind'], number: number, value: number): readonly string[] {
+function applyChange(subject: IndexUnderTest, kind: Change['kind'], number: number, value: number): readonly string[] {
 	const id = `name-${number}`;
 	if (kind === 'size') {
-		world.sizes.set(id, value);
-		return world.index.setService(id, value);
+		subject.sizes.set(id, value);
+		return subject.index.setService(id, value);
 	}
 
 	if (kind === 'remove') {
-		world.hosts.delete(id);
-		return world.index.removeHost(id);
+		subject.hosts.delete(id);
+		return subject.index.removeHost(id);
 	}
 
 	const host = {id, failureDomain: `domain-${(number + value) % 3}`, weight: value};
-	world.hosts.set(id, host);
-	return world.index.setHost(host);
+	subject.hosts.set(id, host);
+	return subject.index.setHost(host);
 }
 
 const MEMBER = {state: 'alive', draining: false} as const;
@@ -121,7 +121,7 @@
 	}]));
 }
 
-const ANSWERS: ReadonlyArray<{
+const DIRECTORY_CASES: ReadonlyArray<{
 	readonly name: string;
 	readonly changes: Readonly<Record<string, Partial<assignment.DirectoryMember>>>;
 	readonly behind?: readonly string[];
@@ -159,33 +159,33 @@
 	},
 ];
 
-for (const {name, changes, behind, ports} of ANSWERS) {
+for (const {name, changes, behind, ports} of DIRECTORY_CASES) {
 	test(`the directory gives ${name}`, t => {
 		const answer = assignment.getAddresses({
 			service: 'archive',
 			carriers: ['a', 'b', 'c'],
 			members: createMembers(changes),
 			random: utils.createRandom(SEED),
-			behind: id => behind?.includes(id) ?? false,
+			isBehind: id => behind?.includes(id) ?? false,
 		});
 		t.deepEqual(answer.addresses.map(address => address.port).toSorted((left, right) => left - right), [...ports]);
 		t.is(answer.ttlSeconds, 5);
 	});
 }
 
-test('a host with more room is told to more callers, and one caller keeps its answer', t => {
+test('a host with more free capacity is given to more callers, and a caller with a key gets the same answer again', t => {
 	const members = createMembers({a: {load: 0.9}, c: {load: 0.1}});
 	const random = utils.createRandom(SEED);
 	const query = {
 		service: 'archive', carriers: ['a', 'c'], members, count: 1,
 	};
-	let light = 0;
+	let lessLoadedCount = 0;
 	for (let caller = 0; caller < 1000; caller++) {
-		light += Number(assignment.getAddresses({...query, random}).addresses[0]!.port === 2);
+		lessLoadedCount += Number(assignment.getAddresses({...query, random}).addresses[0]!.port === 2);
 	}
 
-	// Room of 0.9 against 0.1: nine answers in ten.
-	t.true(light > 860 && light < 940);
+	// Free capacity of 0.9 against 0.1: nine answers in ten.
+	t.true(lessLoadedCount > 860 && lessLoadedCount < 940);
 	const keyed = {...query, random, caller: {hash, key: 'caller-1'}};
 	t.deepEqual(assignment.getAddresses(keyed), assignment.getAddresses(keyed));
 });
--- a/packages/wagtailroute-assignment/src/bench/assignment.bench.ts
+++ b/packages/wagtailroute-assignment/src/bench/assignment.bench.ts
@@ -1,43 +1,43 @@
 /**
-Figures of assignment: moved share when a host comes or goes against the least possible, spread of load, and CPU.
+Measures assignment: carriers moved when a host is removed or added, relative to the minimum; spread of services over
+hosts; CPU time.
 
-Run it with `npm run bench -- assignment`. Shares and spreads are deterministic; CPU
-is that of the machine.
+Run it with `npm run bench -- assignment`. All but the CPU time is deterministic.
 */
 import * as process from 'node:process';
 import * as assignment from '../index.ts';
 
 /**
-One size of fleet.
+Results for one size of the fleet.
 */
 export type AssignmentRow = {
 	readonly hosts: number;
 	readonly services: number;
 	readonly carriers: number;
 	/**
-	Most services on a host over the mean.
+	Services of the host with the most of them, divided by the mean.
 	*/
 	readonly maxOverMean: number;
 	/**
-	Places moved when one host goes, over the places it had.
+	Carriers replaced when one host is removed, divided by the number of services that it carried.
 	*/
 	readonly movedOnLeave: number;
 	/**
-	Places moved when one host comes, over the places it gets.
+	Carriers replaced when one host is added, divided by the number of services that it carries then.
 	*/
 	readonly movedOnJoin: number;
 	/**
-	CPU of the first full computation, in milliseconds.
+	CPU time of the first full computation, in milliseconds.
 	*/
 	readonly fullMilliseconds: number;
 	/**
-	Mean CPU of one host going, and of one coming, in milliseconds.
+	Mean CPU time of removing one host, and of adding one, in milliseconds.
 	*/
 	readonly leaveMilliseconds: number;
 	readonly joinMilliseconds: number;
 };
 
-const CASES = [
+const FLEET_SIZES = [
 	{
 		hosts: 40, domains: 4, services: 4, carriers: 6,
 	},
@@ -52,23 +52,24 @@
 	},
 ];
 
-const CHANGES = 20;
+const CHANGED_HOSTS = 20;
 const WARMUP_ROUNDS = 3;
 
 /**
-Runs all sizes.
+Measures all sizes of the fleet.
 */
 export async function measureAssignment(): Promise<readonly AssignmentRow[]> {
 	const hash = await assignment.createNameHash();
-	// The first runs of a size are made by code not yet compiled: at 40 hosts they broke the bound in one run of two.
+	// Discards the first rounds, in which the code isn't compiled yet: at 40 hosts they exceeded the bound in every
+	// second run.
 	for (let round = 0; round < WARMUP_ROUNDS; round++) {
-		measureSize(hash, CASES[1]!);
+		measureSize(hash, FLEET_SIZES[1]!);
 	}
 
-	return CASES.map(size => measureSize(hash, size));
+	return FLEET_SIZES.map(size => measureSize(hash, size));
 }
 
-function measureSize(hash: assignment.NameHash, size: typeof CASES[number]): AssignmentRow {
+function measureSize(hash: assignment.NameHash, size: typeof FLEET_SIZES[number]): AssignmentRow {
 	const hosts = Array.from({length: size.hosts}, (_, index) => ({
 		id: `host-${index}`,
 		failureDomain: `domain-${index % size.domains}`,
@@ -76,50 +77,50 @@
 	}));
 	const names = Array.from({length: size.services}, (_, index) => `service-${index}`);
 	const index = assignment.createCarrierIndex(hash, hosts);
-	const fullMilliseconds = measureCpu(() => {
+	const fullMilliseconds = measureCpuMilliseconds(() => {
 		for (const name of names) {
 			index.setService(name, size.carriers);
 		}
 	});
 	const counts = hosts.map(host => index.getServices(host.id).size);
-	const changes = hosts.slice(0, CHANGES).map(host => measureChange(index, names, host));
+	const changes = hosts.slice(0, CHANGED_HOSTS).map(host => measureLeaveAndJoin(index, names, host));
 	return {
 		hosts: size.hosts,
 		services: size.services,
 		carriers: size.carriers,
 		maxOverMean: Math.max(...counts) / getMean(counts),
-		movedOnLeave: getRatio(changes.map(change => change.leave)),
-		movedOnJoin: getRatio(changes.map(change => change.join)),
+		movedOnLeave: getMovedRatio(changes.map(change => change.leave)),
+		movedOnJoin: getMovedRatio(changes.map(change => change.join)),
 		fullMilliseconds,
 		leaveMilliseconds: getMean(changes.map(change => change.leave.milliseconds)),
 		joinMilliseconds: getMean(changes.map(change => change.join.milliseconds)),
 	};
 }
 
-type Moved = {readonly moved: number; readonly least: number; readonly milliseconds: number};
+type ChangeMeasurement = {readonly moved: number; readonly minMoved: number; readonly milliseconds: number};
 
-function measureChange(
+function measureLeaveAndJoin(
 	index: assignment.CarrierIndex,
 	names: readonly string[],
 	host: assignment.CarrierHost,
-): {readonly leave: Moved; readonly join: Moved} {
-	const least = index.getServices(host.id).size;
-	const leave = measureMoved(index, names, () => {
+): {readonly leave: ChangeMeasurement; readonly join: ChangeMeasurement} {
+	const minMoved = index.getServices(host.id).size;
+	const leave = measureMovedAssignments(index, names, () => {
 		index.removeHost(host.id);
 	});
-	const join = measureMoved(index, names, () => {
+	const join = measureMovedAssignments(index, names, () => {
 		index.setHost(host);
 	});
-	return {leave: {...leave, least}, join: {...join, least}};
+	return {leave: {...leave, minMoved}, join: {...join, minMoved}};
 }
 
-function measureMoved(
+function measureMovedAssignments(
 	index: assignment.CarrierIndex,
 	names: readonly string[],
 	change: () => void,
 ): {readonly moved: number; readonly milliseconds: number} {
 	const before = names.map(name => new Set(index.getCarriers(name)));
-	const milliseconds = measureCpu(change);
+	const milliseconds = measureCpuMilliseconds(change);
 	let moved = 0;
 	for (const [position, name] of names.entries()) {
 		moved += index.getCarriers(name).filter(id => !before[position]!.has(id)).length;
@@ -128,15 +129,15 @@
 	return {moved, milliseconds};
 }
 
-function getRatio(changes: readonly Moved[]): number {
-	return getMean(changes.map(change => change.moved)) / getMean(changes.map(change => change.least));
+function getMovedRatio(changes: readonly ChangeMeasurement[]): number {
+	return getMean(changes.map(change => change.moved)) / getMean(changes.map(change => change.minMoved));
 }
 
 function getMean(values: readonly number[]): number {
 	return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-function measureCpu(work: () => void): number {
+function measureCpuMilliseconds(work: () => void): number {
 	const start = process.cpuUsage();
 	work();
 	const used = process.cpuUsage(start);
@@ -144,7 +145,7 @@
 }
 
 /**
-What `scripts/bench.ts` runs: the rows, and the bounds that don't hold.
+Entry point for `scripts/bench.ts`: returns the rows, and a sentence for each exceeded bound.
 */
 export async function run(): Promise<{
 	readonly title: string;
@@ -152,23 +153,23 @@
 	readonly broken: readonly string[];
 }> {
 	const rows = await measureAssignment();
-	return {title: 'Assignment: moved share, spread, CPU', rows, broken: findBroken(rows)};
+	return {title: 'Assignment: moved share, spread, CPU', rows, broken: findExceededBounds(rows)};
 }
 
-// The choice itself is deterministic; CPU is bounded as a ratio within the run.
-const MAX_MOVED = 1.05;
-const MAX_SPREAD = 2.5;
-const MIN_SERVICES_FOR_SPREAD = 100;
-const MAX_CHANGE_SHARE = 0.2;
+// The selection is deterministic; CPU time is bounded as a ratio within the run.
+const MAX_MOVED_RATIO = 1.05;
+const MAX_OVER_MEAN = 2.5;
+const MIN_SERVICES_FOR_BOUNDS = 100;
+const MAX_CHANGE_COST_RATIO = 0.2;
 
-function findBroken(rows: readonly AssignmentRow[]): readonly string[] {
+function findExceededBounds(rows: readonly AssignmentRow[]): readonly string[] {
 	return rows.flatMap(row => [
-		...Math.max(row.movedOnLeave, row.movedOnJoin) > MAX_MOVED ? [`${row.hosts} hosts: a change moves more than it must.`] : [],
-		...row.services >= MIN_SERVICES_FOR_SPREAD && row.maxOverMean > MAX_SPREAD
-			? [`${row.hosts} hosts: the fullest has ${row.maxOverMean} times the mean.`]
+		...Math.max(row.movedOnLeave, row.movedOnJoin) > MAX_MOVED_RATIO ? [`${row.hosts} hosts: a change of one host moves more carriers than necessary.`] : [],
+		...row.services >= MIN_SERVICES_FOR_BOUNDS && row.maxOverMean > MAX_OVER_MEAN
+			? [`${row.hosts} hosts: the host with the most services has ${row.maxOverMean} times the mean.`]
 			: [],
-		...row.services >= MIN_SERVICES_FOR_SPREAD && row.joinMilliseconds > MAX_CHANGE_SHARE * row.fullMilliseconds
-			? [`${row.hosts} hosts: one change costs ${row.joinMilliseconds} ms against ${row.fullMilliseconds} for all.`]
+		...row.services >= MIN_SERVICES_FOR_BOUNDS && row.joinMilliseconds > MAX_CHANGE_COST_RATIO * row.fullMilliseconds
+			? [`${row.hosts} hosts: adding a host takes ${row.joinMilliseconds} ms, the full computation ${row.fullMilliseconds} ms.`]
 			: [],
 	]);
 }
--- a/packages/wagtailroute-assignment/src/bench/directory.bench.ts
+++ b/packages/wagtailroute-assignment/src/bench/directory.bench.ts
@@ -1,8 +1,9 @@
 /**
-What a host keeps and does for assignment and directory, by the number of hosts: memory of the index after a collection,
-and time of an answer to a caller, with fit carriers and without any.
+Measures what assignment and directory cost a host, by the number of hosts: memory of the index after a garbage
+collection, and the time of an answer to a caller with fit carriers and without any.
 
-Run it with `npm run bench -- directory`. The services grow with the hosts as in the size to design for.
+Run it with `npm run bench -- directory`. The ratio of services to hosts is that of the size to design for (6,900
+services on 2,400 hosts).
 */
 import * as process from 'node:process';
 import * as v8 from 'node:v8';
@@ -13,15 +14,15 @@
 const SIZES = [300, 600, 1200, 2400] as const;
 const SERVICES_PER_HOST = 2.875;
 const CARRIERS = 6;
-const DOMAINS = 35;
-const ANSWERS = 20_000;
-const SLOW_ANSWERS = 200;
+const FAILURE_DOMAINS = 35;
+const ANSWERS_WITH_CARRIERS = 20_000;
+const ANSWERS_WITHOUT_CARRIERS = 200;
 const SEED = 3;
 
 /**
-An answer with fit carriers may cost at most this much more in the largest fleet than in the smallest.
+Maximum time of an answer with fit carriers in the largest fleet, divided by that in the smallest.
 */
-const ANSWER_BOUND = 4;
+const MAX_ANSWER_COST_RATIO = 4;
 
 type Row = {
 	readonly hosts: number;
@@ -29,7 +30,7 @@
 	readonly indexBytes: number;
 	readonly answerMicroseconds: number;
 	/**
-	When no carrier is fit: all hosts are looked at.
+	Time of an answer when no carrier is fit: all hosts are examined.
 	*/
 	readonly withoutCarriersMicroseconds: number;
 	readonly answerBytes: number;
@@ -46,7 +47,7 @@
 	return {
 		title: 'Assignment and directory: memory of the index, time of an answer',
 		rows,
-		broken: ratio > ANSWER_BOUND ? [`an answer costs ${ratio.toFixed(1)} times as much at ${rows.at(-1)!.hosts} hosts`] : [],
+		broken: ratio > MAX_ANSWER_COST_RATIO ? [`an answer takes ${ratio.toFixed(1)} times as long at ${rows.at(-1)!.hosts} hosts`] : [],
 	};
 }
 
@@ -59,10 +60,10 @@
 	const indexBytes = process.memoryUsage().heapUsed - before;
 	const members = createMembers(hosts);
 	const random = utils.createRandom(SEED);
-	const ask = (number: number, isFit: boolean) => {
+	const getAnswer = (number: number, hasFitCarriers: boolean) => {
 		const service = `service-${number % services}`;
 		return assignment.getAddresses({
-			service, carriers: isFit ? index.getCarriers(service) : [], members, random,
+			service, carriers: hasFitCarriers ? index.getCarriers(service) : [], members, random,
 		});
 	};
 
@@ -70,16 +71,16 @@
 		hosts,
 		services,
 		indexBytes,
-		answerMicroseconds: measureAnswers(ANSWERS, number => ask(number, true)),
-		withoutCarriersMicroseconds: measureAnswers(SLOW_ANSWERS, number => ask(number, false)),
-		answerBytes: JSON.stringify(ask(0, true)).length,
+		answerMicroseconds: measureAnswers(ANSWERS_WITH_CARRIERS, number => getAnswer(number, true)),
+		withoutCarriersMicroseconds: measureAnswers(ANSWERS_WITHOUT_CARRIERS, number => getAnswer(number, false)),
+		answerBytes: JSON.stringify(getAnswer(0, true)).length,
 	};
 }
 
-function measureAnswers(count: number, ask: (number: number) => unknown): number {
+function measureAnswers(count: number, getAnswer: (number: number) => unknown): number {
 	const startedAt = performance.now();
 	for (let number = 0; number < count; number++) {
-		ask(number);
+		getAnswer(number);
 	}
 
 	return Math.round((performance.now() - startedAt) * 1e4 / count) / 10;
@@ -87,7 +88,7 @@
 
 function createIndex(hash: assignment.NameHash, hosts: number, services: number): assignment.CarrierIndex {
 	const list = Array.from({length: hosts}, (_, index) => ({
-		id: `host-${index}`, failureDomain: `domain-${index % DOMAINS}`, weight: 1,
+		id: `host-${index}`, failureDomain: `domain-${index % FAILURE_DOMAINS}`, weight: 1,
 	}));
 	const index = assignment.createCarrierIndex(hash, list);
 	for (let service = 0; service < services; service++) {
@@ -101,7 +102,7 @@
 	return new Map(Array.from({length: hosts}, (_, index): [string, assignment.DirectoryMember] => [`host-${index}`, {
 		id: `host-${index}`,
 		trafficAddress: {ip: '10.0.0.1', port: index + 1},
-		failureDomain: `domain-${index % DOMAINS}`,
+		failureDomain: `domain-${index % FAILURE_DOMAINS}`,
 		state: 'alive',
 		draining: false,
 		load: (index % 10) / 10,
@@ -109,7 +110,7 @@
 }
 
 function collectGarbage(): void {
-	// The flag counts for contexts made after it.
+	// The flag applies only to contexts that are created after it is set.
 	v8.setFlagsFromString('--expose-gc');
 	(vm.runInNewContext('gc') as () => void)();
 }
--- a/packages/wagtailroute-assignment/src/sizes.ts
+++ b/packages/wagtailroute-assignment/src/carrier-count.ts
@@ -1,16 +1,16 @@
 /**
-How many hosts carry a service.
+Number of carriers of a service.
 
-Many carriers share the load and survive losses; few carriers see more of each upstream's requests, share its slots with
-less risk of overrunning them, and hold fewer connections to it. The count follows slots and demand, bounded by what the
-upstreams can take:
+Many carriers share the load and survive losses of hosts. With few carriers, each sees more of an upstream's requests,
+is less likely to exceed its slots, and fewer connections are held to it. The count follows the slots and the request
+rate, limited by the slots and connections of the upstreams:
 
 	wanted  = max(MIN_CARRIERS, slots / SLOTS_PER_CARRIER, requests per second / REQUESTS_PER_SECOND_PER_CARRIER)
 	allowed = min(slots / MIN_SLOTS_PER_CARRIER, connections per upstream / (slots of an upstream * CONNECTIONS_PER_SLOT))
 	count   = min(hosts, max(MIN_CARRIERS, min(wanted, allowed))), with min(wanted, allowed) rounded down to a step
 */
 import {
-	CARRIER_STEPS,
+	CARRIER_COUNT_STEPS,
 	CONNECTIONS_PER_SLOT,
 	MIN_CARRIERS,
 	MIN_SLOTS_PER_CARRIER,
@@ -19,11 +19,11 @@
 } from './constants.ts';
 
 /**
-What the size of a service's choice follows from.
+Input of the number of carriers of a service.
 */
 export type Demand = {
 	/**
-	Upstreams of the service.
+	Number of upstreams of the service.
 	*/
 	readonly upstreams: number;
 	/**
@@ -31,12 +31,12 @@
 	*/
 	readonly slots: number;
 	/**
-	Connections that one upstream takes in all.
+	Connections that one upstream accepts in total.
 	*/
 	readonly connectionsPerUpstream: number;
 	readonly requestsPerSecond: number;
 	/**
-	Hosts that may carry services.
+	Number of hosts that may carry services.
 	*/
 	readonly hosts: number;
 };
@@ -62,5 +62,5 @@
 }
 
 function roundToStep(count: number): number {
-	return CARRIER_STEPS.findLast(step => step <= count) ?? MIN_CARRIERS;
+	return CARRIER_COUNT_STEPS.findLast(step => step <= count) ?? MIN_CARRIERS;
 }
--- a/packages/wagtailroute-assignment/src/carrier-index.ts
+++ b/packages/wagtailroute-assignment/src/carrier-index.ts
@@ -1,11 +1,11 @@
 /**
-The carriers of all services, kept up to date change by change.
+The carriers of all services, updated incrementally.
 
-A host that goes is looked up in the list of services it carries, and only those are computed again. A host that comes
-is scored once against each service, and only the services that it enters are computed again. The tables are mutable
-inside the index, because copying 6,900 services for each change would cost more than the change; what `getCarriers`
-returns is never changed afterwards. The index is deterministic: it depends only on hosts, services and sizes, not on
-the order in which they came.
+When a host is removed, only the services that it carries are computed again. When a host is added, it is scored once
+against each service, and only the services whose carriers it may join are computed again. The tables are mutable inside
+the index, because copying 6,900 services for each change would cost more than the change; the arrays that `getCarriers`
+returns are never changed. The index is deterministic: it depends only on hosts, services and numbers of carriers, not
+on the order in which they were set.
 */
 import type * as core from 'wagtailroute-core';
 import type {CarrierHost} from './carriers.ts';
@@ -14,7 +14,8 @@
 import {compareCandidates, compareRanked, type RankedCandidate} from './spreading.ts';
 
 /**
-Keeps the carriers of all services. Commands return the names of the services whose carriers changed.
+The carriers of all services. `setHost`, `removeHost` and `setService` return the names of the services whose carriers
+changed.
 */
 export type CarrierIndex = {
 	/**
@@ -25,14 +26,14 @@
 	/**
 	Adds a service, or changes its number of carriers.
 	*/
-	readonly setService: (service: core.ServiceName, size: number) => readonly core.ServiceName[];
+	readonly setService: (service: core.ServiceName, carrierCount: number) => readonly core.ServiceName[];
 	readonly removeService: (service: core.ServiceName) => void;
 	/**
-	Carriers in the order of preference; empty for an unknown service.
+	Returns the carriers in the order of preference; empty for an unknown service.
 	*/
 	readonly getCarriers: (service: core.ServiceName) => readonly core.HostId[];
 	/**
-	Services that a host carries.
+	Returns the services that a host carries.
 	*/
 	readonly getServices: (id: core.HostId) => ReadonlySet<core.ServiceName>;
 };
@@ -40,17 +41,17 @@
 type ServiceEntry = {
 	readonly name: core.ServiceName;
 	readonly hash: number;
-	size: number;
+	carrierCount: number;
 	ranked: readonly RankedCandidate[];
 	carriers: readonly core.HostId[];
 };
 
 type Tables = {
 	readonly hash: NameHash;
-	readonly domains: Map<core.FailureDomain, Map<core.HostId, HashedHost>>;
+	readonly hostsByDomain: Map<core.FailureDomain, Map<core.HostId, HashedHost>>;
 	readonly hosts: Map<core.HostId, HashedHost>;
 	readonly services: Map<core.ServiceName, ServiceEntry>;
-	readonly carried: Map<core.HostId, Set<core.ServiceName>>;
+	readonly servicesByHost: Map<core.HostId, Set<core.ServiceName>>;
 };
 
 const NO_SERVICES: ReadonlySet<core.ServiceName> = new Set();
@@ -61,10 +62,10 @@
 export function createCarrierIndex(hash: NameHash, hosts: readonly CarrierHost[]): CarrierIndex {
 	const tables: Tables = {
 		hash,
-		domains: new Map(),
+		hostsByDomain: new Map(),
 		hosts: new Map(),
 		services: new Map(),
-		carried: new Map(),
+		servicesByHost: new Map(),
 	};
 	for (const host of hosts) {
 		insertHost(tables, host);
@@ -73,12 +74,12 @@
 	return {
 		setHost: host => setHost(tables, host),
 		removeHost: id => removeHost(tables, id),
-		setService: (service, size) => setService(tables, service, size),
+		setService: (service, carrierCount) => setService(tables, service, carrierCount),
 		removeService(service) {
 			removeService(tables, service);
 		},
 		getCarriers: service => tables.services.get(service)?.carriers ?? [],
-		getServices: id => tables.carried.get(id) ?? NO_SERVICES,
+		getServices: id => tables.servicesByHost.get(id) ?? NO_SERVICES,
 	};
 }
 
@@ -88,19 +89,19 @@
 		return [];
 	}
 
-	const carried = [...tables.carried.get(host.id) ?? NO_SERVICES];
+	const carried = [...tables.servicesByHost.get(host.id) ?? NO_SERVICES];
 	const previous = new Map(carried.map(name => [name, tables.services.get(name)!.carriers]));
 	removeHost(tables, host.id);
 	const inserted = insertHost(tables, host);
 	const entered: core.ServiceName[] = [];
 	for (const entry of tables.services.values()) {
-		if (mayEnter(entry, inserted) && refreshService(tables, entry) && !previous.has(entry.name)) {
+		if (mayBecomeCarrier(entry, inserted) && recomputeCarriers(tables, entry) && !previous.has(entry.name)) {
 			entered.push(entry.name);
 		}
 	}
 
-	// A replaced host may be back in its old place: only a service whose carriers differ in the end has changed.
-	const moved = carried.filter(name => !isSameChoice(previous.get(name)!, tables.services.get(name)!.carriers));
+	// A replaced host may carry the same services as before: only services whose carriers differ now have changed.
+	const moved = carried.filter(name => !isSameList(previous.get(name)!, tables.services.get(name)!.carriers));
 	return [...moved, ...entered];
 }
 
@@ -111,33 +112,33 @@
 	}
 
 	tables.hosts.delete(id);
-	const domainHosts = tables.domains.get(host.failureDomain)!;
+	const domainHosts = tables.hostsByDomain.get(host.failureDomain)!;
 	domainHosts.delete(id);
 	if (domainHosts.size === 0) {
-		tables.domains.delete(host.failureDomain);
+		tables.hostsByDomain.delete(host.failureDomain);
 	}
 
-	const services = [...tables.carried.get(id) ?? NO_SERVICES];
-	return services.filter(service => refreshService(tables, tables.services.get(service)!));
+	const services = [...tables.servicesByHost.get(id) ?? NO_SERVICES];
+	return services.filter(service => recomputeCarriers(tables, tables.services.get(service)!));
 }
 
-function setService(tables: Tables, name: core.ServiceName, size: number): readonly core.ServiceName[] {
+function setService(tables: Tables, name: core.ServiceName, carrierCount: number): readonly core.ServiceName[] {
 	const entry = tables.services.get(name) ?? {
 		name,
 		hash: tables.hash(name),
-		size,
+		carrierCount,
 		ranked: [],
 		carriers: [],
 	};
-	entry.size = size;
+	entry.carrierCount = carrierCount;
 	tables.services.set(name, entry);
-	return refreshService(tables, entry) ? [name] : [];
+	return recomputeCarriers(tables, entry) ? [name] : [];
 }
 
 function removeService(tables: Tables, name: core.ServiceName): void {
 	const entry = tables.services.get(name);
 	for (const id of entry?.carriers ?? []) {
-		forgetCarried(tables, id, name);
+		removeCarriedService(tables, id, name);
 	}
 
 	tables.services.delete(name);
@@ -145,19 +146,19 @@
 
 function insertHost(tables: Tables, host: CarrierHost): HashedHost {
 	const hashed = {...host, hash: tables.hash(host.id)};
-	const domainHosts = tables.domains.get(host.failureDomain) ?? new Map<core.HostId, HashedHost>();
+	const domainHosts = tables.hostsByDomain.get(host.failureDomain) ?? new Map<core.HostId, HashedHost>();
 	domainHosts.set(host.id, hashed);
-	tables.domains.set(host.failureDomain, domainHosts);
+	tables.hostsByDomain.set(host.failureDomain, domainHosts);
 	tables.hosts.set(host.id, hashed);
 	return hashed;
 }
 
 /**
-Says whether a host that came may be among the carriers: it displaces one of its own failure domain, or it comes before
-the last carrier. It may say true for a host that doesn't enter, never false for one that does.
+Returns whether an added host may be among the carriers: it precedes a carrier of its own failure domain, or the last
+carrier of all. May return true for a host that doesn't become a carrier, never false for one that does.
 */
-function mayEnter(entry: ServiceEntry, host: HashedHost): boolean {
-	if (entry.ranked.length < entry.size) {
+function mayBecomeCarrier(entry: ServiceEntry, host: HashedHost): boolean {
+	if (entry.ranked.length < entry.carrierCount) {
 		return true;
 	}
 
@@ -172,40 +173,40 @@
 	return last !== undefined && compareRanked({candidate, rank: inDomain.length}, last) < 0;
 }
 
-function refreshService(tables: Tables, entry: ServiceEntry): boolean {
-	const ranked = selectCarriers(tables.domains, entry.hash, entry.size);
+function recomputeCarriers(tables: Tables, entry: ServiceEntry): boolean {
+	const ranked = selectCarriers(tables.hostsByDomain, entry.hash, entry.carrierCount);
 	const carriers = ranked.map(({candidate}) => candidate.id);
 	entry.ranked = ranked;
-	if (isSameChoice(carriers, entry.carriers)) {
+	if (isSameList(carriers, entry.carriers)) {
 		return false;
 	}
 
 	for (const id of entry.carriers) {
-		forgetCarried(tables, id, entry.name);
+		removeCarriedService(tables, id, entry.name);
 	}
 
 	entry.carriers = carriers;
 	for (const id of carriers) {
-		rememberCarried(tables, id, entry.name);
+		addCarriedService(tables, id, entry.name);
 	}
 
 	return true;
 }
 
-function rememberCarried(tables: Tables, id: core.HostId, name: core.ServiceName): void {
-	const services = tables.carried.get(id) ?? new Set();
+function addCarriedService(tables: Tables, id: core.HostId, name: core.ServiceName): void {
+	const services = tables.servicesByHost.get(id) ?? new Set();
 	services.add(name);
-	tables.carried.set(id, services);
+	tables.servicesByHost.set(id, services);
 }
 
-function forgetCarried(tables: Tables, id: core.HostId, name: core.ServiceName): void {
-	const services = tables.carried.get(id);
+function removeCarriedService(tables: Tables, id: core.HostId, name: core.ServiceName): void {
+	const services = tables.servicesByHost.get(id);
 	services?.delete(name);
 	if (services?.size === 0) {
-		tables.carried.delete(id);
+		tables.servicesByHost.delete(id);
 	}
 }
 
-function isSameChoice(left: readonly core.HostId[], right: readonly core.HostId[]): boolean {
+function isSameList(left: readonly core.HostId[], right: readonly core.HostId[]): boolean {
 	return left.length === right.length && left.every((id, index) => id === right[index]);
 }
--- a/packages/wagtailroute-assignment/src/carriers.ts
+++ b/packages/wagtailroute-assignment/src/carriers.ts
@@ -1,9 +1,9 @@
 /**
-The carriers of one service, computed from all hosts: the plain version, against which the index is tested.
+The carriers of one service, computed from all hosts: the reference implementation against which the index is tested.
 */
 import type * as core from 'wagtailroute-core';
 import {getScore, type NameHash} from './scores.ts';
-import {chooseSpread} from './spreading.ts';
+import {selectAcrossDomains} from './spreading.ts';
 
 /**
 A host that may carry services.
@@ -18,21 +18,21 @@
 };
 
 /**
-What a choice of carriers depends on.
+Input of the selection of a service's carriers.
 */
 export type CarrierQuery = {
 	readonly hash: NameHash;
 	readonly service: core.ServiceName;
 	readonly hosts: readonly CarrierHost[];
 	/**
-	Carriers wanted, see `getCarrierCount`.
+	Number of carriers, see `getCarrierCount`.
 	*/
-	readonly size: number;
+	readonly count: number;
 };
 
 /**
-Returns the carriers of a service, in the order of preference: no two in one failure domain while another has a host
-free.
+Returns the carriers of a service in the order of preference: no two in one failure domain while another failure domain
+has an unselected host.
 */
 export function getCarriers(query: CarrierQuery): readonly core.HostId[] {
 	const serviceHash = query.hash(query.service);
@@ -41,5 +41,5 @@
 		failureDomain: host.failureDomain,
 		score: getScore(serviceHash, query.hash(host.id), host.weight),
 	}));
-	return chooseSpread(candidates, query.size).map(({candidate}) => candidate.id);
+	return selectAcrossDomains(candidates, query.count).map(({candidate}) => candidate.id);
 }
--- a/packages/wagtailroute-assignment/src/constants.ts
+++ b/packages/wagtailroute-assignment/src/constants.ts
@@ -1,50 +1,52 @@
 /**
-Bounds of assignment and directory. Each names its unit and the reason for its value.
+Bounds of assignment and directory, with the unit and the reason of each.
 */
 
 /**
-Fewest carriers of a service (hosts): one is lost and another restarts, and one is still left.
+Minimum number of carriers of a service: with one lost and another restarting, one still serves.
 */
 export const MIN_CARRIERS = 3;
 
 /**
-Slots of upstreams for each carrier when demand asks for no more (slots). A service of 20 upstreams with 4 slots gets 6
-carriers, so 6,900 such services over 2,400 hosts make about 17 services a host.
+Upstream slots per carrier, unless the request rate requires more carriers. A service of 20 upstreams with 4 slots each
+gets 6 carriers, so with 6,900 such services on 2,400 hosts each host carries about 17 services.
 */
 export const SLOTS_PER_CARRIER = 14;
 
 /**
-Fewest slots for each carrier under any demand (slots). Below it, carriers that don't see each other's requests overrun
-an upstream: 8 upstreams of 4 slots are never shared by more than 4 carriers.
+Minimum number of upstream slots per carrier at any request rate. With fewer, carriers that don't see each other's
+requests overload an upstream. It limits 8 upstreams of 4 slots to 4 carriers.
 */
 export const MIN_SLOTS_PER_CARRIER = 8;
 
 /**
-Requests each second of one service for which one carrier is planned.
+Requests per second of one service that one carrier is expected to handle.
 */
 export const REQUESTS_PER_SECOND_PER_CARRIER = 250;
 
 /**
-Connections that a carrier may hold to one upstream, as a multiple of the upstream's slots: in use, and kept idle.
+Connections that a carrier may hold to one upstream, in use or idle, per slot of the upstream.
 */
 export const CONNECTIONS_PER_SLOT = 2;
 
 /**
-Numbers of carriers that are given out (hosts). Steps, so that a few upstreams more or less move nothing.
+Allowed numbers of carriers of a service. Numbers in between are rounded down to one of these, so that adding or
+removing a few upstreams changes no carriers.
 */
-export const CARRIER_STEPS: readonly number[] = [3, 4, 5, 6, 8, 10, 12, 16, 20, 24, 32, 40, 48, 64, 96, 128];
+export const CARRIER_COUNT_STEPS: readonly number[] = [3, 4, 5, 6, 8, 10, 12, 16, 20, 24, 32, 40, 48, 64, 96, 128];
 
 /**
-Addresses in one answer to a caller.
+Default number of addresses in one answer to a caller.
 */
 export const ADDRESS_COUNT = 4;
 
 /**
-Seconds for which a caller may keep an answer. A host that drains waits this long before it refuses new requests.
+Seconds for which a caller may cache an answer. A draining host waits this long before it refuses new requests.
 */
 export const ADDRESS_TTL_SECONDS = 5;
 
 /**
-Smallest share of room counted for a host that reports itself full, so that a wrong report starves none.
+Minimum fraction of free capacity assumed for a host (0 to 1). A host that wrongly reports itself full still receives
+some callers.
 */
-export const MIN_ROOM = 0.05;
+export const MIN_FREE_CAPACITY = 0.05;
--- a/packages/wagtailroute-assignment/src/directory.ts
+++ b/packages/wagtailroute-assignment/src/directory.ts
@@ -1,17 +1,17 @@
 /**
-The directory: which addresses a caller is told to use for a service.
+The directory: which addresses a caller receives for a service.
 
-Answers are drawn among the service's carriers, spread over failure domains and weighted by room. Hosts that are
-draining, suspected or behind on the catalogue are left out. When no carrier is fit, an answer that may fail is better
-than none: groups of less fit hosts are tried in a fixed order, and any host can serve any service.
+Addresses are selected at random among the service's carriers, spread over failure domains and weighted by free
+capacity. Hosts that are draining, suspected or behind on the catalogue are left out. When no carrier is fit, an address
+that may fail is better than none: groups of less fit hosts follow in a fixed order, as any host can serve any service.
 */
 import type * as core from 'wagtailroute-core';
-import {ADDRESS_COUNT, ADDRESS_TTL_SECONDS, MIN_ROOM} from './constants.ts';
-import {getUniform, type NameHash} from './scores.ts';
-import {chooseSpread} from './spreading.ts';
+import {ADDRESS_COUNT, ADDRESS_TTL_SECONDS, MIN_FREE_CAPACITY} from './constants.ts';
+import {mixToUniform, type NameHash} from './scores.ts';
+import {selectAcrossDomains} from './spreading.ts';
 
 /**
-What the directory needs to know of a host; a member record of the membership part fits.
+The fields of a host that the directory uses; the member records of wagtailroute-membership are assignable to it.
 */
 export type DirectoryMember = {
 	readonly id: core.HostId;
@@ -20,13 +20,13 @@
 	readonly state: 'alive' | 'suspect' | 'left' | 'dead';
 	readonly draining: boolean;
 	/**
-	Used share of the host's capacity, 0 idle to 1 full.
+	Used fraction of the host's capacity, from 0 (idle) to 1 (full).
 	*/
 	readonly load?: number;
 };
 
 /**
-What an answer depends on.
+Input of an answer to a caller.
 */
 export type AddressQuery = {
 	readonly service: core.ServiceName;
@@ -34,25 +34,26 @@
 	readonly members: ReadonlyMap<core.HostId, DirectoryMember>;
 	readonly random: () => number;
 	/**
-	Addresses wanted; `ADDRESS_COUNT` when left out.
+	Maximum number of addresses; `ADDRESS_COUNT` by default.
 	*/
 	readonly count?: number;
 	/**
-	Says whether a host is behind on the catalogue.
+	Returns whether a host has an older catalogue than it should.
 	*/
-	readonly behind?: (id: core.HostId) => boolean;
+	readonly isBehind?: (id: core.HostId) => boolean;
 	/**
-	Says whether this host's own view of another is a path fault or the like; such hosts count as suspected.
+	Returns whether this host itself fails to reach another host, for instance by a path fault; such a host counts as
+	suspected.
 	*/
-	readonly unreachable?: (id: core.HostId) => boolean;
+	readonly isUnreachable?: (id: core.HostId) => boolean;
 	/**
-	Gives the same caller the same answer while the hosts stay the same.
+	Identifies the caller: the same key gets the same answer while the hosts stay the same. Without it, answers are random.
 	*/
 	readonly caller?: {readonly hash: NameHash; readonly key: string};
 };
 
 /**
-One address of an answer.
+The traffic address of a host and its failure domain.
 */
 export type DirectoryAddress = core.Address & {readonly failureDomain: core.FailureDomain};
 
@@ -67,31 +68,31 @@
 
 type Fitness = 'fit' | 'behind' | 'suspect' | 'draining' | 'gone';
 
-type Group = {readonly carrier: boolean; readonly fitness: Fitness};
-
-// The first group with a host in it answers.
-const GROUPS: readonly Group[] = [
-	{carrier: true, fitness: 'fit'},
-	{carrier: false, fitness: 'fit'},
-	{carrier: true, fitness: 'behind'},
-	{carrier: false, fitness: 'behind'},
-	{carrier: true, fitness: 'suspect'},
-	{carrier: false, fitness: 'suspect'},
-	{carrier: true, fitness: 'draining'},
-	{carrier: false, fitness: 'draining'},
+type MemberGroup = {readonly isCarrier: boolean; readonly fitness: Fitness};
+
+// The answer consists of hosts of the first group that isn't empty.
+const GROUPS_BY_PREFERENCE: readonly MemberGroup[] = [
+	{isCarrier: true, fitness: 'fit'},
+	{isCarrier: false, fitness: 'fit'},
+	{isCarrier: true, fitness: 'behind'},
+	{isCarrier: false, fitness: 'behind'},
+	{isCarrier: true, fitness: 'suspect'},
+	{isCarrier: false, fitness: 'suspect'},
+	{isCarrier: true, fitness: 'draining'},
+	{isCarrier: false, fitness: 'draining'},
 ];
 
 /**
-Answers a caller: at most `count` addresses, each to be kept for `ttlSeconds`.
+Returns the answer to a caller: at most `count` addresses, to be cached for `ttlSeconds`.
 */
 export function getAddresses(query: AddressQuery): DirectoryAnswer {
-	const candidates = getGroup(query).map(member => ({
+	const candidates = getPreferredMembers(query).map(member => ({
 		id: member.id,
 		failureDomain: member.failureDomain,
-		score: -Math.log(draw(query, member.id)) / getRoom(member),
+		score: -Math.log(drawUniform(query, member.id)) / getFreeCapacity(member),
 		member,
 	}));
-	const chosen = chooseSpread(candidates, query.count ?? ADDRESS_COUNT);
+	const chosen = selectAcrossDomains(candidates, query.count ?? ADDRESS_COUNT);
 	return {
 		service: query.service,
 		addresses: chosen.map(({candidate: {member}}) => ({
@@ -103,10 +104,10 @@
 	};
 }
 
-function getGroup(query: AddressQuery): readonly DirectoryMember[] {
+function getPreferredMembers(query: AddressQuery): readonly DirectoryMember[] {
 	const carriers = new Set(query.carriers);
-	for (const group of GROUPS) {
-		const members = getMembers(query, carriers, group);
+	for (const group of GROUPS_BY_PREFERENCE) {
+		const members = getGroupMembers(query, carriers, group);
 		if (members.length > 0) {
 			return members;
 		}
@@ -115,12 +116,12 @@
 	return [];
 }
 
-function getMembers(
+function getGroupMembers(
 	query: AddressQuery,
 	carriers: ReadonlySet<core.HostId>,
-	group: Group,
+	group: MemberGroup,
 ): readonly DirectoryMember[] {
-	const members = group.carrier
+	const members = group.isCarrier
 		? query.carriers.map(id => query.members.get(id)).filter(member => member !== undefined)
 		: query.members.values().filter(member => !carriers.has(member.id)).toArray();
 	return members.filter(member => getFitness(query, member) === group.fitness);
@@ -135,23 +136,23 @@
 		return 'draining';
 	}
 
-	if (member.state === 'suspect' || query.unreachable?.(member.id)) {
+	if (member.state === 'suspect' || query.isUnreachable?.(member.id)) {
 		return 'suspect';
 	}
 
-	return query.behind?.(member.id) ? 'behind' : 'fit';
+	return query.isBehind?.(member.id) ? 'behind' : 'fit';
 }
 
-function getRoom(member: DirectoryMember): number {
-	return Math.max(MIN_ROOM, 1 - (member.load ?? 0));
+function getFreeCapacity(member: DirectoryMember): number {
+	return Math.max(MIN_FREE_CAPACITY, 1 - (member.load ?? 0));
 }
 
-function draw(query: AddressQuery, id: core.HostId): number {
+function drawUniform(query: AddressQuery, id: core.HostId): number {
 	if (query.caller) {
 		const {hash, key} = query.caller;
-		return getUniform(hash(`${query.service} ${key}`), hash(id));
+		return mixToUniform(hash(`${query.service} ${key}`), hash(id));
 	}
 
-	// A draw of 0 has no logarithm.
+	// The caller takes the logarithm, so the value must not be 0.
 	return 1 - query.random();
 }
--- a/packages/wagtailroute-assignment/src/index.ts
+++ b/packages/wagtailroute-assignment/src/index.ts
@@ -1,5 +1,6 @@
 /**
-Assignment and directory: which hosts carry a service, and which addresses callers are told.
+Assignment and directory: which entry hosts serve a service themselves (its carriers), and which of their addresses
+callers receive.
 */
 export {
 	ADDRESS_COUNT,
@@ -10,7 +11,7 @@
 	SLOTS_PER_CARRIER,
 } from './constants.ts';
 export {createNameHash, type NameHash} from './scores.ts';
-export {type Demand, getCarrierCount} from './sizes.ts';
+export {type Demand, getCarrierCount} from './carrier-count.ts';
 export {type CarrierHost, type CarrierQuery, getCarriers} from './carriers.ts';
 export {type CarrierIndex, createCarrierIndex} from './carrier-index.ts';
 export {
--- a/packages/wagtailroute-assignment/src/selection.ts
+++ b/packages/wagtailroute-assignment/src/selection.ts
@@ -1,9 +1,9 @@
 /**
-Choice of carriers for the index: the same choice as the plain version, without sorting all hosts.
+Selection of carriers for the index. The result equals that of `getCarriers` in carriers.ts, without sorting all hosts.
 
-Only the lowest `rounds` scores of each failure domain can be chosen, where `rounds` is the number of times that every
-failure domain must be visited to find `size` hosts. For most services that is 1: one pass over the hosts with one
-comparison each.
+Only the hosts with the lowest `rounds` scores of each failure domain can be selected, where `rounds` is the number of
+hosts that the largest failure domains must contribute to reach `size` hosts. For most services that is 1: one pass over
+the hosts with one comparison each.
 */
 import type * as core from 'wagtailroute-core';
 import type {CarrierHost} from './carriers.ts';
@@ -21,12 +21,12 @@
 export type HashedHost = CarrierHost & {readonly hash: number};
 
 /**
-Hosts by failure domain.
+Hosts by failure domain, then by host id.
 */
 export type HostsByDomain = ReadonlyMap<core.FailureDomain, ReadonlyMap<core.HostId, HashedHost>>;
 
 /**
-Returns the carriers of the service with this hash, ranked.
+Returns at most `size` carriers of the service with this hash, in the order of preference.
 */
 export function selectCarriers(hosts: HostsByDomain, serviceHash: number, size: number): readonly RankedCandidate[] {
 	const rounds = countRounds(hosts, size);
--- a/packages/wagtailroute-assignment/src/spreading.ts
+++ b/packages/wagtailroute-assignment/src/spreading.ts
@@ -1,14 +1,14 @@
 /**
-Choice of candidates spread over failure domains.
+Selection of candidates spread over failure domains.
 
 Candidates are ordered by their rank within their failure domain and then by score. A prefix of that order never has two
-candidates in one failure domain while another has one free, and a choice of n is a prefix of the choice of n + 1: hosts
-that plan for different sizes agree on the smaller choice.
+candidates in one failure domain while another domain has an unselected one. The selection of n candidates is a prefix
+of the selection of n + 1, so hosts that assume different sizes agree on the smaller selection.
 */
 import type * as core from 'wagtailroute-core';
 
 /**
-A candidate with its score; the lowest score wins. Names break ties, so that all hosts agree.
+A candidate with its score; the lowest score is preferred. Equal scores are ordered by id, so that all hosts agree.
 */
 export type Candidate = {
 	readonly id: string;
@@ -17,7 +17,7 @@
 };
 
 /**
-A chosen candidate with its rank within its failure domain, from 0.
+A candidate with its rank by score within its failure domain, from 0.
 */
 export type RankedCandidate<Item extends Candidate = Candidate> = {
 	readonly candidate: Item;
@@ -25,7 +25,7 @@
 };
 
 /**
-Orders two candidates by score, then by name.
+Orders two candidates by score, then by id.
 */
 export function compareCandidates(left: Candidate, right: Candidate): number {
 	if (left.score !== right.score) {
@@ -36,16 +36,16 @@
 }
 
 /**
-Orders two ranked candidates by rank, then by score, then by name.
+Orders two ranked candidates by rank, then by score, then by id.
 */
 export function compareRanked(left: RankedCandidate, right: RankedCandidate): number {
 	return left.rank === right.rank ? compareCandidates(left.candidate, right.candidate) : left.rank - right.rank;
 }
 
 /**
-Returns the first `size` candidates in the order of rank and score.
+Returns the first `size` candidates in the order of rank, score and id.
 */
-export function chooseSpread<Item extends Candidate>(
+export function selectAcrossDomains<Item extends Candidate>(
 	candidates: readonly Item[],
 	size: number,
 ): ReadonlyArray<RankedCandidate<Item>> {
--- a/packages/wagtailroute-host/src/reserved.ts
+++ b/packages/wagtailroute-host/src/reserved.ts
@@ -67,7 +67,7 @@
 		carriers: state.carriers.get(service) ?? [],
 		members: entryHosts,
 		random: context.random,
-		unreachable: hasPathFault,
+		isUnreachable: hasPathFault,
 	});
 	proxy.answerJson(response, 200, answer, {
 		'cache-control': `max-age=${answer.ttlSeconds}`,
