--- a/packages/wagtailroute-membership/src/__tests__/unit/membership.test.ts
+++ b/packages/wagtailroute-membership/src/__tests__/unit/membership.test.ts
@@ -7,8 +7,8 @@
 	createFleet,
 	describeHost,
 	type Fleet,
-	handle,
-	pass,
+	handleEvent,
+	advanceTime,
 	startHost,
 } from '../../bench/fleet.ts';
 import * as membership from '../../index.ts';
@@ -30,7 +30,7 @@
 /**
 States in which each host sees the subject, sorted and without repetition.
 */
-function getViews(fleet: Fleet, subject: string): string {
+function getViewedStates(fleet: Fleet, subject: string): string {
 	const views = fleet.hosts.entries()
 		.filter(([id]) => id !== subject)
 		.map(([, state]) => membership.getMembersById(state).get(subject)?.state ?? 'unknown');
@@ -41,7 +41,7 @@
 	return left < right ? -1 : Number(left > right);
 }
 
-function wasSeen(fleet: Fleet, subject: string, state: membership.MemberState): boolean {
+function hasObservation(fleet: Fleet, subject: string, state: membership.MemberState): boolean {
 	return fleet.observations.some(({member}) => member.id === subject && member.state === state);
 }
 
@@ -62,7 +62,7 @@
 	{
 		name: 'a healthy host is never suspected',
 		run(fleet) {
-			pass(fleet, 30_000);
+			advanceTime(fleet, 30_000);
 		},
 		views: 'alive',
 		neverSuspected: true,
@@ -71,7 +71,7 @@
 		name: 'a host that stops is dead for all within 12 seconds',
 		run(fleet) {
 			fleet.hosts.delete('host-1');
-			pass(fleet, 12_000);
+			advanceTime(fleet, 12_000);
 		},
 		views: 'dead',
 	},
@@ -80,15 +80,15 @@
 		hosts: 2,
 		run(fleet) {
 			fleet.hosts.delete('host-1');
-			pass(fleet, 12_000);
+			advanceTime(fleet, 12_000);
 		},
 		views: 'dead',
 	},
 	{
 		name: 'a host that leaves is gone at once, without suspicion',
 		run(fleet) {
-			handle(fleet, 'host-1', {kind: 'leave'});
-			pass(fleet, 1500);
+			handleEvent(fleet, 'host-1', {kind: 'leave'});
+			advanceTime(fleet, 1500);
 		},
 		views: 'left',
 		neverSuspected: true,
@@ -99,8 +99,8 @@
 		// Cause: a probe without an answer was taken for a failure of the host, not of the path.
 		name: 'a host cut off one way from one other stays alive for all',
 		run(fleet) {
-			fleet.isCut = (from, to) => from === 'host-0' && to === 'host-1';
-			pass(fleet, 60_000);
+			fleet.isBlocked = (from, to) => from === 'host-0' && to === 'host-1';
+			advanceTime(fleet, 60_000);
 		},
 		views: 'alive',
 		neverSuspected: true,
@@ -111,16 +111,16 @@
 		// Cause: hearing from a host was taken for reaching it.
 		name: 'a host that is heard but hears nothing is dead for all',
 		run(fleet) {
-			fleet.isCut = (_from, to) => to === 'host-1';
-			pass(fleet, 14_000);
+			fleet.isBlocked = (_from, to) => to === 'host-1';
+			advanceTime(fleet, 14_000);
 		},
 		views: 'dead',
 	},
 	{
 		name: 'a host that hears all but isn\'t heard is dead for all',
 		run(fleet) {
-			fleet.isCut = from => from === 'host-1';
-			pass(fleet, 14_000);
+			fleet.isBlocked = from => from === 'host-1';
+			advanceTime(fleet, 14_000);
 		},
 		views: 'dead',
 	},
@@ -130,10 +130,10 @@
 		// Cause: a wrong word about a host never reached the host itself.
 		name: 'a host that was cut off and declared dead comes back by itself',
 		run(fleet) {
-			fleet.isCut = (from, to) => from === 'host-1' || to === 'host-1';
-			pass(fleet, 20_000);
-			fleet.isCut = () => false;
-			pass(fleet, 8000);
+			fleet.isBlocked = (from, to) => from === 'host-1' || to === 'host-1';
+			advanceTime(fleet, 20_000);
+			fleet.isBlocked = () => false;
+			advanceTime(fleet, 8000);
 		},
 		views: 'alive',
 	},
@@ -144,9 +144,9 @@
 		name: 'a host that restarts without memory comes back with its new boot',
 		run(fleet) {
 			fleet.hosts.delete('host-1');
-			pass(fleet, 14_000);
+			advanceTime(fleet, 14_000);
 			startHost(fleet, describeHost(fleet.settings, 1, 'second'));
-			pass(fleet, 3000);
+			advanceTime(fleet, 3000);
 		},
 		views: 'alive',
 	},
@@ -154,7 +154,7 @@
 		name: 'a host that restarts before anyone noticed is known with its new boot',
 		run(fleet) {
 			startHost(fleet, describeHost(fleet.settings, 1, 'second'));
-			pass(fleet, 3000);
+			advanceTime(fleet, 3000);
 		},
 		views: 'alive',
 		neverSuspected: true,
@@ -165,25 +165,25 @@
 	test(name, t => {
 		const fleet = createSmallFleet(hosts ?? 20);
 		run(fleet);
-		t.is(getViews(fleet, 'host-1'), views);
-		t.false(neverSuspected === true && wasSeen(fleet, 'host-1', 'suspect'));
+		t.is(getViewedStates(fleet, 'host-1'), views);
+		t.false(neverSuspected === true && hasObservation(fleet, 'host-1', 'suspect'));
 		const known = membership.getMembersById(getState(fleet, 'host-0')).get('host-1')!;
 		const running = fleet.hosts.get('host-1');
 		t.is(known.boot, running ? membership.getSelf(running).boot : 'first');
 
-		t.true(fleet.largest <= MAX_DATAGRAM_JSON_BYTES, `largest message ${fleet.largest}`);
+		t.true(fleet.largestMessageBytes <= MAX_DATAGRAM_JSON_BYTES, `largest message ${fleet.largestMessageBytes}`);
 	});
 }
 
 test('a host that only one other can\'t reach has a path fault there and nowhere else', t => {
 	const fleet = createSmallFleet(8);
-	fleet.isCut = (from, to) => from === 'host-1' && to === 'host-0';
-	pass(fleet, 20_000);
+	fleet.isBlocked = (from, to) => from === 'host-1' && to === 'host-0';
+	advanceTime(fleet, 20_000);
 	t.true(membership.hasPathFault(getState(fleet, 'host-0'), 'host-1'));
 	t.false(membership.isReachable(getState(fleet, 'host-0'), 'host-1'));
 	t.true(membership.isReachable(getState(fleet, 'host-2'), 'host-1'));
-	fleet.isCut = () => false;
-	pass(fleet, 20_000);
+	fleet.isBlocked = () => false;
+	advanceTime(fleet, 20_000);
 	t.true(membership.isReachable(getState(fleet, 'host-0'), 'host-1'));
 });
 
@@ -191,15 +191,15 @@
 	// Symptom: a host with a broken network card floods the fleet with suspicions once it is back.
 	// Sequence: all its probes fail for a minute. Cause: it took its own fault for that of all others.
 	const fleet = createSmallFleet(20);
-	fleet.isCut = (from, to) => from === 'host-0' || to === 'host-0';
-	pass(fleet, 60_000);
+	fleet.isBlocked = (from, to) => from === 'host-0' || to === 'host-0';
+	advanceTime(fleet, 60_000);
 	t.true(membership.isIsolated(getState(fleet, 'host-0')));
 	const own = fleet.observations.filter(({observer, member}) => observer === 'host-0' && member.state !== 'alive');
 	t.deepEqual(own, []);
-	fleet.isCut = () => false;
-	pass(fleet, 10_000);
+	fleet.isBlocked = () => false;
+	advanceTime(fleet, 10_000);
 	t.false(membership.isIsolated(getState(fleet, 'host-0')));
-	t.is(getViews(fleet, 'host-0'), 'alive');
+	t.is(getViewedStates(fleet, 'host-0'), 'alive');
 });
 
 test('a host that was paused declares nobody dead when it wakes up', t => {
@@ -210,21 +210,21 @@
 	const stopped = getState(fleet, 'host-1');
 	fleet.hosts.delete('host-1');
 	while (membership.isReachable(getState(fleet, 'host-0'), 'host-1')) {
-		pass(fleet, 100);
+		advanceTime(fleet, 100);
 	}
 
 	fleet.hosts.set('host-1', stopped);
 	const paused = getState(fleet, 'host-0');
 	fleet.hosts.delete('host-0');
-	pass(fleet, 30_000);
+	advanceTime(fleet, 30_000);
 	fleet.hosts.set('host-0', paused);
 	fleet.observations.length = 0;
-	handle(fleet, 'host-0', {kind: 'tick'});
-	pass(fleet, 10_000);
+	handleEvent(fleet, 'host-0', {kind: 'tick'});
+	advanceTime(fleet, 10_000);
 	const own = fleet.observations.filter(({observer, member}) => observer === 'host-0' && member.state === 'dead');
 	t.deepEqual(own, []);
-	t.is(getViews(fleet, 'host-1'), 'alive');
-	t.is(getViews(fleet, 'host-0'), 'alive');
+	t.is(getViewedStates(fleet, 'host-1'), 'alive');
+	t.is(getViewedStates(fleet, 'host-0'), 'alive');
 });
 
 test('a host that only heard of a suspicion leaves the word to those that failed to reach the other', t => {
@@ -245,9 +245,9 @@
 		incarnation: 0,
 		by: 'host-5',
 	}] as const;
-	handle(fleet, 'host-0', {kind: 'receive', message: {kind: 'gossip', from, updates}});
-	fleet.isCut = (_from, to) => to === 'host-0';
-	pass(fleet, 10_000);
+	handleEvent(fleet, 'host-0', {kind: 'receive', message: {kind: 'gossip', from, updates}});
+	fleet.isBlocked = (_from, to) => to === 'host-0';
+	advanceTime(fleet, 10_000);
 	t.is(membership.getMembersById(getState(fleet, 'host-0')).get('host-1')?.state, 'suspect');
 	t.is(membership.getMembersById(getState(fleet, 'host-2')).get('host-1')?.state, 'alive');
 });
@@ -255,11 +255,11 @@
 test('two halves that declared each other dead join again', t => {
 	const fleet = createSmallFleet(12);
 	const isLeft = (id: string): boolean => Number(id.slice(5)) < 6;
-	fleet.isCut = (from, to) => isLeft(from) !== isLeft(to);
-	pass(fleet, 40_000);
+	fleet.isBlocked = (from, to) => isLeft(from) !== isLeft(to);
+	advanceTime(fleet, 40_000);
 	t.is(membership.getAliveMembers(getState(fleet, 'host-0')).length, 6);
-	fleet.isCut = () => false;
-	pass(fleet, 40_000);
+	fleet.isBlocked = () => false;
+	advanceTime(fleet, 40_000);
 	for (const state of fleet.hosts.values()) {
 		t.is(membership.getAliveMembers(state).length, 12);
 	}
@@ -280,10 +280,10 @@
 			loss: 0.05,
 			isJoined: false,
 		});
-		pass(fleet, milliseconds);
+		advanceTime(fleet, milliseconds);
 		const counts = fleet.hosts.values().map(state => membership.getAliveMembers(state).length).toArray();
 		t.deepEqual([...new Set(counts)], [hosts]);
-		t.true(fleet.largest <= MAX_DATAGRAM_JSON_BYTES, `largest message ${fleet.largest}`);
+		t.true(fleet.largestMessageBytes <= MAX_DATAGRAM_JSON_BYTES, `largest message ${fleet.largestMessageBytes}`);
 	});
 }
 
@@ -293,12 +293,12 @@
 	// Cause: nothing was left to say that the record is old.
 	const fleet = createSmallFleet(4);
 	const state = getState(fleet, 'host-0');
-	const gone = membership.getMembersById(state).get('host-3')!;
+	const expiredMember = membership.getMembersById(state).get('host-3')!;
 	fleet.hosts.delete('host-3');
-	pass(fleet, 15_000);
+	advanceTime(fleet, 15_000);
 	fleet.now += 600_000;
-	pass(fleet, 3000);
-	t.is(getViews(fleet, 'host-3'), 'unknown');
+	advanceTime(fleet, 3000);
+	t.is(getViewedStates(fleet, 'host-3'), 'unknown');
 	const from = {
 		id: 'host-1',
 		boot: 'first',
@@ -306,19 +306,19 @@
 		peer: '10.0.0.1:2',
 		revision: 0,
 	};
-	const updates = [{kind: 'alive', record: encodeRecord(gone)}] as const;
-	handle(fleet, 'host-0', {kind: 'receive', message: {kind: 'gossip', from, updates}});
-	t.is(getViews(fleet, 'host-3'), 'unknown');
+	const updates = [{kind: 'alive', record: encodeRecord(expiredMember)}] as const;
+	handleEvent(fleet, 'host-0', {kind: 'receive', message: {kind: 'gossip', from, updates}});
+	t.is(getViewedStates(fleet, 'host-3'), 'unknown');
 	startHost(fleet, describeHost(fleet.settings, 3, 'second'));
-	pass(fleet, 10_000);
-	t.is(getViews(fleet, 'host-3'), 'alive');
+	advanceTime(fleet, 10_000);
+	t.is(getViewedStates(fleet, 'host-3'), 'alive');
 });
 
 test('a draining host tells all, and its revision never falls', t => {
 	const fleet = createSmallFleet(20);
-	handle(fleet, 'host-1', {kind: 'update-self', draining: true, catalogueRevision: 7});
-	handle(fleet, 'host-1', {kind: 'update-self', catalogueRevision: 3});
-	pass(fleet, 2000);
+	handleEvent(fleet, 'host-1', {kind: 'update-self', draining: true, catalogueRevision: 7});
+	handleEvent(fleet, 'host-1', {kind: 'update-self', catalogueRevision: 3});
+	advanceTime(fleet, 2000);
 	for (const state of fleet.hosts.values()) {
 		const member = membership.getMembersById(state).get('host-1')!;
 		t.true(member.draining);
@@ -328,26 +328,26 @@
 
 test('repeated and reordered messages change nothing in the end', t => {
 	const fleet = createSmallFleet(12);
-	const kept: membership.Message[] = [];
+	const sentMessages: membership.Message[] = [];
 	const random = utils.createRandom(SEED);
 	for (let millisecond = 1; millisecond <= 2000; millisecond++) {
-		pass(fleet, 1);
-		const sent = fleet.due.get(fleet.now + 1) ?? [];
-		kept.push(...sent.map(flight => structuredClone(flight.message)));
+		advanceTime(fleet, 1);
+		const messages = fleet.inFlight.get(fleet.now + 1) ?? [];
+		sentMessages.push(...messages.map(inFlight => structuredClone(inFlight.message)));
 		if (millisecond % 100 === 0) {
-			handle(fleet, 'host-1', {kind: 'update-self', draining: millisecond % 200 === 0});
+			handleEvent(fleet, 'host-1', {kind: 'update-self', draining: millisecond % 200 === 0});
 		}
 	}
 
-	handle(fleet, 'host-1', {kind: 'update-self', draining: false});
+	handleEvent(fleet, 'host-1', {kind: 'update-self', draining: false});
 
-	const replayed = utils.shuffle(random, kept);
+	const replayed = utils.shuffle(random, sentMessages);
 	t.true(replayed.length > 100);
 	for (const message of replayed) {
-		handle(fleet, 'host-0', {kind: 'receive', message});
+		handleEvent(fleet, 'host-0', {kind: 'receive', message});
 	}
 
-	pass(fleet, 3000);
+	advanceTime(fleet, 3000);
 	for (const state of fleet.hosts.values()) {
 		t.is(membership.getAliveMembers(state).length, 12);
 		t.false(membership.getMembersById(state).get('host-1')!.draining);
@@ -360,8 +360,8 @@
 	test(`no running host is declared dead when ${loss} of all messages are lost`, t => {
 		t.log(`seed ${SEED}`);
 		const fleet = createSmallFleet(40, loss);
-		fleet.isMeasured = false;
-		pass(fleet, 120_000);
+		fleet.isCountingBytes = false;
+		advanceTime(fleet, 120_000);
 		t.is(fleet.observations.filter(({member}) => member.state === 'dead').length, 0);
 	});
 }
--- a/packages/wagtailroute-membership/src/bench/fleet.ts
+++ b/packages/wagtailroute-membership/src/bench/fleet.ts
@@ -16,7 +16,7 @@
 */
 export const ENVELOPE_BYTES = 28 + 16 + 60;
 
-const DELAY_MILLISECONDS = 2;
+const MESSAGE_DELAY_MILLISECONDS = 2;
 
 /**
 Settings of a fleet.
@@ -50,21 +50,21 @@
 	/**
 	Says whether a message from one host to another is cut off.
 	*/
-	isCut: (from: string, to: string) => boolean;
+	isBlocked: (from: string, to: string) => boolean;
 	loss: number;
 	now: number;
 	readonly observations: Observation[];
 	messages: number;
 	bytes: number;
-	largest: number;
+	largestMessageBytes: number;
 	/**
 	Measuring each message's JSON costs time; set when bytes are wanted.
 	*/
-	isMeasured: boolean;
-	readonly due: Map<number, Flight[]>;
+	isCountingBytes: boolean;
+	readonly inFlight: Map<number, InFlightMessage[]>;
 };
 
-type Flight = {readonly from: string; readonly to: string; readonly message: membership.Message};
+type InFlightMessage = {readonly from: string; readonly to: string; readonly message: membership.Message};
 
 /**
 Creates a fleet; each host ticks at its own phase.
@@ -74,18 +74,18 @@
 		settings,
 		hosts: new Map(),
 		random: utils.createRandom(settings.seed),
-		isCut: () => false,
+		isBlocked: () => false,
 		loss: settings.loss,
 		now: 0,
 		observations: [],
 		messages: 0,
 		bytes: 0,
-		largest: 0,
-		isMeasured: true,
-		due: new Map(),
+		largestMessageBytes: 0,
+		isCountingBytes: true,
+		inFlight: new Map(),
 	};
 	const descriptions = Array.from({length: settings.hosts}, (_, index) => describeHost(settings, index, 'first'));
-	const members = settings.isJoined ? descriptions.map(description => createMember(description)) : [];
+	const members = settings.isJoined ? descriptions.map(description => createAliveMember(description)) : [];
 	for (const description of descriptions) {
 		startHost(fleet, description, members);
 	}
@@ -129,7 +129,7 @@
 /**
 Gives a host an event and sends what it sends.
 */
-export function handle(fleet: Fleet, id: string, event: membership.Event): void {
+export function handleEvent(fleet: Fleet, id: string, event: membership.Event): void {
 	const state = fleet.hosts.get(id);
 	if (!state) {
 		return;
@@ -148,19 +148,19 @@
 /**
 Lets time pass, a millisecond at a time; a host ticks every 50 ms.
 */
-export function pass(fleet: Fleet, milliseconds: number): void {
+export function advanceTime(fleet: Fleet, milliseconds: number): void {
 	const end = fleet.now + milliseconds;
-	const byPhase = Map.groupBy(fleet.hosts.keys(), id => Number(id.slice(id.indexOf('-') + 1)) % TICK_MILLISECONDS);
+	const hostsByPhase = Map.groupBy(fleet.hosts.keys(), id => Number(id.slice(id.indexOf('-') + 1)) % TICK_MILLISECONDS);
 	while (fleet.now < end) {
 		fleet.now++;
-		const flights = fleet.due.get(fleet.now) ?? [];
-		fleet.due.delete(fleet.now);
-		for (const {to, message} of flights) {
-			handle(fleet, to, {kind: 'receive', message});
+		const arrivals = fleet.inFlight.get(fleet.now) ?? [];
+		fleet.inFlight.delete(fleet.now);
+		for (const {to, message} of arrivals) {
+			handleEvent(fleet, to, {kind: 'receive', message});
 		}
 
-		for (const id of byPhase.get(fleet.now % TICK_MILLISECONDS) ?? []) {
-			handle(fleet, id, {kind: 'tick'});
+		for (const id of hostsByPhase.get(fleet.now % TICK_MILLISECONDS) ?? []) {
+			handleEvent(fleet, id, {kind: 'tick'});
 		}
 	}
 }
@@ -168,7 +168,7 @@
 /**
 A record as all know it from the start.
 */
-function createMember(description: membership.HostDescription): membership.Member {
+function createAliveMember(description: membership.HostDescription): membership.Member {
 	return {
 		...description,
 		incarnation: 0,
@@ -180,19 +180,19 @@
 
 function send(fleet: Fleet, from: string, effect: {readonly to: core.Address; readonly message: membership.Message}): void {
 	fleet.messages++;
-	if (fleet.isMeasured) {
+	if (fleet.isCountingBytes) {
 		const bytes = JSON.stringify(effect.message).length;
 		fleet.bytes += bytes + ENVELOPE_BYTES;
-		fleet.largest = Math.max(fleet.largest, bytes);
+		fleet.largestMessageBytes = Math.max(fleet.largestMessageBytes, bytes);
 	}
 
 	const to = `host-${effect.to.port - 1}`;
-	if (fleet.isCut(from, to) || fleet.random() < fleet.loss) {
+	if (fleet.isBlocked(from, to) || fleet.random() < fleet.loss) {
 		return;
 	}
 
-	const at = fleet.now + DELAY_MILLISECONDS;
-	const flights = fleet.due.get(at) ?? [];
-	flights.push({from, to, message: effect.message});
-	fleet.due.set(at, flights);
+	const arrivesAt = fleet.now + MESSAGE_DELAY_MILLISECONDS;
+	const messages = fleet.inFlight.get(arrivesAt) ?? [];
+	messages.push({from, to, message: effect.message});
+	fleet.inFlight.set(arrivesAt, messages);
 }
--- a/packages/wagtailroute-membership/src/bench/membership.bench.ts
+++ b/packages/wagtailroute-membership/src/bench/membership.bench.ts
@@ -9,8 +9,8 @@
 import {
 	createFleet,
 	type Fleet,
-	handle,
-	pass,
+	handleEvent,
+	advanceTime,
 } from './fleet.ts';
 
 /**
@@ -50,110 +50,110 @@
 	readonly updateP99: number;
 };
 
-type Case = {
+type BenchCase = {
 	readonly hosts: number;
 	readonly domains: number;
 	readonly loss: number;
-	readonly quiet: number;
-	readonly victims: number;
+	readonly quietMilliseconds: number;
+	readonly victimCount: number;
 };
 
-const CASES: readonly Case[] = [
+const CASES: readonly BenchCase[] = [
 	{
 		hosts: 40,
 		domains: 4,
 		loss: 0,
-		quiet: 60_000,
-		victims: 20,
+		quietMilliseconds: 60_000,
+		victimCount: 20,
 	},
 	{
 		hosts: 40,
 		domains: 4,
 		loss: 0.01,
-		quiet: 60_000,
-		victims: 20,
+		quietMilliseconds: 60_000,
+		victimCount: 20,
 	},
 	{
 		hosts: 40,
 		domains: 4,
 		loss: 0.05,
-		quiet: 60_000,
-		victims: 20,
+		quietMilliseconds: 60_000,
+		victimCount: 20,
 	},
 	{
 		hosts: 40,
 		domains: 4,
 		loss: 0.2,
-		quiet: 60_000,
-		victims: 20,
+		quietMilliseconds: 60_000,
+		victimCount: 20,
 	},
 	{
 		hosts: 400,
 		domains: 8,
 		loss: 0.01,
-		quiet: 30_000,
-		victims: 40,
+		quietMilliseconds: 30_000,
+		victimCount: 40,
 	},
 	{
 		hosts: 400,
 		domains: 8,
 		loss: 0.05,
-		quiet: 30_000,
-		victims: 40,
+		quietMilliseconds: 30_000,
+		victimCount: 40,
 	},
 	{
 		hosts: 400,
 		domains: 8,
 		loss: 0.2,
-		quiet: 30_000,
-		victims: 40,
+		quietMilliseconds: 30_000,
+		victimCount: 40,
 	},
 	{
 		hosts: 2400,
 		domains: 24,
 		loss: 0.01,
-		quiet: 8000,
-		victims: 16,
+		quietMilliseconds: 8000,
+		victimCount: 16,
 	},
 	{
 		hosts: 2400,
 		domains: 24,
 		loss: 0.05,
-		quiet: 4000,
-		victims: 8,
+		quietMilliseconds: 4000,
+		victimCount: 8,
 	},
 	{
 		hosts: 2400,
 		domains: 24,
 		loss: 0.2,
-		quiet: 4000,
-		victims: 8,
+		quietMilliseconds: 4000,
+		victimCount: 8,
 	},
 ];
 
 const SEED = 4;
 const SETTLE_MILLISECONDS = 3000;
-const DETECTION_MILLISECONDS = 11_000;
-const UPDATE_MILLISECONDS = 3000;
+const MAX_DETECTION_MILLISECONDS = 11_000;
+const MAX_UPDATE_MILLISECONDS = 3000;
 
 /**
 Runs all cases.
 */
 export function measureMembership(): readonly MembershipRow[] {
-	return CASES.map(size => measureCase(size));
+	return CASES.map(benchCase => measureCase(benchCase));
 }
 
-function measureCase(size: Case): MembershipRow {
-	const fleet = createFleet({...size, seed: SEED, isJoined: true});
-	const quiet = measureQuiet(fleet, size.quiet);
-	fleet.isMeasured = false;
+function measureCase(benchCase: BenchCase): MembershipRow {
+	const fleet = createFleet({...benchCase, seed: SEED, isJoined: true});
+	const quiet = measureQuiet(fleet, benchCase.quietMilliseconds);
+	fleet.isCountingBytes = false;
 	const update = measureUpdate(fleet);
-	const detection = measureDetection(fleet, size.victims);
+	const detection = measureDetection(fleet, benchCase.victimCount);
 	return {
-		hosts: size.hosts,
-		loss: size.loss,
+		hosts: benchCase.hosts,
+		loss: benchCase.loss,
 		...quiet,
-		largestMessage: fleet.largest,
+		largestMessage: fleet.largestMessageBytes,
 		...detection,
 		updateP50: getQuantile(update, 0.5),
 		updateP99: getQuantile(update, 0.99),
@@ -164,11 +164,11 @@
 	MembershipRow,
 	'quietSeconds' | 'bytesPerSecond' | 'cpuMicrosecondsPerSecond' | 'falseSuspicions' | 'falseDeaths'
 > {
-	pass(fleet, SETTLE_MILLISECONDS);
+	advanceTime(fleet, SETTLE_MILLISECONDS);
 	fleet.observations.length = 0;
 	const {bytes} = fleet;
 	const start = process.cpuUsage();
-	pass(fleet, milliseconds);
+	advanceTime(fleet, milliseconds);
 	const used = process.cpuUsage(start);
 	const hostSeconds = fleet.hosts.size * milliseconds / 1000;
 	return {
@@ -190,12 +190,12 @@
 function measureUpdate(fleet: Fleet): readonly number[] {
 	fleet.observations.length = 0;
 	const start = fleet.now;
-	handle(fleet, 'host-0', {kind: 'update-self', draining: true});
-	pass(fleet, UPDATE_MILLISECONDS);
+	handleEvent(fleet, 'host-0', {kind: 'update-self', draining: true});
+	advanceTime(fleet, MAX_UPDATE_MILLISECONDS);
 	const times = fleet.observations
 		.filter(({observer, member}) => observer !== 'host-0' && member.id === 'host-0' && member.draining)
 		.map(({at}) => at - start);
-	return pad(times, fleet.hosts.size - 1);
+	return padWithInfinity(times, fleet.hosts.size - 1);
 }
 
 function measureDetection(fleet: Fleet, count: number): Pick<
@@ -213,28 +213,28 @@
 		const group = victims.slice(first, first + groupSize);
 		const start = fleet.now;
 		fleet.observations.length = 0;
-		const stopped = group.map(id => [id, fleet.hosts.get(id)!] as const);
+		const stoppedHosts = group.map(id => [id, fleet.hosts.get(id)!] as const);
 		for (const id of group) {
 			fleet.hosts.delete(id);
 		}
 
-		pass(fleet, DETECTION_MILLISECONDS);
+		advanceTime(fleet, MAX_DETECTION_MILLISECONDS);
 		for (const id of group) {
 			const seen = getFirstTimes(fleet, id, start, ['suspect', 'dead']);
 			suspected.push(Math.min(...seen));
-			known.push(...pad(seen, fleet.hosts.size));
-			dead.push(...pad(getFirstTimes(fleet, id, start, ['dead']), fleet.hosts.size));
+			known.push(...padWithInfinity(seen, fleet.hosts.size));
+			dead.push(...padWithInfinity(getFirstTimes(fleet, id, start, ['dead']), fleet.hosts.size));
 		}
 
 		if (!(fleet.settings.hosts < 100)) {
 			continue;
 		}
 
-		for (const [id, state] of stopped) {
+		for (const [id, state] of stoppedHosts) {
 			fleet.hosts.set(id, state);
 		}
 
-		pass(fleet, DETECTION_MILLISECONDS);
+		advanceTime(fleet, MAX_DETECTION_MILLISECONDS);
 	}
 
 	return {
@@ -264,7 +264,7 @@
 }
 
 // A host that didn't hear of it within the time counts as infinitely late.
-function pad(times: readonly number[], count: number): readonly number[] {
+function padWithInfinity(times: readonly number[], count: number): readonly number[] {
 	return [...times, ...Array.from({length: Math.max(0, count - times.length)}, () => Infinity)];
 }
 
@@ -282,7 +282,7 @@
 	readonly broken: readonly string[];
 }> {
 	const rows = measureMembership();
-	return {title: 'Membership: detection, false suspicions, bytes and CPU a host', rows, broken: findBroken(rows)};
+	return {title: 'Membership: detection, false suspicions, bytes and CPU a host', rows, broken: findBrokenBounds(rows)};
 }
 
 // All deterministic but the CPU, which has no bound here.
@@ -291,14 +291,14 @@
 const MAX_USUAL_LOSS = 0.05;
 const MAX_MESSAGE_BYTES = 1200;
 
-function findBroken(rows: readonly MembershipRow[]): readonly string[] {
+function findBrokenBounds(rows: readonly MembershipRow[]): readonly string[] {
 	const usual = rows.filter(row => row.loss <= MAX_USUAL_LOSS);
-	const least = Math.min(...usual.map(row => row.bytesPerSecond));
+	const lowestBytesPerSecond = Math.min(...usual.map(row => row.bytesPerSecond));
 	return [
 		...rows.filter(row => row.falseDeaths > 0).map(row => `${row.hosts} hosts, loss ${row.loss}: a running host died.`),
 		...rows.filter(row => row.largestMessage > MAX_MESSAGE_BYTES).map(row => `${row.hosts} hosts: a message is too large.`),
 		...usual
-			.filter(row => row.bytesPerSecond > Math.min(MAX_BYTES_PER_SECOND, least * MAX_BYTES_GROWTH))
+			.filter(row => row.bytesPerSecond > Math.min(MAX_BYTES_PER_SECOND, lowestBytesPerSecond * MAX_BYTES_GROWTH))
 			.map(row => `${row.hosts} hosts, loss ${row.loss}: ${row.bytesPerSecond} bytes a second a host.`),
 	];
 }
--- a/packages/wagtailroute-membership/src/bench/partitions.bench.ts
+++ b/packages/wagtailroute-membership/src/bench/partitions.bench.ts
@@ -9,7 +9,7 @@
 	createFleet,
 	describeHost,
 	type Fleet,
-	pass,
+	advanceTime,
 	startHost,
 } from './fleet.ts';
 
@@ -54,37 +54,37 @@
 const VICTIM = 'host-1';
 const SETTLE_MILLISECONDS = 3000;
 const PARTITION_MILLISECONDS = 20_000;
-const JOIN_LIMIT_MILLISECONDS = 30_000;
-const JOIN_STEP_MILLISECONDS = 50;
+const MAX_JOIN_MILLISECONDS = 30_000;
+const JOIN_CHECK_INTERVAL_MILLISECONDS = 50;
 const SIZES = [{hosts: 40, domains: 4}, {hosts: 400, domains: 8}];
 const JOIN_SIZES = [...SIZES, {hosts: 2400, domains: 24}];
 
-const FAULTS: ReadonlyArray<{readonly fault: string; readonly isCut: Fleet['isCut']}> = [
-	{fault: 'hears nothing, is heard', isCut: (_from, to) => to === VICTIM},
-	{fault: 'hears, is not heard', isCut: from => from === VICTIM},
-	{fault: 'one other cannot reach it', isCut: (from, to) => from === 'host-0' && to === VICTIM},
-	{fault: 'its failure domain cannot reach it', isCut: (from, to) => isNear(from) && to === VICTIM},
-	{fault: 'half of all cannot reach it', isCut: (from, to) => getNumber(from) % 4 >= 2 && to === VICTIM},
+const FAULTS: ReadonlyArray<{readonly fault: string; readonly isBlocked: Fleet['isBlocked']}> = [
+	{fault: 'hears nothing, is heard', isBlocked: (_from, to) => to === VICTIM},
+	{fault: 'hears, is not heard', isBlocked: from => from === VICTIM},
+	{fault: 'one other cannot reach it', isBlocked: (from, to) => from === 'host-0' && to === VICTIM},
+	{fault: 'its failure domain cannot reach it', isBlocked: (from, to) => isInVictimDomain(from) && to === VICTIM},
+	{fault: 'half of all cannot reach it', isBlocked: (from, to) => getHostNumber(from) % 4 >= 2 && to === VICTIM},
 ];
 
 /**
 Runs all one-way faults.
 */
 export function measurePartitions(): readonly PartitionRow[] {
-	return SIZES.flatMap(size => FAULTS.map(({fault, isCut}) => {
+	return SIZES.flatMap(size => FAULTS.map(({fault, isBlocked}) => {
 		const fleet = createFleet({
 			...size,
 			seed: SEED,
 			loss: 0.01,
 			isJoined: true,
 		});
-		fleet.isMeasured = false;
-		pass(fleet, SETTLE_MILLISECONDS);
+		fleet.isCountingBytes = false;
+		advanceTime(fleet, SETTLE_MILLISECONDS);
 		fleet.observations.length = 0;
 		const start = fleet.now;
-		fleet.isCut = isCut;
-		pass(fleet, PARTITION_MILLISECONDS);
-		return {hosts: size.hosts, fault, ...describeVictim(fleet, start)};
+		fleet.isBlocked = isBlocked;
+		advanceTime(fleet, PARTITION_MILLISECONDS);
+		return {hosts: size.hosts, fault, ...summarizeVictim(fleet, start)};
 	}));
 }
 
@@ -99,9 +99,9 @@
 			loss: 0.01,
 			isJoined: true,
 		});
-		pass(fleet, SETTLE_MILLISECONDS);
+		advanceTime(fleet, SETTLE_MILLISECONDS);
 		const quiet = fleet.bytes;
-		pass(fleet, SETTLE_MILLISECONDS);
+		advanceTime(fleet, SETTLE_MILLISECONDS);
 		const quietRate = (fleet.bytes - quiet) / SETTLE_MILLISECONDS;
 		const {bytes, now} = fleet;
 		const joiner = describeHost(fleet.settings, size.hosts, 'first');
@@ -119,8 +119,8 @@
 	let knowsAllMilliseconds = Infinity;
 	let knownMilliseconds = Infinity;
 	const isDone = (): boolean => Number.isFinite(knowsAllMilliseconds) && Number.isFinite(knownMilliseconds);
-	while (!isDone() && fleet.now - start < JOIN_LIMIT_MILLISECONDS) {
-		pass(fleet, JOIN_STEP_MILLISECONDS);
+	while (!isDone() && fleet.now - start < MAX_JOIN_MILLISECONDS) {
+		advanceTime(fleet, JOIN_CHECK_INTERVAL_MILLISECONDS);
 		if (membership.getAliveMembers(fleet.hosts.get(id)!).length === fleet.hosts.size) {
 			knowsAllMilliseconds = Math.min(knowsAllMilliseconds, fleet.now - start);
 		}
@@ -133,19 +133,19 @@
 	return {knowsAllMilliseconds, knownMilliseconds};
 }
 
-function describeVictim(fleet: Fleet, start: number): Omit<PartitionRow, 'hosts' | 'fault'> {
-	const about = fleet.observations.filter(({member}) => member.id === VICTIM);
+function summarizeVictim(fleet: Fleet, start: number): Omit<PartitionRow, 'hosts' | 'fault'> {
+	const victimObservations = fleet.observations.filter(({member}) => member.id === VICTIM);
 	// What the host itself thinks of others is its own affair: nobody hears it, or nobody should believe it.
-	const others = fleet.observations.filter(({observer, member}) => member.id !== VICTIM && observer !== VICTIM);
-	const suspected = about.filter(({member}) => member.state === 'suspect').map(({at}) => at - start);
-	const dead = about.filter(({member}) => member.state === 'dead').map(({at}) => at - start);
+	const otherObservations = fleet.observations.filter(({observer, member}) => member.id !== VICTIM && observer !== VICTIM);
+	const suspected = victimObservations.filter(({member}) => member.state === 'suspect').map(({at}) => at - start);
+	const dead = victimObservations.filter(({member}) => member.state === 'dead').map(({at}) => at - start);
 	const faults = fleet.hosts.values().filter(state => membership.hasPathFault(state, VICTIM)).toArray();
 	return {
 		firstSuspected: Math.min(Infinity, ...suspected),
-		deadP50: getTime(dead, fleet.hosts.size, 0.5),
-		deadP99: getTime(dead, fleet.hosts.size, 0.99),
-		othersSuspected: countHosts(others, 'suspect'),
-		othersDead: countHosts(others, 'dead'),
+		deadP50: getTimeQuantile(dead, fleet.hosts.size, 0.5),
+		deadP99: getTimeQuantile(dead, fleet.hosts.size, 0.99),
+		othersSuspected: countHosts(otherObservations, 'suspect'),
+		othersDead: countHosts(otherObservations, 'dead'),
 		pathFaults: faults.length,
 	};
 }
@@ -154,16 +154,16 @@
 	return new Set(observations.filter(({member}) => member.state === state).map(({member}) => member.id)).size;
 }
 
-function getTime(times: readonly number[], hosts: number, quantile: number): number {
+function getTimeQuantile(times: readonly number[], hosts: number, quantile: number): number {
 	const sorted = times.toSorted((left, right) => left - right);
 	return sorted[Math.floor((hosts - 1) * quantile)] ?? Infinity;
 }
 
-function isNear(id: string): boolean {
-	return getNumber(id) % 4 === 1;
+function isInVictimDomain(id: string): boolean {
+	return getHostNumber(id) % 4 === 1;
 }
 
-function getNumber(id: string): number {
+function getHostNumber(id: string): number {
 	return Number(id.slice('host-'.length));
 }
 
@@ -176,21 +176,21 @@
 	readonly broken: readonly string[];
 }> {
 	const rows = [...measurePartitions(), ...measureJoins()];
-	return {title: 'Membership: one-way partitions and joins', rows, broken: findBroken(rows)};
+	return {title: 'Membership: one-way partitions and joins', rows, broken: findBrokenBounds(rows)};
 }
 
 // All deterministic.
 const MAX_DEAD_MILLISECONDS = 12_000;
 
-function findBroken(rows: ReadonlyArray<PartitionRow | JoinRow>): readonly string[] {
+function findBrokenBounds(rows: ReadonlyArray<PartitionRow | JoinRow>): readonly string[] {
 	return rows.flatMap(row => 'fault' in row ? findBrokenPartition(row) : findBrokenJoin(row));
 }
 
 // A host that can't answer anyone is dead for all; one that some can't reach stays alive.
 function findBrokenPartition(row: PartitionRow): readonly string[] {
 	const mustDie = row.fault.startsWith('hears');
-	const isRight = mustDie ? row.deadP99 <= MAX_DEAD_MILLISECONDS : row.firstSuspected === Infinity;
-	return isRight && row.othersDead === 0 ? [] : [`${row.hosts} hosts, ${row.fault}: taken for what it is not.`];
+	const isBoundKept = mustDie ? row.deadP99 <= MAX_DEAD_MILLISECONDS : row.firstSuspected === Infinity;
+	return isBoundKept && row.othersDead === 0 ? [] : [`${row.hosts} hosts, ${row.fault}: taken for what it is not.`];
 }
 
 function findBrokenJoin(row: JoinRow): readonly string[] {
--- a/packages/wagtailroute-membership/src/bench/restarts.bench.ts
+++ b/packages/wagtailroute-membership/src/bench/restarts.bench.ts
@@ -14,7 +14,7 @@
 	describeHost,
 	type Fleet,
 	type FleetSettings,
-	pass,
+	advanceTime,
 	startHost,
 } from './fleet.ts';
 
@@ -27,16 +27,16 @@
 const QUIET_MILLISECONDS = 4000;
 const CHURN_MILLISECONDS = 5000;
 const CHURN_RESTARTS = 5;
-const STORM_SHARE = 0.1;
-const STORM_LIMIT_MILLISECONDS = 60_000;
-const STORM_LOOK_MILLISECONDS = 250;
-const MOST = 0.99;
-const SECOND = 1000;
+const STORM_FRACTION = 0.1;
+const MAX_STORM_MILLISECONDS = 60_000;
+const CHECK_INTERVAL_MILLISECONDS = 250;
+const MOST_PAIRS_FRACTION = 0.99;
+const MILLISECONDS_PER_SECOND = 1000;
 
 /**
 Bytes a second of a host in the largest fleet over those in the smallest: the cost a host must not grow with the fleet.
 */
-const GROWTH_BOUND = 1.5;
+const MAX_BYTES_GROWTH = 1.5;
 
 type QuietRow = {
 	readonly measure: 'quiet';
@@ -86,7 +86,7 @@
 		title: 'Membership: cost of a host by the size of the fleet, quiet and with restarts',
 		rows: [...quiet, ...storms],
 		broken: [
-			...ratio > GROWTH_BOUND ? [`the bytes of a host grow ${ratio.toFixed(2)} times with the fleet`] : [],
+			...ratio > MAX_BYTES_GROWTH ? [`the bytes of a host grow ${ratio.toFixed(2)} times with the fleet`] : [],
 			...storms.filter(row => row.allKnownMilliseconds === Infinity).map(row => `${row.hosts} hosts: a storm of restarts doesn't settle`),
 		],
 	};
@@ -94,7 +94,7 @@
 
 function createJoinedFleet(hosts: number): Fleet {
 	const fleet = createFleet(describeFleet(hosts));
-	pass(fleet, SETTLE_MILLISECONDS);
+	advanceTime(fleet, SETTLE_MILLISECONDS);
 	return fleet;
 }
 
@@ -106,46 +106,46 @@
 
 function measureQuiet(hosts: number, heapBytes: number): QuietRow {
 	const fleet = createJoinedFleet(hosts);
-	const quiet = measurePass(fleet, QUIET_MILLISECONDS);
-	const churn = measurePass(fleet, CHURN_MILLISECONDS, at => {
+	const quiet = measureCost(fleet, QUIET_MILLISECONDS);
+	const churn = measureCost(fleet, CHURN_MILLISECONDS, at => {
 		if (at % (CHURN_MILLISECONDS / CHURN_RESTARTS) === 0) {
-			restart(fleet, 2 + (at / SECOND), `churn-${at}`);
+			restart(fleet, 2 + (at / MILLISECONDS_PER_SECOND), `churn-${at}`);
 		}
 	});
-	const getPerRestart = (unit: keyof Cost) =>
-		Math.round((churn[unit] - quiet[unit]) * hosts * CHURN_MILLISECONDS / SECOND / CHURN_RESTARTS);
+	const getCostPerRestart = (cost: keyof Cost) =>
+		Math.round((churn[cost] - quiet[cost]) * hosts * CHURN_MILLISECONDS / MILLISECONDS_PER_SECOND / CHURN_RESTARTS);
 	return {
 		measure: 'quiet',
 		hosts,
-		messagesPerSecond: round(quiet.messages),
+		messagesPerSecond: roundToHundredths(quiet.messages),
 		bytesPerSecond: Math.round(quiet.bytes),
-		cpuMicrosecondsPerSecond: Math.round(quiet.microseconds),
+		cpuMicrosecondsPerSecond: Math.round(quiet.cpuMicroseconds),
 		heapBytes,
-		bytesPerRestart: getPerRestart('bytes'),
-		messagesPerRestart: getPerRestart('messages'),
-		cpuMicrosecondsPerRestart: getPerRestart('microseconds'),
+		bytesPerRestart: getCostPerRestart('bytes'),
+		messagesPerRestart: getCostPerRestart('messages'),
+		cpuMicrosecondsPerRestart: getCostPerRestart('cpuMicroseconds'),
 	};
 }
 
-type Cost = {readonly messages: number; readonly bytes: number; readonly microseconds: number};
+type Cost = {readonly messages: number; readonly bytes: number; readonly cpuMicroseconds: number};
 
 /**
 Returns what passes a second a host. The processor time includes the fake network and the measuring of the bytes.
 */
-function measurePass(fleet: Fleet, milliseconds: number, act: (at: number) => void = () => undefined): Cost {
+function measureCost(fleet: Fleet, milliseconds: number, onStep: (at: number) => void = () => undefined): Cost {
 	const {messages, bytes} = fleet;
 	const start = process.cpuUsage();
-	for (let at = 0; at < milliseconds; at += STORM_LOOK_MILLISECONDS) {
-		act(at);
-		pass(fleet, STORM_LOOK_MILLISECONDS);
+	for (let at = 0; at < milliseconds; at += CHECK_INTERVAL_MILLISECONDS) {
+		onStep(at);
+		advanceTime(fleet, CHECK_INTERVAL_MILLISECONDS);
 	}
 
 	const used = process.cpuUsage(start);
-	const hostSeconds = fleet.hosts.size * milliseconds / SECOND;
+	const hostSeconds = fleet.hosts.size * milliseconds / MILLISECONDS_PER_SECOND;
 	return {
 		messages: (fleet.messages - messages) / hostSeconds,
 		bytes: (fleet.bytes - bytes) / hostSeconds,
-		microseconds: (used.user + used.system) / hostSeconds,
+		cpuMicroseconds: (used.user + used.system) / hostSeconds,
 	};
 }
 
@@ -157,7 +157,7 @@
 // The two seeds stay: a fleet without any of its seeds is another matter.
 function measureStorm(hosts: number): StormRow {
 	const fleet = createJoinedFleet(hosts);
-	const count = Math.round(hosts * STORM_SHARE);
+	const count = Math.round(hosts * STORM_FRACTION);
 	const step = Math.floor((hosts - 2) / count);
 	const restarted = Array.from({length: count}, (_, number) => restart(fleet, 2 + (number * step), 'storm'));
 	const startedAt = fleet.now;
@@ -165,15 +165,15 @@
 	const start = process.cpuUsage();
 	let mostKnownAt = Infinity;
 	let known = 0;
-	while (fleet.now - startedAt < STORM_LIMIT_MILLISECONDS && known < 1) {
-		pass(fleet, STORM_LOOK_MILLISECONDS);
-		known = getKnownShare(fleet, restarted);
-		mostKnownAt = known >= MOST ? Math.min(mostKnownAt, fleet.now) : mostKnownAt;
+	while (fleet.now - startedAt < MAX_STORM_MILLISECONDS && known < 1) {
+		advanceTime(fleet, CHECK_INTERVAL_MILLISECONDS);
+		known = getKnownFraction(fleet, restarted);
+		mostKnownAt = known >= MOST_PAIRS_FRACTION ? Math.min(mostKnownAt, fleet.now) : mostKnownAt;
 	}
 
 	const used = process.cpuUsage(start);
 	const milliseconds = fleet.now - startedAt;
-	const hostSeconds = hosts * milliseconds / SECOND;
+	const hostSeconds = hosts * milliseconds / MILLISECONDS_PER_SECOND;
 	return {
 		measure: 'storm',
 		hosts,
@@ -188,7 +188,7 @@
 /**
 Share of the pairs of a host and a restarted one in which the host knows the new boot.
 */
-function getKnownShare(fleet: Fleet, restarted: readonly string[]): number {
+function getKnownFraction(fleet: Fleet, restarted: readonly string[]): number {
 	let known = 0;
 	for (const state of fleet.hosts.values()) {
 		const members = membership.getMembersById(state);
@@ -206,11 +206,11 @@
 	const text = JSON.stringify(Array.from({length: settings.hosts}, (_, index) => ({
 		...describeHost(settings, index, `boot-${index}`), incarnation: 0, state: 'alive', draining: false, catalogueRevision: 0,
 	})));
-	const kept: membership.MembershipState[] = [];
+	const states: membership.MembershipState[] = [];
 	const runs = [1, 2].map(() => {
 		collectGarbage();
 		const before = process.memoryUsage().heapUsed;
-		kept.push(membership.createMembership({
+		states.push(membership.createMembership({
 			self: describeHost(settings, 0, 'boot-0'),
 			seeds: [],
 			members: JSON.parse(text) as membership.Member[],
@@ -219,10 +219,10 @@
 		collectGarbage();
 		return process.memoryUsage().heapUsed - before;
 	});
-	return kept.every(state => membership.getMembersById(state).size === settings.hosts) ? Math.max(...runs) : NaN;
+	return states.every(state => membership.getMembersById(state).size === settings.hosts) ? Math.max(...runs) : NaN;
 }
 
-function round(value: number): number {
+function roundToHundredths(value: number): number {
 	return Math.round(value * 100) / 100;
 }
 
--- a/packages/wagtailroute-membership/src/dissemination.ts
+++ b/packages/wagtailroute-membership/src/dissemination.ts
@@ -8,8 +8,8 @@
 import {
 	EXTRA_TRANSMISSIONS,
 	MAX_MESSAGE_BYTES,
-	MAX_UPDATES,
-	MESSAGE_HEAD_BYTES,
+	MAX_QUEUED_UPDATES,
+	MESSAGE_OVERHEAD_BYTES,
 } from './constants.ts';
 import type {Update} from './messages.ts';
 
@@ -26,7 +26,7 @@
 /**
 Bytes of an update in a message's JSON.
 */
-export function measureUpdate(update: Update): number {
+export function getUpdateBytes(update: Update): number {
 	return JSON.stringify(update).length + 1;
 }
 
@@ -34,42 +34,42 @@
 Adds an update in place of an older one about the same host.
 */
 export function queueUpdate(queue: UpdateQueue, id: core.HostId, update: Update): void {
-	queue.set(id, {update, bytes: measureUpdate(update), transmissions: 0});
-	if (queue.size <= MAX_UPDATES) {
+	queue.set(id, {update, bytes: getUpdateBytes(update), transmissions: 0});
+	if (queue.size <= MAX_QUEUED_UPDATES) {
 		return;
 	}
 
-	const waiting = queue.entries().toArray();
-	const [mostSent] = waiting.toSorted(([, left], [, right]) => right.transmissions - left.transmissions);
+	const queuedUpdates = queue.entries().toArray();
+	const [mostSent] = queuedUpdates.toSorted(([, left], [, right]) => right.transmissions - left.transmissions);
 	queue.delete(mostSent![0]);
 }
 
 /**
 Takes the least sent updates that fit into one message, and drops those that were sent often enough.
 */
-export function takeUpdates(queue: UpdateQueue, hosts: number): readonly Update[] {
+export function selectUpdates(queue: UpdateQueue, hostCount: number): readonly Update[] {
 	if (queue.size === 0) {
 		return [];
 	}
 
-	const limit = Math.ceil(Math.log(hosts + 1)) + EXTRA_TRANSMISSIONS;
-	const waiting = queue.entries().toArray().toSorted(([, left], [, right]) => left.transmissions - right.transmissions);
-	const taken: Update[] = [];
-	let room = MAX_MESSAGE_BYTES - MESSAGE_HEAD_BYTES;
-	for (const [id, queued] of waiting) {
-		if (queued.bytes > room) {
+	const maxTransmissions = Math.ceil(Math.log(hostCount + 1)) + EXTRA_TRANSMISSIONS;
+	const queuedUpdates = queue.entries().toArray().toSorted(([, left], [, right]) => left.transmissions - right.transmissions);
+	const selected: Update[] = [];
+	let remainingBytes = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
+	for (const [id, queuedUpdate] of queuedUpdates) {
+		if (queuedUpdate.bytes > remainingBytes) {
 			continue;
 		}
 
-		room -= queued.bytes;
-		taken.push(queued.update);
-		queued.transmissions++;
-		if (queued.transmissions >= limit) {
+		remainingBytes -= queuedUpdate.bytes;
+		selected.push(queuedUpdate.update);
+		queuedUpdate.transmissions++;
+		if (queuedUpdate.transmissions >= maxTransmissions) {
 			queue.delete(id);
 		}
 	}
 
-	return taken;
+	return selected;
 }
 
 /**
@@ -77,16 +77,16 @@
 */
 export function packUpdates(updates: readonly Update[]): ReadonlyArray<readonly Update[]> {
 	const packed: Update[][] = [];
-	let room = 0;
+	let remainingBytes = 0;
 	for (const update of updates) {
-		const bytes = measureUpdate(update);
-		if (bytes > room || packed.length === 0) {
+		const bytes = getUpdateBytes(update);
+		if (bytes > remainingBytes || packed.length === 0) {
 			packed.push([]);
-			room = MAX_MESSAGE_BYTES - MESSAGE_HEAD_BYTES;
+			remainingBytes = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
 		}
 
 		packed.at(-1)!.push(update);
-		room -= bytes;
+		remainingBytes -= bytes;
 	}
 
 	return packed;
--- a/packages/wagtailroute-membership/src/exchange.ts
+++ b/packages/wagtailroute-membership/src/exchange.ts
@@ -5,15 +5,15 @@
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {
-	EXCHANGE_MILLISECONDS,
-	JOIN_EXCHANGE_MILLISECONDS,
+	EXCHANGE_INTERVAL_MILLISECONDS,
+	JOIN_EXCHANGE_INTERVAL_MILLISECONDS,
 	MAX_BUCKETS_PER_EXCHANGE,
 	MAX_FETCHED_RECORDS,
 	MAX_JOIN_EXCHANGES,
 	MAX_MESSAGE_BYTES,
-	MESSAGE_HEAD_BYTES,
-	RECONNECT_MILLISECONDS,
-	SEED_EXCHANGE_INTERVAL,
+	MESSAGE_OVERHEAD_BYTES,
+	RECONNECT_INTERVAL_MILLISECONDS,
+	EXCHANGES_PER_SEED_EXCHANGE,
 } from './constants.ts';
 import {packUpdates} from './dissemination.ts';
 import {
@@ -23,19 +23,19 @@
 	isPresent,
 } from './members.ts';
 import type {Effect, Message, Update} from './messages.ts';
-import {describeSelf} from './news.ts';
+import {createOwnUpdate} from './updates.ts';
 import {
 	getUnknownSeeds,
 	pickMembers,
-	sendWith,
-	describeMember,
+	sendMessage,
+	createMemberUpdate,
 } from './sending.ts';
 import type {MembershipState} from './state.ts';
-import {findDifferences, formatHashes, getBucket} from './table.ts';
+import {findDifferentBuckets, encodeDigest, getBucket} from './table.ts';
 import {parseAddress} from './wire.ts';
 
 // Quotes, colon, comma and a version of up to ten digits around a name.
-const VERSION_BYTES = 14;
+const VERSION_OVERHEAD_BYTES = 14;
 
 /**
 Sends a digest when it is time.
@@ -45,12 +45,12 @@
 		return [];
 	}
 
-	state.exchanges++;
+	state.exchangeCount++;
 	// Where hosts come and go all the time, two tables are never quite the same.
-	state.isJoining &&= state.exchanges <= MAX_JOIN_EXCHANGES;
-	state.nextExchangeAt = now + (state.isJoining ? JOIN_EXCHANGE_MILLISECONDS : EXCHANGE_MILLISECONDS);
-	const address = pickAddress(state, random);
-	return address ? [sendWith(state, address, {kind: 'digest', hashes: formatHashes(state.table)})] : [];
+	state.isJoining &&= state.exchangeCount <= MAX_JOIN_EXCHANGES;
+	state.nextExchangeAt = now + (state.isJoining ? JOIN_EXCHANGE_INTERVAL_MILLISECONDS : EXCHANGE_INTERVAL_MILLISECONDS);
+	const address = pickExchangeAddress(state, random);
+	return address ? [sendMessage(state, address, {kind: 'digest', hashes: encodeDigest(state.table)})] : [];
 }
 
 /**
@@ -61,13 +61,13 @@
 		return [];
 	}
 
-	state.nextReconnectAt = now + RECONNECT_MILLISECONDS;
-	const dead = state.table.ended.keys()
+	state.nextReconnectAt = now + RECONNECT_INTERVAL_MILLISECONDS;
+	const dead = state.table.endedAt.keys()
 		.map(id => state.table.members.get(id)!)
 		.filter(member => member.state === 'dead')
 		.toArray();
 	const member = dead[utils.pickIndex(random, dead.length)];
-	return member ? [sendWith(state, member.peerAddress, {kind: 'gossip'}, [describeMember(state, member)])] : [];
+	return member ? [sendMessage(state, member.peerAddress, {kind: 'gossip'}, [createMemberUpdate(state, member)])] : [];
 }
 
 /**
@@ -79,16 +79,16 @@
 	random: utils.Random,
 ): readonly Effect[] {
 	const address = parseAddress(message.from.peer);
-	const different = findDifferences(state.table, message.hashes);
-	if (different.length === 0) {
-		return [sendWith(state, address, {kind: 'same'})];
+	const differentBuckets = findDifferentBuckets(state.table, message.hashes);
+	if (differentBuckets.length === 0) {
+		return [sendMessage(state, address, {kind: 'same'})];
 	}
 
-	const buckets = new Set(utils.shuffle(random, different).slice(0, MAX_BUCKETS_PER_EXCHANGE));
+	const buckets = new Set(utils.shuffle(random, differentBuckets).slice(0, MAX_BUCKETS_PER_EXCHANGE));
 	const versions = collectVersions(state, buckets);
 	return [...buckets].flatMap(bucket => {
 		const parts = splitVersions(versions.get(bucket) ?? []);
-		return parts.map(part => sendWith(state, address, {
+		return parts.map(part => sendMessage(state, address, {
 			kind: 'versions',
 			bucket,
 			whole: parts.length === 1,
@@ -105,27 +105,27 @@
 	message: Extract<Message, {readonly kind: 'versions'}>,
 ): readonly Effect[] {
 	const address = parseAddress(message.from.peer);
-	const wanted: core.HostId[] = [];
-	const told: Update[] = [];
-	for (const [id, code] of Object.entries(message.versions)) {
-		const version = decodeVersion(code);
+	const idsToFetch: core.HostId[] = [];
+	const updatesToSend: Update[] = [];
+	for (const [id, encodedVersion] of Object.entries(message.versions)) {
+		const version = decodeVersion(encodedVersion);
 		const known = state.table.members.get(id);
 		// An ended host that this one never knew is of no use to it.
 		if (known ? isNewer(version, known) : isPresent(version)) {
-			wanted.push(id);
+			idsToFetch.push(id);
 		} else if (known && isNewer(known, version)) {
-			told.push(describeMember(state, known));
+			updatesToSend.push(createMemberUpdate(state, known));
 		}
 	}
 
 	if (message.whole) {
-		told.push(...findUnknown(state, message));
+		updatesToSend.push(...createMissingUpdates(state, message));
 	}
 
-	const fetches: readonly Effect[] = wanted.length > 0
-		? [sendWith(state, address, {kind: 'fetch', ids: wanted.slice(0, MAX_FETCHED_RECORDS)})]
+	const fetches: readonly Effect[] = idsToFetch.length > 0
+		? [sendMessage(state, address, {kind: 'fetch', ids: idsToFetch.slice(0, MAX_FETCHED_RECORDS)})]
 		: [];
-	return [...fetches, ...tellUpdates(state, address, told)];
+	return [...fetches, ...sendUpdates(state, address, updatesToSend)];
 }
 
 /**
@@ -140,31 +140,31 @@
 		.filter(member => member !== undefined)
 		// A suspected host's whole record first: the receiver may not know the host at all.
 		.flatMap(member => member.state === 'suspect'
-			? [describeMember(state, {...member, state: 'alive'}), describeMember(state, member)]
-			: [describeMember(state, member)]);
-	const own = message.ids.includes(state.self.id) ? [describeSelf(state)] : [];
-	return tellUpdates(state, parseAddress(message.from.peer), [...own, ...updates]);
+			? [createMemberUpdate(state, {...member, state: 'alive'}), createMemberUpdate(state, member)]
+			: [createMemberUpdate(state, member)]);
+	const ownUpdates = message.ids.includes(state.self.id) ? [createOwnUpdate(state)] : [];
+	return sendUpdates(state, parseAddress(message.from.peer), [...ownUpdates, ...updates]);
 }
 
 /**
 Takes the word of another host that both know the same.
 */
-export function takeSame(state: MembershipState): readonly Effect[] {
+export function handleSame(state: MembershipState): readonly Effect[] {
 	state.isJoining = false;
 	return [];
 }
 
-function tellUpdates(
+function sendUpdates(
 	state: MembershipState,
 	address: core.Address,
 	updates: readonly Update[],
 ): readonly Effect[] {
-	return packUpdates(updates).map(packed => sendWith(state, address, {kind: 'gossip'}, packed));
+	return packUpdates(updates).map(packed => sendMessage(state, address, {kind: 'gossip'}, packed));
 }
 
-function pickAddress(state: MembershipState, random: utils.Random): core.Address | undefined {
+function pickExchangeAddress(state: MembershipState, random: utils.Random): core.Address | undefined {
 	const [member] = pickMembers(state, 1, random);
-	if (member && state.exchanges % SEED_EXCHANGE_INTERVAL !== 0) {
+	if (member && state.exchangeCount % EXCHANGES_PER_SEED_EXCHANGE !== 0) {
 		return member.peerAddress;
 	}
 
@@ -184,9 +184,9 @@
 			continue;
 		}
 
-		const listed = versions.get(bucket) ?? [];
-		listed.push([member.id, encodeVersion(member)]);
-		versions.set(bucket, listed);
+		const bucketVersions = versions.get(bucket) ?? [];
+		bucketVersions.push([member.id, encodeVersion(member)]);
+		versions.set(bucket, bucketVersions);
 	}
 
 	return versions;
@@ -196,22 +196,22 @@
 	versions: ReadonlyArray<readonly [core.HostId, number]>,
 ): ReadonlyArray<ReadonlyArray<readonly [core.HostId, number]>> {
 	const parts: Array<Array<readonly [core.HostId, number]>> = [[]];
-	let room = MAX_MESSAGE_BYTES - MESSAGE_HEAD_BYTES;
+	let remainingBytes = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
 	for (const version of versions) {
-		const bytes = version[0].length + VERSION_BYTES;
-		if (bytes > room) {
+		const bytes = version[0].length + VERSION_OVERHEAD_BYTES;
+		if (bytes > remainingBytes) {
 			parts.push([]);
-			room = MAX_MESSAGE_BYTES - MESSAGE_HEAD_BYTES;
+			remainingBytes = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
 		}
 
 		parts.at(-1)!.push(version);
-		room -= bytes;
+		remainingBytes -= bytes;
 	}
 
 	return parts;
 }
 
-function findUnknown(
+function createMissingUpdates(
 	state: MembershipState,
 	message: Extract<Message, {readonly kind: 'versions'}>,
 ): readonly Update[] {
@@ -220,5 +220,5 @@
 		.filter(([id]) => message.versions[id] === undefined)
 		.map(([id]) => state.table.members.get(id)!)
 		.filter(member => member.state === 'alive')
-		.map(member => describeMember(state, member));
+		.map(member => createMemberUpdate(state, member));
 }
--- a/packages/wagtailroute-membership/src/index.ts
+++ b/packages/wagtailroute-membership/src/index.ts
@@ -3,7 +3,7 @@
 */
 export type {HostDescription, Member, MemberState} from './members.ts';
 export type {
-	Content,
+	MessageBody,
 	Effect,
 	Event,
 	Message,
--- a/packages/wagtailroute-membership/src/machine.ts
+++ b/packages/wagtailroute-membership/src/machine.ts
@@ -3,10 +3,10 @@
 */
 import type * as core from 'wagtailroute-core';
 import {
-	FORGET_SCAN_MILLISECONDS,
+	EXPIRY_SCAN_INTERVAL_MILLISECONDS,
 	GOSSIP_FANOUT,
-	GOSSIP_MILLISECONDS,
-	PAUSE_MILLISECONDS,
+	GOSSIP_INTERVAL_MILLISECONDS,
+	MIN_PAUSE_MILLISECONDS,
 } from './constants.ts';
 import {
 	answerDigest,
@@ -14,22 +14,22 @@
 	compareVersions,
 	runExchange,
 	runReconnect,
-	takeSame,
+	handleSame,
 } from './exchange.ts';
 import type {Effect, Event, Message} from './messages.ts';
-import {changeSelf, describeSelf, takeNews} from './news.ts';
+import {updateOwnRecord, createOwnUpdate, applyUpdates} from './updates.ts';
 import {
 	answerPing,
 	relayPing,
 	runProbe,
-	takeAck,
-	takeRelaying,
+	handleAck,
+	handleRelaying,
 } from './probing.ts';
-import {takeSender} from './senders.ts';
-import {pickMembers, sendNews, sendWith} from './sending.ts';
+import {handleSender} from './senders.ts';
+import {pickMembers, sendWithQueuedUpdates, sendMessage} from './sending.ts';
 import type {MembershipState} from './state.ts';
 import {runSuspicions} from './suspicion.ts';
-import {forgetMembers, storeMember} from './table.ts';
+import {expireMembers, storeMember} from './table.ts';
 import {parseAddress} from './wire.ts';
 
 // Hosts that a leaving host tells itself, besides the gossip.
@@ -53,12 +53,12 @@
 
 const MESSAGE_HANDLERS: MessageHandlers = {
 	ping: answerPing,
-	ack: takeAck,
+	ack: handleAck,
 	request: relayPing,
-	relaying: takeRelaying,
+	relaying: handleRelaying,
 	gossip: () => [],
 	digest: (state, message, {random}) => answerDigest(state, message, random),
-	same: takeSame,
+	same: handleSame,
 	versions: compareVersions,
 	fetch: answerFetch,
 };
@@ -90,7 +90,7 @@
 		...runGossip(state, circumstances),
 		...runExchange(state, circumstances),
 		...runReconnect(state, circumstances),
-		...runForget(state, circumstances.now),
+		...runExpiry(state, circumstances.now),
 	];
 }
 
@@ -102,14 +102,14 @@
 function resumeAfterPause(state: MembershipState, now: number): void {
 	const last = state.lastTickAt ?? now;
 	state.lastTickAt = now;
-	if (now - last < PAUSE_MILLISECONDS) {
+	if (now - last < MIN_PAUSE_MILLISECONDS) {
 		return;
 	}
 
 	state.probe = undefined;
 	for (const suspicion of state.suspicions.values()) {
 		suspicion.startedAt = now;
-		suspicion.ownSince &&= now;
+		suspicion.ownProbeFailedAt &&= now;
 	}
 }
 
@@ -124,16 +124,16 @@
 	}
 
 	const {incarnation} = state.self;
-	const news = takeNews(state, message.updates ?? [], circumstances);
+	const effects = applyUpdates(state, message.updates ?? [], circumstances);
 	// Whoever was wrong about this host hears it first: it may be on the other side of a healed partition.
-	const objection = state.self.incarnation > incarnation
-		? [sendWith(state, parseAddress(message.from.peer), {kind: 'gossip'}, [describeSelf(state)])]
+	const refutation = state.self.incarnation > incarnation
+		? [sendMessage(state, parseAddress(message.from.peer), {kind: 'gossip'}, [createOwnUpdate(state)])]
 		: [];
 	const handler = MESSAGE_HANDLERS[message.kind];
 	return [
-		...news,
-		...objection,
-		...takeSender(state, message.from),
+		...effects,
+		...refutation,
+		...handleSender(state, message.from),
 		...handler(state, message as never, circumstances),
 	];
 }
@@ -146,7 +146,7 @@
 	const catalogueRevision = Math.max(state.self.catalogueRevision, event.catalogueRevision ?? 0);
 	// Revision and load travel with each message anyhow: no news for them, 2,400 hosts change their load every second.
 	if (draining !== state.self.draining) {
-		return [changeSelf(state, {draining, load, catalogueRevision})];
+		return [updateOwnRecord(state, {draining, load, catalogueRevision})];
 	}
 
 	state.self = {...state.self, load, catalogueRevision};
@@ -155,27 +155,27 @@
 }
 
 function leaveFleet(state: MembershipState, random: () => number): readonly Effect[] {
-	const change = changeSelf(state, {state: 'left'});
-	const told = pickMembers(state, LEAVE_FANOUT, random);
-	const update = describeSelf(state);
-	return [change, ...told.map(member => sendWith(state, member.peerAddress, {kind: 'gossip'}, [update]))];
+	const change = updateOwnRecord(state, {state: 'left'});
+	const receivers = pickMembers(state, LEAVE_FANOUT, random);
+	const update = createOwnUpdate(state);
+	return [change, ...receivers.map(member => sendMessage(state, member.peerAddress, {kind: 'gossip'}, [update]))];
 }
 
 function runGossip(state: MembershipState, {now, random}: core.Circumstances): readonly Effect[] {
-	if (state.updates.size === 0 || state.nextGossipAt > now) {
+	if (state.updateQueue.size === 0 || state.nextGossipAt > now) {
 		return [];
 	}
 
-	state.nextGossipAt = now + GOSSIP_MILLISECONDS;
+	state.nextGossipAt = now + GOSSIP_INTERVAL_MILLISECONDS;
 	return pickMembers(state, GOSSIP_FANOUT, random)
-		.map(member => sendNews(state, member.peerAddress, {kind: 'gossip'}));
+		.map(member => sendWithQueuedUpdates(state, member.peerAddress, {kind: 'gossip'}));
 }
 
-function runForget(state: MembershipState, now: number): readonly Effect[] {
-	if (state.nextForgetAt > now) {
+function runExpiry(state: MembershipState, now: number): readonly Effect[] {
+	if (state.nextExpiryScanAt > now) {
 		return [];
 	}
 
-	state.nextForgetAt = now + FORGET_SCAN_MILLISECONDS;
-	return forgetMembers(state.table, now).map(id => ({kind: 'forgotten', id}));
+	state.nextExpiryScanAt = now + EXPIRY_SCAN_INTERVAL_MILLISECONDS;
+	return expireMembers(state.table, now).map(id => ({kind: 'forgotten', id}));
 }
--- a/packages/wagtailroute-membership/src/members.ts
+++ b/packages/wagtailroute-membership/src/members.ts
@@ -72,15 +72,15 @@
 /**
 Reads a version.
 */
-export function decodeVersion(code: number): Version {
-	return {incarnation: Math.floor(code / STATES.length), state: STATES[code % STATES.length]!};
+export function decodeVersion(encodedVersion: number): Version {
+	return {incarnation: Math.floor(encodedVersion / STATES.length), state: STATES[encodedVersion % STATES.length]!};
 }
 
 /**
 Says whether a version replaces another.
 */
-export function isNewer(heard: Version, known: Version): boolean {
-	return encodeVersion(heard) > encodeVersion(known);
+export function isNewer(received: Version, known: Version): boolean {
+	return encodeVersion(received) > encodeVersion(known);
 }
 
 /**
--- a/packages/wagtailroute-membership/src/messages.ts
+++ b/packages/wagtailroute-membership/src/messages.ts
@@ -48,7 +48,7 @@
 /**
 The contents of a message.
 */
-export type Content =
+export type MessageBody =
 	| {readonly kind: 'ping'; readonly target: core.HostId; readonly sequence: number}
 	/**
 	Answers a ping; `target` is the host that answered when the sender pinged on the receiver's behalf.
@@ -93,7 +93,7 @@
 /**
 A message: its content, who sent it, and news that travel along.
 */
-export type Message = Content & {readonly from: Sender; readonly updates?: readonly Update[]};
+export type Message = MessageBody & {readonly from: Sender; readonly updates?: readonly Update[]};
 
 /**
 What happens to the machine.
--- a/packages/wagtailroute-membership/src/probing.ts
+++ b/packages/wagtailroute-membership/src/probing.ts
@@ -10,27 +10,27 @@
 import * as core from 'wagtailroute-core';
 import type * as utils from 'wagtailroute-utils';
 import {
-	FEW_HOSTS,
-	HELPER_MILLISECONDS,
-	HELPERS,
-	MAX_HEALTH_SCORE,
-	MAX_RELAYS,
-	PING_MILLISECONDS,
+	MAX_HOSTS_WITHOUT_ISOLATION_CHECK,
+	PING_REQUEST_DELAYS_MILLISECONDS,
+	PING_REQUEST_FANOUT,
+	MAX_LOCAL_HEALTH_SCORE,
+	MAX_RELAYED_PINGS,
+	PING_INTERVAL_MILLISECONDS,
 	PROBE_INTERVAL_MILLISECONDS,
-	PROBE_MILLISECONDS,
+	PROBE_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
 import {isPresent, type Member} from './members.ts';
 import type {Effect, Message} from './messages.ts';
-import {takeSuspicion} from './news.ts';
+import {applySuspicion} from './updates.ts';
 import {
 	pickMembers,
-	sendNews,
-	sendWith,
-	describeMember,
+	sendWithQueuedUpdates,
+	sendMessage,
+	createMemberUpdate,
 } from './sending.ts';
 import type {MembershipState, Probe} from './state.ts';
-import {listPresent} from './table.ts';
-import {pickTarget} from './targets.ts';
+import {listPresentIds} from './table.ts';
+import {pickProbeTarget} from './targets.ts';
 import {parseAddress} from './wire.ts';
 
 /**
@@ -53,20 +53,20 @@
 	state: MembershipState,
 	message: Extract<Message, {readonly kind: 'ping'}>,
 ): readonly Effect[] {
-	return message.target === state.self.id ? [sendNews(state, parseAddress(message.from.peer), {kind: 'ack', sequence: message.sequence})] : [];
+	return message.target === state.self.id ? [sendWithQueuedUpdates(state, parseAddress(message.from.peer), {kind: 'ack', sequence: message.sequence})] : [];
 }
 
 /**
 Takes an answer to a ping of this host, be it its own or on behalf of another.
 */
-export function takeAck(
+export function handleAck(
 	state: MembershipState,
 	message: Extract<Message, {readonly kind: 'ack'}>,
 ): readonly Effect[] {
-	const relay = state.relays.get(message.sequence);
-	if (relay?.target === message.from.id) {
-		state.relays.delete(message.sequence);
-		return [sendNews(state, relay.origin, {kind: 'ack', sequence: relay.sequence, target: relay.target})];
+	const relayedPing = state.relayedPings.get(message.sequence);
+	if (relayedPing?.target === message.from.id) {
+		state.relayedPings.delete(message.sequence);
+		return [sendWithQueuedUpdates(state, relayedPing.requesterAddress, {kind: 'ack', sequence: relayedPing.requesterSequence, target: relayedPing.target})];
 	}
 
 	const {probe} = state;
@@ -75,8 +75,8 @@
 	}
 
 	if (message.target === probe.target) {
-		probe.isAcknowledged = true;
-		probe.isAnswered = true;
+		probe.hasIndirectAck = true;
+		probe.hasRelayResponse = true;
 	} else if (message.from.id === probe.target) {
 		completeProbe(state, probe);
 	}
@@ -91,55 +91,55 @@
 	state: MembershipState,
 	message: Extract<Message, {readonly kind: 'request'}>,
 ): readonly Effect[] {
-	const origin = parseAddress(message.from.peer);
-	const sequence = takeSequence(state);
-	state.relays.set(sequence, {origin, sequence: message.sequence, target: message.target});
-	for (const oldest of state.relays.keys()) {
-		if (state.relays.size <= MAX_RELAYS) {
+	const requesterAddress = parseAddress(message.from.peer);
+	const sequence = allocateSequence(state);
+	state.relayedPings.set(sequence, {requesterAddress, requesterSequence: message.sequence, target: message.target});
+	for (const oldestSequence of state.relayedPings.keys()) {
+		if (state.relayedPings.size <= MAX_RELAYED_PINGS) {
 			break;
 		}
 
-		state.relays.delete(oldest);
+		state.relayedPings.delete(oldestSequence);
 	}
 
 	return [
-		sendNews(state, origin, {kind: 'relaying', sequence: message.sequence}),
-		sendNews(state, parseAddress(message.address), {kind: 'ping', target: message.target, sequence}),
+		sendWithQueuedUpdates(state, requesterAddress, {kind: 'relaying', sequence: message.sequence}),
+		sendWithQueuedUpdates(state, parseAddress(message.address), {kind: 'ping', target: message.target, sequence}),
 	];
 }
 
 /**
 Takes a helper's word that it was asked.
 */
-export function takeRelaying(
+export function handleRelaying(
 	state: MembershipState,
 	message: Extract<Message, {readonly kind: 'relaying'}>,
 ): readonly Effect[] {
 	if (state.probe?.sequence === message.sequence) {
-		state.probe.isAnswered = true;
+		state.probe.hasRelayResponse = true;
 	}
 
 	return [];
 }
 
 function startProbe(state: MembershipState, {now, random}: core.Circumstances): void {
-	const target = pickTarget(state, random);
+	const target = pickProbeTarget(state, random);
 	state.nextProbeAt = now + PROBE_INTERVAL_MILLISECONDS;
 	if (target === undefined) {
 		return;
 	}
 
-	state.probes++;
+	state.probeCount++;
 	state.probe = {
 		target,
-		sequence: takeSequence(state),
+		sequence: allocateSequence(state),
 		startedAt: now,
-		stretch: 1 + state.health,
+		timeoutMultiplier: 1 + state.localHealthScore,
 		nextPingAt: now,
-		requestRounds: 0,
-		helpers: new Set(),
-		isAcknowledged: false,
-		isAnswered: false,
+		pingRequestRounds: 0,
+		relayIds: new Set(),
+		hasIndirectAck: false,
+		hasRelayResponse: false,
 	};
 }
 
@@ -150,26 +150,26 @@
 		return [];
 	}
 
-	probe.nextPingAt += PING_MILLISECONDS * probe.stretch;
+	probe.nextPingAt += PING_INTERVAL_MILLISECONDS * probe.timeoutMultiplier;
 	const ping = pingTarget(state, probe, target);
-	const requestAt = HELPER_MILLISECONDS[probe.requestRounds];
-	if (requestAt === undefined || circumstances.now - probe.startedAt < requestAt * probe.stretch) {
+	const requestDelay = PING_REQUEST_DELAYS_MILLISECONDS[probe.pingRequestRounds];
+	if (requestDelay === undefined || circumstances.now - probe.startedAt < requestDelay * probe.timeoutMultiplier) {
 		return [ping];
 	}
 
-	probe.requestRounds++;
-	return [ping, ...askHelpers(state, probe, target, circumstances.random)];
+	probe.pingRequestRounds++;
+	return [ping, ...sendPingRequests(state, probe, target, circumstances.random)];
 }
 
 // A suspected host is told with the ping, so that it can object at once.
 function pingTarget(state: MembershipState, probe: Probe, target: Member): Effect {
-	const content = {kind: 'ping', target: target.id, sequence: probe.sequence} as const;
+	const body = {kind: 'ping', target: target.id, sequence: probe.sequence} as const;
 	return target.state === 'suspect'
-		? sendWith(state, target.peerAddress, content, [describeMember(state, target)])
-		: sendNews(state, target.peerAddress, content);
+		? sendMessage(state, target.peerAddress, body, [createMemberUpdate(state, target)])
+		: sendWithQueuedUpdates(state, target.peerAddress, body);
 }
 
-function askHelpers(
+function sendPingRequests(
 	state: MembershipState,
 	probe: Probe,
 	target: Member,
@@ -177,20 +177,20 @@
 ): readonly Effect[] {
 	const isExcluded = (member: Member): boolean => member.id === target.id
 		|| member.state === 'suspect'
-		|| probe.helpers.has(member.id);
-	const near = pickMembers(
+		|| probe.relayIds.has(member.id);
+	const domainRelays = pickMembers(
 		state,
 		1,
 		random,
 		member => isExcluded(member) || member.failureDomain !== target.failureDomain,
 	);
-	const others = pickMembers(state, HELPERS, random, member => isExcluded(member) || near.includes(member));
-	const helpers = [...near, ...others].slice(0, HELPERS);
-	for (const helper of helpers) {
-		probe.helpers.add(helper.id);
+	const otherRelays = pickMembers(state, PING_REQUEST_FANOUT, random, member => isExcluded(member) || domainRelays.includes(member));
+	const relays = [...domainRelays, ...otherRelays].slice(0, PING_REQUEST_FANOUT);
+	for (const relay of relays) {
+		probe.relayIds.add(relay.id);
 	}
 
-	return helpers.map(helper => sendNews(state, helper.peerAddress, {
+	return relays.map(relay => sendWithQueuedUpdates(state, relay.peerAddress, {
 		kind: 'request',
 		target: target.id,
 		address: core.formatAddress(target.peerAddress),
@@ -199,15 +199,15 @@
 }
 
 function completeProbe(state: MembershipState, probe: Probe): void {
-	state.faults.delete(probe.target);
+	state.pathFaults.delete(probe.target);
 	state.probe = undefined;
 	state.isIsolated = false;
-	state.health = Math.max(0, state.health - 1);
+	state.localHealthScore = Math.max(0, state.localHealthScore - 1);
 }
 
 function endProbe(state: MembershipState, circumstances: core.Circumstances): readonly Effect[] {
 	const {probe} = state;
-	if (!probe || circumstances.now - probe.startedAt < PROBE_MILLISECONDS * probe.stretch) {
+	if (!probe || circumstances.now - probe.startedAt < PROBE_TIMEOUT_MILLISECONDS * probe.timeoutMultiplier) {
 		return [];
 	}
 
@@ -217,25 +217,25 @@
 		return [];
 	}
 
-	state.isIsolated = !probe.isAnswered && listPresent(state.table).length - 1 > FEW_HOSTS;
-	if (probe.isAcknowledged || state.isIsolated) {
-		state.faults.add(target.id);
+	state.isIsolated = !probe.hasRelayResponse && listPresentIds(state.table).length - 1 > MAX_HOSTS_WITHOUT_ISOLATION_CHECK;
+	if (probe.hasIndirectAck || state.isIsolated) {
+		state.pathFaults.add(target.id);
 	}
 
-	if (probe.isAcknowledged) {
+	if (probe.hasIndirectAck) {
 		return [];
 	}
 
 	if (state.isIsolated) {
-		state.health = Math.min(MAX_HEALTH_SCORE, state.health + 1);
+		state.localHealthScore = Math.min(MAX_LOCAL_HEALTH_SCORE, state.localHealthScore + 1);
 		return [];
 	}
 
 	const suspicion = {id: target.id, incarnation: target.incarnation, by: state.self.id};
-	return takeSuspicion(state, suspicion, circumstances);
+	return applySuspicion(state, suspicion, circumstances);
 }
 
-function takeSequence(state: MembershipState): number {
-	state.sequence++;
-	return state.sequence;
+function allocateSequence(state: MembershipState): number {
+	state.lastSequence++;
+	return state.lastSequence;
 }
--- a/packages/wagtailroute-membership/src/queries.ts
+++ b/packages/wagtailroute-membership/src/queries.ts
@@ -38,14 +38,14 @@
 Says whether this host answers to itself only by way of others: alive, but not for this host.
 */
 export function hasPathFault(state: MembershipState, id: core.HostId): boolean {
-	return state.faults.has(id);
+	return state.pathFaults.has(id);
 }
 
 /**
 Says whether a host is alive and, as far as this host knows, reached directly.
 */
 export function isReachable(state: MembershipState, id: core.HostId): boolean {
-	return state.table.members.get(id)?.state === 'alive' && !state.faults.has(id);
+	return state.table.members.get(id)?.state === 'alive' && !state.pathFaults.has(id);
 }
 
 /**
--- a/packages/wagtailroute-membership/src/sending.ts
+++ b/packages/wagtailroute-membership/src/sending.ts
@@ -3,35 +3,35 @@
 */
 import * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
-import {takeUpdates} from './dissemination.ts';
+import {selectUpdates} from './dissemination.ts';
 import type {Member} from './members.ts';
 import type {
-	Content,
+	MessageBody,
 	Effect,
 	Message,
 	Update,
 } from './messages.ts';
 import type {MembershipState} from './state.ts';
-import {listPresent} from './table.ts';
+import {listPresentIds} from './table.ts';
 import {encodeSender, encodeUpdate} from './wire.ts';
 
 /**
 Sends a message with the news that fit.
 */
-export function sendNews(state: MembershipState, to: core.Address, content: Content): Effect {
-	return sendWith(state, to, content, takeUpdates(state.updates, state.table.members.size));
+export function sendWithQueuedUpdates(state: MembershipState, to: core.Address, body: MessageBody): Effect {
+	return sendMessage(state, to, body, selectUpdates(state.updateQueue, state.table.members.size));
 }
 
 /**
 Sends a message with the given updates, none for a message that has no room for any.
 */
-export function sendWith(
+export function sendMessage(
 	state: MembershipState,
 	to: core.Address,
-	content: Content,
+	body: MessageBody,
 	updates: readonly Update[] = [],
 ): Effect {
-	const message: Message = {...content, from: encodeSender(state.self), ...(updates.length > 0) && {updates}};
+	const message: Message = {...body, from: encodeSender(state.self), ...(updates.length > 0) && {updates}};
 	return {kind: 'send', to, message};
 }
 
@@ -44,7 +44,7 @@
 	random: utils.Random,
 	isExcluded: (member: Member) => boolean = () => false,
 ): readonly Member[] {
-	const ids = listPresent(state.table);
+	const ids = listPresentIds(state.table);
 	// A host that leaves is no longer listed: alone, it finds nobody to tell.
 	if (ids.length === 0) {
 		return [];
@@ -66,7 +66,7 @@
 The peer addresses of the seeds that are neither this host nor a host known to run.
 */
 export function getUnknownSeeds(state: MembershipState): readonly core.Address[] {
-	const present = listPresent(state.table).map(id => state.table.members.get(id)!);
+	const present = listPresentIds(state.table).map(id => state.table.members.get(id)!);
 	const addresses = new Set(present.map(member => core.formatAddress(member.peerAddress)));
 	return state.config.seeds.filter(seed => !addresses.has(core.formatAddress(seed)));
 }
@@ -75,7 +75,7 @@
 Writes what this host knows of another. A suspicion is passed on under the name of a host whose own probe failed: one
 that only heard of it is no further witness.
 */
-export function describeMember(state: MembershipState, member: Member): Update {
-	const [witness] = state.suspicions.get(member.id)?.confirmers ?? [];
+export function createMemberUpdate(state: MembershipState, member: Member): Update {
+	const [witness] = state.suspicions.get(member.id)?.suspectedBy ?? [];
 	return encodeUpdate(member, witness ?? state.self.id);
 }
--- a/packages/wagtailroute-membership/src/state.ts
+++ b/packages/wagtailroute-membership/src/state.ts
@@ -35,21 +35,21 @@
 	/**
 	Stretches all times of the probe while this host's own health is in doubt.
 	*/
-	readonly stretch: number;
+	readonly timeoutMultiplier: number;
 	nextPingAt: number;
 	/**
 	Rounds of asking others so far.
 	*/
-	requestRounds: number;
-	readonly helpers: Set<core.HostId>;
+	pingRequestRounds: number;
+	readonly relayIds: Set<core.HostId>;
 	/**
 	The target answered, at least by way of another host.
 	*/
-	isAcknowledged: boolean;
+	hasIndirectAck: boolean;
 	/**
 	Another host answered, so this host's own connection works.
 	*/
-	isAnswered: boolean;
+	hasRelayResponse: boolean;
 };
 
 /**
@@ -58,11 +58,11 @@
 export type Suspicion = {
 	readonly incarnation: number;
 	startedAt: number;
-	readonly confirmers: Set<core.HostId>;
+	readonly suspectedBy: Set<core.HostId>;
 	/**
 	When this host's own probe failed; undefined when it only heard of the suspicion.
 	*/
-	ownSince: number | undefined;
+	ownProbeFailedAt: number | undefined;
 	/**
 	When this host asks another what it knows of the suspected one.
 	*/
@@ -72,7 +72,7 @@
 /**
 A ping on behalf of another host.
 */
-export type Relay = {readonly origin: core.Address; readonly sequence: number; readonly target: core.HostId};
+export type RelayedPing = {readonly requesterAddress: core.Address; readonly requesterSequence: number; readonly target: core.HostId};
 
 /**
 State of the machine.
@@ -80,31 +80,31 @@
 export type MembershipState = {
 	readonly config: MembershipConfig;
 	readonly table: MemberTable;
-	readonly updates: UpdateQueue;
+	readonly updateQueue: UpdateQueue;
 	readonly suspicions: Map<core.HostId, Suspicion>;
-	readonly relays: Map<number, Relay>;
+	readonly relayedPings: Map<number, RelayedPing>;
 	/**
 	Hosts that answer only by way of others, or not at all while this host seems cut off.
 	*/
-	readonly faults: Set<core.HostId>;
+	readonly pathFaults: Set<core.HostId>;
 	/**
 	Hosts still to be probed in this pass, in random order.
 	*/
-	readonly orders: {readonly local: core.HostId[]; readonly remote: core.HostId[]};
+	readonly probeOrders: {readonly local: core.HostId[]; readonly remote: core.HostId[]};
 	self: Member;
 	probe: Probe | undefined;
-	probes: number;
-	sequence: number;
+	probeCount: number;
+	lastSequence: number;
 	/**
 	Score of this host's own health, 0 good.
 	*/
-	health: number;
+	localHealthScore: number;
 	/**
 	The last probe failed without a single answer from any host.
 	*/
 	isIsolated: boolean;
 	isJoining: boolean;
-	exchanges: number;
+	exchangeCount: number;
 	/**
 	Undefined until the first tick, which draws it: hosts that start together don't probe together.
 	*/
@@ -112,7 +112,7 @@
 	nextGossipAt: number;
 	nextExchangeAt: number;
 	nextReconnectAt: number;
-	nextForgetAt: number;
+	nextExpiryScanAt: number;
 	lastTickAt: number | undefined;
 };
 
@@ -136,24 +136,24 @@
 	return {
 		config,
 		table,
-		updates: new Map(),
+		updateQueue: new Map(),
 		suspicions: new Map(),
-		relays: new Map(),
-		faults: new Set(),
-		orders: {local: [], remote: []},
+		relayedPings: new Map(),
+		pathFaults: new Set(),
+		probeOrders: {local: [], remote: []},
 		self,
 		probe: undefined,
-		probes: 0,
-		sequence: config.firstSequence ?? 0,
-		health: 0,
+		probeCount: 0,
+		lastSequence: config.firstSequence ?? 0,
+		localHealthScore: 0,
 		isIsolated: false,
 		isJoining: config.seeds.length > 0,
-		exchanges: 0,
+		exchangeCount: 0,
 		nextProbeAt: undefined,
 		nextGossipAt: 0,
 		nextExchangeAt: 0,
 		nextReconnectAt: 0,
-		nextForgetAt: 0,
+		nextExpiryScanAt: 0,
 		lastTickAt: undefined,
 	};
 }
--- a/packages/wagtailroute-membership/src/suspicion.ts
+++ b/packages/wagtailroute-membership/src/suspicion.ts
@@ -11,15 +11,15 @@
 */
 import type * as core from 'wagtailroute-core';
 import {
-	CONFIRMATIONS,
-	HEARSAY_CHECK_MILLISECONDS,
-	HEARSAY_MILLISECONDS,
+	SUSPICION_CONFIRMATIONS,
+	SUSPICION_CHECK_INTERVAL_MILLISECONDS,
+	RECEIVED_SUSPICION_TIMEOUT_MILLISECONDS,
 	MAX_SUSPICION_MILLISECONDS,
 	MIN_SUSPICION_MILLISECONDS,
 } from './constants.ts';
 import type {Effect} from './messages.ts';
-import {changeMember} from './news.ts';
-import {pickMembers, sendWith} from './sending.ts';
+import {updateMember} from './updates.ts';
+import {pickMembers, sendMessage} from './sending.ts';
 import type {MembershipState, Suspicion} from './state.ts';
 
 /**
@@ -28,9 +28,9 @@
 export function runSuspicions(state: MembershipState, circumstances: core.Circumstances): readonly Effect[] {
 	const effects: Effect[] = [];
 	for (const [id, suspicion] of state.suspicions) {
-		if (getEnd(suspicion) <= circumstances.now) {
+		if (getDeadline(suspicion) <= circumstances.now) {
 			const member = state.table.members.get(id)!;
-			effects.push(changeMember(state, {...member, state: 'dead'}, circumstances));
+			effects.push(updateMember(state, {...member, state: 'dead'}, circumstances));
 		} else if (suspicion.nextCheckAt <= circumstances.now) {
 			effects.push(...checkSuspicion(state, id, suspicion, circumstances));
 		}
@@ -39,15 +39,15 @@
 	return effects;
 }
 
-function getEnd({startedAt, ownSince, confirmers}: Suspicion): number {
-	if (ownSince === undefined) {
-		return startedAt + HEARSAY_MILLISECONDS;
+function getDeadline({startedAt, ownProbeFailedAt, suspectedBy}: Suspicion): number {
+	if (ownProbeFailedAt === undefined) {
+		return startedAt + RECEIVED_SUSPICION_TIMEOUT_MILLISECONDS;
 	}
 
-	const confirmations = Math.min(CONFIRMATIONS, confirmers.size - 1);
-	const share = Math.log(confirmations + 1) / Math.log(CONFIRMATIONS + 1);
-	const milliseconds = MAX_SUSPICION_MILLISECONDS - (share * (MAX_SUSPICION_MILLISECONDS - MIN_SUSPICION_MILLISECONDS));
-	return Math.max(startedAt + milliseconds, ownSince + MIN_SUSPICION_MILLISECONDS);
+	const confirmations = Math.min(SUSPICION_CONFIRMATIONS, suspectedBy.size - 1);
+	const fraction = Math.log(confirmations + 1) / Math.log(SUSPICION_CONFIRMATIONS + 1);
+	const timeoutMilliseconds = MAX_SUSPICION_MILLISECONDS - (fraction * (MAX_SUSPICION_MILLISECONDS - MIN_SUSPICION_MILLISECONDS));
+	return Math.max(startedAt + timeoutMilliseconds, ownProbeFailedAt + MIN_SUSPICION_MILLISECONDS);
 }
 
 function checkSuspicion(
@@ -56,7 +56,7 @@
 	suspicion: Suspicion,
 	{now, random}: core.Circumstances,
 ): readonly Effect[] {
-	suspicion.nextCheckAt = now + HEARSAY_CHECK_MILLISECONDS;
+	suspicion.nextCheckAt = now + SUSPICION_CHECK_INTERVAL_MILLISECONDS;
 	return pickMembers(state, 1, random, member => member.id === id)
-		.map(member => sendWith(state, member.peerAddress, {kind: 'fetch', ids: [id]}));
+		.map(member => sendMessage(state, member.peerAddress, {kind: 'fetch', ids: [id]}));
 }
--- a/packages/wagtailroute-membership/src/table.ts
+++ b/packages/wagtailroute-membership/src/table.ts
@@ -12,17 +12,17 @@
 import * as buffer from 'node:buffer';
 import type * as core from 'wagtailroute-core';
 import {
-	BUCKETS,
-	FORGET_MILLISECONDS,
+	DIGEST_BUCKETS,
+	ENDED_MEMBER_RETENTION_MILLISECONDS,
 	MAX_TOMBSTONES,
-	TOMBSTONE_MILLISECONDS,
+	TOMBSTONE_RETENTION_MILLISECONDS,
 } from './constants.ts';
 import {isPresent, type Member} from './members.ts';
 
 /**
 A forgotten host: records up to this incarnation are refused.
 */
-export type Tombstone = {readonly incarnation: number; readonly at: number};
+export type Tombstone = {readonly incarnation: number; readonly createdAt: number};
 
 /**
 All hosts known.
@@ -32,21 +32,21 @@
 	/**
 	When a dead or left host ended, in monotonic milliseconds.
 	*/
-	readonly ended: Map<core.HostId, number>;
+	readonly endedAt: Map<core.HostId, number>;
 	readonly tombstones: Map<core.HostId, Tombstone>;
-	readonly hashes: Uint32Array;
+	readonly bucketHashes: Uint32Array;
 	/**
 	Names of the hosts taken for running; undefined after a change.
 	*/
-	present: readonly core.HostId[] | undefined;
+	presentIds: readonly core.HostId[] | undefined;
 	/**
 	All records; undefined after a change.
 	*/
-	list: readonly Member[] | undefined;
+	memberList: readonly Member[] | undefined;
 };
 
-const HASH_BYTES = 3;
-const BYTE = 0xFF;
+const DIGEST_HASH_BYTES = 3;
+const BYTE_MASK = 0xFF;
 
 /**
 Creates an empty table.
@@ -54,11 +54,11 @@
 export function createTable(): MemberTable {
 	return {
 		members: new Map(),
-		ended: new Map(),
+		endedAt: new Map(),
 		tombstones: new Map(),
-		hashes: new Uint32Array(BUCKETS),
-		present: undefined,
-		list: undefined,
+		bucketHashes: new Uint32Array(DIGEST_BUCKETS),
+		presentIds: undefined,
+		memberList: undefined,
 	};
 }
 
@@ -68,17 +68,17 @@
 export function storeMember(table: MemberTable, member: Member, now: number): void {
 	const known = table.members.get(member.id);
 	table.members.set(member.id, member);
-	table.list = undefined;
+	table.memberList = undefined;
 	toggleHash(table, known);
 	toggleHash(table, member);
 	if (!known || isPresent(known) !== isPresent(member)) {
-		table.present = undefined;
+		table.presentIds = undefined;
 	}
 
 	if (isPresent(member)) {
-		table.ended.delete(member.id);
+		table.endedAt.delete(member.id);
 	} else if (!known || isPresent(known)) {
-		table.ended.set(member.id, now);
+		table.endedAt.set(member.id, now);
 	}
 }
 
@@ -86,55 +86,55 @@
 All records, dead and left hosts included.
 */
 export function listMembers(table: MemberTable): readonly Member[] {
-	table.list ??= table.members.values().toArray();
-	return table.list;
+	table.memberList ??= table.members.values().toArray();
+	return table.memberList;
 }
 
 /**
 Names of the hosts taken for running, this one included.
 */
-export function listPresent(table: MemberTable): readonly core.HostId[] {
-	table.present ??= table.members.values().filter(member => isPresent(member)).map(member => member.id).toArray();
-	return table.present;
+export function listPresentIds(table: MemberTable): readonly core.HostId[] {
+	table.presentIds ??= table.members.values().filter(member => isPresent(member)).map(member => member.id).toArray();
+	return table.presentIds;
 }
 
 /**
 Forgets hosts that ended long ago and returns their names.
 */
-export function forgetMembers(table: MemberTable, now: number): readonly core.HostId[] {
-	const forgotten: core.HostId[] = [];
-	for (const [id, at] of table.ended) {
-		if (now - at < FORGET_MILLISECONDS) {
+export function expireMembers(table: MemberTable, now: number): readonly core.HostId[] {
+	const expiredIds: core.HostId[] = [];
+	for (const [id, at] of table.endedAt) {
+		if (now - at < ENDED_MEMBER_RETENTION_MILLISECONDS) {
 			continue;
 		}
 
 		// Without a tombstone, a host that was cut off and still lists it as alive would bring it back.
 		table.tombstones.delete(id);
-		table.tombstones.set(id, {incarnation: table.members.get(id)!.incarnation, at: now});
+		table.tombstones.set(id, {incarnation: table.members.get(id)!.incarnation, createdAt: now});
 		table.members.delete(id);
-		table.ended.delete(id);
-		table.list = undefined;
-		forgotten.push(id);
+		table.endedAt.delete(id);
+		table.memberList = undefined;
+		expiredIds.push(id);
 	}
 
-	boundTombstones(table, now);
-	return forgotten;
+	removeOldTombstones(table, now);
+	return expiredIds;
 }
 
 /**
 The group that a host belongs to.
 */
 export function getBucket(id: core.HostId): number {
-	return hashText(id) % BUCKETS;
+	return hashText(id) % DIGEST_BUCKETS;
 }
 
 /**
 The digest of all groups, in base64.
 */
-export function formatHashes(table: MemberTable): string {
-	const bytes = buffer.Buffer.alloc(BUCKETS * HASH_BYTES);
-	for (const [index, hash] of table.hashes.entries()) {
-		bytes.writeUIntLE(truncateHash(hash), index * HASH_BYTES, HASH_BYTES);
+export function encodeDigest(table: MemberTable): string {
+	const bytes = buffer.Buffer.alloc(DIGEST_BUCKETS * DIGEST_HASH_BYTES);
+	for (const [index, hash] of table.bucketHashes.entries()) {
+		bytes.writeUIntLE(truncateHash(hash), index * DIGEST_HASH_BYTES, DIGEST_HASH_BYTES);
 	}
 
 	return bytes.toString('base64');
@@ -143,26 +143,26 @@
 /**
 Groups in which another host's digest differs.
 */
-export function findDifferences(table: MemberTable, hashes: string): readonly number[] {
+export function findDifferentBuckets(table: MemberTable, hashes: string): readonly number[] {
 	const bytes = buffer.Buffer.from(hashes, 'base64');
 	// A digest of another length is none of this table's: reading past its end would throw, and end this host.
-	if (bytes.length !== BUCKETS * HASH_BYTES) {
-		return table.hashes.keys().toArray();
+	if (bytes.length !== DIGEST_BUCKETS * DIGEST_HASH_BYTES) {
+		return table.bucketHashes.keys().toArray();
 	}
 
-	const different: number[] = [];
-	for (const [index, hash] of table.hashes.entries()) {
-		if (bytes.readUIntLE(index * HASH_BYTES, HASH_BYTES) !== truncateHash(hash)) {
-			different.push(index);
+	const differentBuckets: number[] = [];
+	for (const [index, hash] of table.bucketHashes.entries()) {
+		if (bytes.readUIntLE(index * DIGEST_HASH_BYTES, DIGEST_HASH_BYTES) !== truncateHash(hash)) {
+			differentBuckets.push(index);
 		}
 	}
 
-	return different;
+	return differentBuckets;
 }
 
-function boundTombstones(table: MemberTable, now: number): void {
+function removeOldTombstones(table: MemberTable, now: number): void {
 	for (const [id, tombstone] of table.tombstones) {
-		if (table.tombstones.size <= MAX_TOMBSTONES && now - tombstone.at < TOMBSTONE_MILLISECONDS) {
+		if (table.tombstones.size <= MAX_TOMBSTONES && now - tombstone.createdAt < TOMBSTONE_RETENTION_MILLISECONDS) {
 			return;
 		}
 
@@ -176,11 +176,11 @@
 	}
 
 	const bucket = getBucket(member.id);
-	table.hashes[bucket]! ^= hashText(`${member.id} ${member.incarnation}`);
+	table.bucketHashes[bucket]! ^= hashText(`${member.id} ${member.incarnation}`);
 }
 
 function truncateHash(hash: number): number {
-	return (hash ^ (hash >>> 24)) & ((BYTE << 16) | (BYTE << 8) | BYTE);
+	return (hash ^ (hash >>> 24)) & ((BYTE_MASK << 16) | (BYTE_MASK << 8) | BYTE_MASK);
 }
 
 function hashText(text: string): number {
--- a/packages/wagtailroute-membership/src/targets.ts
+++ b/packages/wagtailroute-membership/src/targets.ts
@@ -5,33 +5,33 @@
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
-import {FAULT_PROBE_INTERVAL, REMOTE_PROBE_INTERVAL, SMALL_FLEET} from './constants.ts';
+import {PROBES_PER_PATH_FAULT_PROBE, PROBES_PER_REMOTE_PROBE, MAX_SMALL_FLEET_HOSTS} from './constants.ts';
 import {isPresent} from './members.ts';
 import type {MembershipState} from './state.ts';
-import {listPresent} from './table.ts';
+import {listPresentIds} from './table.ts';
 
 /**
 Picks the next host to probe, undefined when there is none.
 */
-export function pickTarget(state: MembershipState, random: utils.Random): core.HostId | undefined {
-	if (state.faults.size > 0 && state.probes % FAULT_PROBE_INTERVAL === 0) {
-		return [...state.faults][utils.pickIndex(random, state.faults.size)];
+export function pickProbeTarget(state: MembershipState, random: utils.Random): core.HostId | undefined {
+	if (state.pathFaults.size > 0 && state.probeCount % PROBES_PER_PATH_FAULT_PROBE === 0) {
+		return [...state.pathFaults][utils.pickIndex(random, state.pathFaults.size)];
 	}
 
-	const isRemoteTurn = state.probes % REMOTE_PROBE_INTERVAL === 0;
-	const {local, remote} = state.orders;
+	const isRemoteTurn = state.probeCount % PROBES_PER_REMOTE_PROBE === 0;
+	const {local, remote} = state.probeOrders;
 	return isRemoteTurn
-		? takeFromOrder(state, remote, random) ?? takeFromOrder(state, local, random)
-		: takeFromOrder(state, local, random) ?? takeFromOrder(state, remote, random);
+		? popTarget(state, remote, random) ?? popTarget(state, local, random)
+		: popTarget(state, local, random) ?? popTarget(state, remote, random);
 }
 
-function takeFromOrder(
+function popTarget(
 	state: MembershipState,
 	order: core.HostId[],
 	random: utils.Random,
 ): core.HostId | undefined {
 	if (order.length === 0) {
-		order.push(...createOrder(state, order === state.orders.local, random));
+		order.push(...createProbeOrder(state, order === state.probeOrders.local, random));
 	}
 
 	for (let id = order.pop(); id !== undefined; id = order.pop()) {
@@ -44,9 +44,9 @@
 	return undefined;
 }
 
-function createOrder(state: MembershipState, isLocal: boolean, random: utils.Random): readonly core.HostId[] {
-	const present = listPresent(state.table).filter(id => id !== state.self.id);
-	if (present.length <= SMALL_FLEET) {
+function createProbeOrder(state: MembershipState, isLocal: boolean, random: utils.Random): readonly core.HostId[] {
+	const present = listPresentIds(state.table).filter(id => id !== state.self.id);
+	if (present.length <= MAX_SMALL_FLEET_HOSTS) {
 		return isLocal ? utils.shuffle(random, present) : [];
 	}
 
--- a/packages/wagtailroute-membership/src/news.ts
+++ b/packages/wagtailroute-membership/src/updates.ts
@@ -3,11 +3,11 @@
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
-import {CHECK_MILLISECONDS, HEARSAY_CHECK_MILLISECONDS, SUSPICION_MESSENGERS} from './constants.ts';
+import {OWN_SUSPICION_CHECK_DELAY_MILLISECONDS, SUSPICION_CHECK_INTERVAL_MILLISECONDS, SUSPICION_NOTIFIERS} from './constants.ts';
 import {queueUpdate} from './dissemination.ts';
 import {isNewer, isPresent, type Member} from './members.ts';
 import type {Effect, Update} from './messages.ts';
-import {sendWith} from './sending.ts';
+import {sendMessage} from './sending.ts';
 import type {MembershipState, Suspicion} from './state.ts';
 import {storeMember} from './table.ts';
 import {
@@ -24,23 +24,23 @@
 	) => readonly Effect[];
 };
 
-const HANDLERS: UpdateHandlers = {
-	alive: (state, update, circumstances) => takeAlive(state, decodeRecord(update.record), circumstances),
-	suspect: takeSuspicion,
-	dead: (state, update, circumstances) => takeEnd(state, update, circumstances),
-	left: (state, update, circumstances) => takeEnd(state, update, circumstances),
+const UPDATE_HANDLERS: UpdateHandlers = {
+	alive: (state, update, circumstances) => applyAlive(state, decodeRecord(update.record), circumstances),
+	suspect: applySuspicion,
+	dead: (state, update, circumstances) => applyEnd(state, update, circumstances),
+	left: (state, update, circumstances) => applyEnd(state, update, circumstances),
 };
 
 /**
 Takes updates from another host.
 */
-export function takeNews(
+export function applyUpdates(
 	state: MembershipState,
 	updates: readonly Update[],
 	circumstances: core.Circumstances,
 ): readonly Effect[] {
 	return updates.flatMap(update => {
-		const handler = HANDLERS[update.kind];
+		const handler = UPDATE_HANDLERS[update.kind];
 		return isAboutSelf(state, update) ? refuteUpdate(state, update) : handler(state, update as never, circumstances);
 	});
 }
@@ -48,20 +48,20 @@
 /**
 Stores a record, queues it as news, and says so.
 */
-export function changeMember(state: MembershipState, member: Member, circumstances: core.Circumstances): Effect {
+export function updateMember(state: MembershipState, member: Member, circumstances: core.Circumstances): Effect {
 	const known = state.table.members.get(member.id);
 	storeMember(state.table, member, circumstances.now);
-	queueUpdate(state.updates, member.id, encodeUpdate(member, state.self.id));
+	queueUpdate(state.updateQueue, member.id, encodeUpdate(member, state.self.id));
 	if (member.state !== 'suspect') {
 		state.suspicions.delete(member.id);
 	}
 
 	if (!isPresent(member)) {
-		state.faults.delete(member.id);
+		state.pathFaults.delete(member.id);
 	}
 
 	if (member.id !== state.self.id && isPresent(member) && (!known || !isPresent(known))) {
-		insertIntoOrder(state, member, circumstances);
+		insertIntoProbeOrder(state, member, circumstances);
 	}
 
 	return {kind: 'changed', member};
@@ -70,25 +70,25 @@
 /**
 Suspects a host, or counts one more host that does.
 */
-export function takeSuspicion(
+export function applySuspicion(
 	state: MembershipState,
-	suspicion: {readonly id: core.HostId; readonly incarnation: number; readonly by: core.HostId},
+	suspected: {readonly id: core.HostId; readonly incarnation: number; readonly by: core.HostId},
 	{now, random}: core.Circumstances,
 ): readonly Effect[] {
-	const known = state.table.members.get(suspicion.id);
-	if (known?.incarnation !== suspicion.incarnation || !isPresent(known)) {
+	const known = state.table.members.get(suspected.id);
+	if (known?.incarnation !== suspected.incarnation || !isPresent(known)) {
 		return [];
 	}
 
-	const running = state.suspicions.get(suspicion.id);
+	const suspicion = state.suspicions.get(suspected.id);
 	const update: Update = {
 		kind: 'suspect',
-		id: suspicion.id,
-		incarnation: suspicion.incarnation,
-		by: suspicion.by,
+		id: suspected.id,
+		incarnation: suspected.incarnation,
+		by: suspected.by,
 	};
-	if (running) {
-		confirmSuspicion(state, running, update, now);
+	if (suspicion) {
+		confirmSuspicion(state, suspicion, update, now);
 		return [];
 	}
 
@@ -96,23 +96,23 @@
 	state.suspicions.set(known.id, {
 		incarnation: known.incarnation,
 		startedAt: now,
-		confirmers: new Set([suspicion.by]),
-		...getOwnTimes(suspicion.by === state.self.id, now),
+		suspectedBy: new Set([suspected.by]),
+		...getCheckTimes(suspected.by === state.self.id, now),
 	});
 	storeMember(state.table, member, now);
-	queueUpdate(state.updates, known.id, update);
-	const isMessenger = random() * state.table.members.size < SUSPICION_MESSENGERS;
-	const told = isMessenger ? [sendWith(state, member.peerAddress, {kind: 'gossip'}, [update])] : [];
-	return [{kind: 'changed', member}, ...told];
+	queueUpdate(state.updateQueue, known.id, update);
+	const isNotifier = random() * state.table.members.size < SUSPICION_NOTIFIERS;
+	const notifications = isNotifier ? [sendMessage(state, member.peerAddress, {kind: 'gossip'}, [update])] : [];
+	return [{kind: 'changed', member}, ...notifications];
 }
 
 /**
 Changes this host's own record under a new incarnation.
 */
-export function changeSelf(state: MembershipState, change: Partial<Member>): Effect {
+export function updateOwnRecord(state: MembershipState, change: Partial<Member>): Effect {
 	state.self = {...state.self, ...change, incarnation: state.self.incarnation + 1};
 	storeMember(state.table, state.self, 0);
-	queueUpdate(state.updates, state.self.id, encodeUpdate(state.self, state.self.id));
+	queueUpdate(state.updateQueue, state.self.id, encodeUpdate(state.self, state.self.id));
 	return {kind: 'changed', member: state.self};
 }
 
@@ -132,70 +132,70 @@
 	}
 
 	state.self = {...state.self, incarnation};
-	return [changeSelf(state, {})];
+	return [updateOwnRecord(state, {})];
 }
 
-function takeAlive(
+function applyAlive(
 	state: MembershipState,
-	heard: Member,
+	received: Member,
 	circumstances: core.Circumstances,
 ): readonly Effect[] {
-	const known = state.table.members.get(heard.id);
-	const tombstone = state.table.tombstones.get(heard.id);
-	if (known ? !isNewer(heard, known) : tombstone && tombstone.incarnation >= heard.incarnation) {
+	const known = state.table.members.get(received.id);
+	const tombstone = state.table.tombstones.get(received.id);
+	if (known ? !isNewer(received, known) : tombstone && tombstone.incarnation >= received.incarnation) {
 		return [];
 	}
 
-	const catalogueRevision = known?.boot === heard.boot
-		? Math.max(known.catalogueRevision, heard.catalogueRevision)
-		: heard.catalogueRevision;
-	return [changeMember(state, {...heard, catalogueRevision}, circumstances)];
+	const catalogueRevision = known?.boot === received.boot
+		? Math.max(known.catalogueRevision, received.catalogueRevision)
+		: received.catalogueRevision;
+	return [updateMember(state, {...received, catalogueRevision}, circumstances)];
 }
 
-function takeEnd(
+function applyEnd(
 	state: MembershipState,
 	update: {readonly kind: 'dead' | 'left'; readonly id: core.HostId; readonly incarnation: number},
 	circumstances: core.Circumstances,
 ): readonly Effect[] {
 	const known = state.table.members.get(update.id);
 	const ended = {state: update.kind, incarnation: update.incarnation};
-	return known && isNewer(ended, known) ? [changeMember(state, {...known, ...ended}, circumstances)] : [];
+	return known && isNewer(ended, known) ? [updateMember(state, {...known, ...ended}, circumstances)] : [];
 }
 
 function confirmSuspicion(
 	state: MembershipState,
-	running: Suspicion,
+	suspicion: Suspicion,
 	update: Extract<Update, {readonly kind: 'suspect'}>,
 	now: number,
 ): void {
-	if (update.by === state.self.id && running.ownSince === undefined) {
-		Object.assign(running, getOwnTimes(true, now));
+	if (update.by === state.self.id && suspicion.ownProbeFailedAt === undefined) {
+		Object.assign(suspicion, getCheckTimes(true, now));
 	}
 
-	const isNews = !running.confirmers.has(update.by);
-	running.confirmers.add(update.by);
-	if (isNews) {
-		queueUpdate(state.updates, update.id, update);
+	const isNewConfirmation = !suspicion.suspectedBy.has(update.by);
+	suspicion.suspectedBy.add(update.by);
+	if (isNewConfirmation) {
+		queueUpdate(state.updateQueue, update.id, update);
 	}
 }
 
-function getOwnTimes(isOwn: boolean, now: number): Pick<Suspicion, 'ownSince' | 'nextCheckAt'> {
+function getCheckTimes(isOwn: boolean, now: number): Pick<Suspicion, 'ownProbeFailedAt' | 'nextCheckAt'> {
 	return {
-		ownSince: isOwn ? now : undefined,
-		nextCheckAt: now + (isOwn ? CHECK_MILLISECONDS : HEARSAY_CHECK_MILLISECONDS),
+		ownProbeFailedAt: isOwn ? now : undefined,
+		nextCheckAt: now + (isOwn ? OWN_SUSPICION_CHECK_DELAY_MILLISECONDS : SUSPICION_CHECK_INTERVAL_MILLISECONDS),
 	};
 }
 
 // A host that comes is probed within this pass, like all others: one that dies right after it came is noticed as soon.
-function insertIntoOrder(state: MembershipState, member: Member, {random}: core.Circumstances): void {
-	const order = member.failureDomain === state.self.failureDomain ? state.orders.local : state.orders.remote;
+function insertIntoProbeOrder(state: MembershipState, member: Member, {random}: core.Circumstances): void {
+	const order = member.failureDomain === state.self.failureDomain ? state.probeOrders.local : state.probeOrders.remote;
 	order.splice(utils.pickIndex(random, order.length + 1), 0, member.id);
 }
 
 /**
 The news of this host itself.
 */
-export function describeSelf(state: MembershipState): Update {
+export function createOwnUpdate(state: MembershipState): Update {
 	return state.self.state === 'left'
 		? {kind: 'left', id: state.self.id, incarnation: state.self.incarnation}
 		: {kind: 'alive', record: encodeRecord(state.self)};
--- a/packages/wagtailroute-membership/src/wire.ts
+++ b/packages/wagtailroute-membership/src/wire.ts
@@ -85,10 +85,10 @@
 Reads `ip:port`, with brackets around an IPv6 number.
 */
 export function parseAddress(text: string): core.Address {
-	const colon = text.lastIndexOf(':');
+	const colonIndex = text.lastIndexOf(':');
 	return {
-		ip: text.slice(0, colon).replaceAll(/[\[\]]/gv, ''),
-		port: Number(text.slice(colon + 1)),
+		ip: text.slice(0, colonIndex).replaceAll(/[\[\]]/gv, ''),
+		port: Number(text.slice(colonIndex + 1)),
 	};
 }
 
