--- a/packages/wagtailroute-membership/src/__tests__/unit/membership.test.ts
+++ b/packages/wagtailroute-membership/src/__tests__/unit/membership.test.ts
@@ -332,8 +332,8 @@
 	const random = utils.createRandom(SEED);
 	for (let millisecond = 1; millisecond <= 2000; millisecond++) {
 		advanceTime(fleet, 1);
-		const messages = fleet.inFlight.get(fleet.now + 1) ?? [];
-		sentMessages.push(...messages.map(inFlight => structuredClone(inFlight.message)));
+		const sent = fleet.inFlight.get(fleet.now + 1) ?? [];
+		sentMessages.push(...sent.map(delivery => structuredClone(delivery.message)));
 		if (millisecond % 100 === 0) {
 			handleEvent(fleet, 'host-1', {kind: 'update-self', draining: millisecond % 200 === 0});
 		}
--- a/packages/wagtailroute-membership/src/bench/fleet.ts
+++ b/packages/wagtailroute-membership/src/bench/fleet.ts
@@ -192,7 +192,7 @@
 	}
 
 	const arrivesAt = fleet.now + MESSAGE_DELAY_MILLISECONDS;
-	const messages = fleet.inFlight.get(arrivesAt) ?? [];
-	messages.push({from, to, message: effect.message});
-	fleet.inFlight.set(arrivesAt, messages);
+	const deliveries = fleet.inFlight.get(arrivesAt) ?? [];
+	deliveries.push({from, to, message: effect.message});
+	fleet.inFlight.set(arrivesAt, deliveries);
 }
