--- a/packages/wagtailroute-membership/src/__tests__/unit/membership.test.ts
+++ b/packages/wagtailroute-membership/src/__tests__/unit/membership.test.ts
@@ -1,14 +1,14 @@
 /**
-Tests of membership: machines in one process over a fake network, with simulated time.
+Tests of membership: state machines in one process over a simulated network, with simulated time.
 */
 import test from 'ava';
 import * as utils from 'wagtailroute-utils';
 import {
+	advanceTime,
 	createFleet,
 	describeHost,
 	type Fleet,
 	handleEvent,
-	advanceTime,
 	startHost,
 } from '../../bench/fleet.ts';
 import * as membership from '../../index.ts';
@@ -28,7 +28,7 @@
 }
 
 /**
-States in which each host sees the subject, sorted and without repetition.
+Returns the distinct states in which the other hosts list the subject, sorted.
 */
 function getViewedStates(fleet: Fleet, subject: string): string {
 	const views = fleet.hosts.entries()
@@ -54,7 +54,7 @@
 	readonly hosts?: number;
 	readonly run: (fleet: Fleet) => void;
 	/**
-	What all others think of host-1 in the end.
+	Distinct states in which the other hosts list host-1 at the end.
 	*/
 	readonly views: string;
 	readonly neverSuspected?: true;
@@ -68,7 +68,7 @@
 		neverSuspected: true,
 	},
 	{
-		name: 'a host that stops is dead for all within 12 seconds',
+		name: 'all others declare a stopped host dead within 12 seconds',
 		run(fleet) {
 			fleet.hosts.delete('host-1');
 			advanceTime(fleet, 12_000);
@@ -76,7 +76,7 @@
 		views: 'dead',
 	},
 	{
-		name: 'one of two hosts that stops is dead for the other',
+		name: 'in a fleet of two, the other host declares a stopped host dead',
 		hosts: 2,
 		run(fleet) {
 			fleet.hosts.delete('host-1');
@@ -85,7 +85,7 @@
 		views: 'dead',
 	},
 	{
-		name: 'a host that leaves is gone at once, without suspicion',
+		name: 'a host that leaves is listed as left at once, without suspicion',
 		run(fleet) {
 			handleEvent(fleet, 'host-1', {kind: 'leave'});
 			advanceTime(fleet, 1500);
@@ -94,10 +94,9 @@
 		neverSuspected: true,
 	},
 	{
-		// Symptom: a host is taken out of the directory, though it serves and others reach it.
-		// Sequence: one link loses everything one way, so that direct probes over it fail.
-		// Cause: a probe without an answer was taken for a failure of the host, not of the path.
-		name: 'a host cut off one way from one other stays alive for all',
+		// A host must not leave the directory while it serves and others reach it: one path loses all messages in one
+		// direction, and a failed direct probe over it would count as a failure of the host instead of the path.
+		name: 'a host that one other can\'t reach stays alive for all',
 		run(fleet) {
 			fleet.isBlocked = (from, to) => from === 'host-0' && to === 'host-1';
 			advanceTime(fleet, 60_000);
@@ -106,10 +105,9 @@
 		neverSuspected: true,
 	},
 	{
-		// Symptom: callers are sent to a host that can hear no one.
-		// Sequence: all messages to the host are lost, its own probes still reach the others.
-		// Cause: hearing from a host was taken for reaching it.
-		name: 'a host that is heard but hears nothing is dead for all',
+		// Callers must not be sent to a host that receives nothing: all messages to it are lost while its own probes reach
+		// the others, and would count as a sign that it is reachable.
+		name: 'a host that sends but receives nothing is declared dead by all',
 		run(fleet) {
 			fleet.isBlocked = (_from, to) => to === 'host-1';
 			advanceTime(fleet, 14_000);
@@ -117,7 +115,7 @@
 		views: 'dead',
 	},
 	{
-		name: 'a host that hears all but isn\'t heard is dead for all',
+		name: 'a host that receives but whose messages are all lost is declared dead by all',
 		run(fleet) {
 			fleet.isBlocked = from => from === 'host-1';
 			advanceTime(fleet, 14_000);
@@ -125,10 +123,9 @@
 		views: 'dead',
 	},
 	{
-		// Symptom: a host stays dead for the fleet after its network is back.
-		// Sequence: cut off until it was declared dead, then reconnected; nobody probes the dead.
-		// Cause: a wrong word about a host never reached the host itself.
-		name: 'a host that was cut off and declared dead comes back by itself',
+		// A host must not stay dead after its network is back: dead hosts aren't probed, so nothing would send it the wrong
+		// record to refute.
+		name: 'a host that was partitioned off and declared dead becomes alive again by itself',
 		run(fleet) {
 			fleet.isBlocked = (from, to) => from === 'host-1' || to === 'host-1';
 			advanceTime(fleet, 20_000);
@@ -138,10 +135,9 @@
 		views: 'alive',
 	},
 	{
-		// Symptom: a restarted host stays dead, because its first incarnation is lower than that of its death.
-		// Sequence: killed, declared dead, restarted without memory.
-		// Cause: incarnations start at 0 with each process.
-		name: 'a host that restarts without memory comes back with its new boot',
+		// A host that was killed and declared dead must not stay dead after its restart: incarnations start at 0 with each
+		// process, below the incarnation at which it was declared dead.
+		name: 'a host that restarts after it was declared dead becomes alive with its new boot id',
 		run(fleet) {
 			fleet.hosts.delete('host-1');
 			advanceTime(fleet, 14_000);
@@ -151,7 +147,7 @@
 		views: 'alive',
 	},
 	{
-		name: 'a host that restarts before anyone noticed is known with its new boot',
+		name: 'a host that restarts before any other detects it is known with its new boot id',
 		run(fleet) {
 			startHost(fleet, describeHost(fleet.settings, 1, 'second'));
 			advanceTime(fleet, 3000);
@@ -187,9 +183,9 @@
 	t.true(membership.isReachable(getState(fleet, 'host-0'), 'host-1'));
 });
 
-test('a host that is cut off accuses nobody', t => {
-	// Symptom: a host with a broken network card floods the fleet with suspicions once it is back.
-	// Sequence: all its probes fail for a minute. Cause: it took its own fault for that of all others.
+test('an isolated host suspects nobody', t => {
+	// A host with a broken network card must not flood the fleet with suspicions once it is back: all its probes fail for
+	// a minute, and it would take its own fault for a failure of all others.
 	const fleet = createSmallFleet(20);
 	fleet.isBlocked = (from, to) => from === 'host-0' || to === 'host-0';
 	advanceTime(fleet, 60_000);
@@ -202,10 +198,9 @@
 	t.is(getViewedStates(fleet, 'host-0'), 'alive');
 });
 
-test('a host that was paused declares nobody dead when it wakes up', t => {
-	// Symptom: running hosts are declared dead by a host that was stopped for half a minute.
-	// Sequence: it suspects a host, is paused, and wakes up; the suspected host objected meanwhile.
-	// Cause: the suspicion's time ran out during the pause, and the tick came before the messages were read.
+test('a host that was paused declares nobody dead when it resumes', t => {
+	// A host must not declare running hosts dead after a pause of half a minute: a suspicion times out during the pause,
+	// and the first tick comes before the refutation is read from the socket.
 	const fleet = createSmallFleet(20);
 	const stopped = getState(fleet, 'host-1');
 	fleet.hosts.delete('host-1');
@@ -227,10 +222,9 @@
 	t.is(getViewedStates(fleet, 'host-0'), 'alive');
 });
 
-test('a host that only heard of a suspicion leaves the word to those that failed to reach the other', t => {
-	// Symptom: under loss, every wrong suspicion in a large fleet ends in a false death.
-	// Sequence: a host is suspected and objects at once; one host in a thousand hears the first and not the second.
-	// Cause: each host that heard of the suspicion declared the death by itself when the time was over.
+test('a host that only received a suspicion leaves the declaration of death to hosts whose own probes failed', t => {
+	// Under loss, a wrong suspicion in a large fleet must not end in a false death: one host in a thousand receives the
+	// suspicion and misses the refutation, and would declare the death by itself at the timeout.
 	const fleet = createSmallFleet(20);
 	const from = {
 		id: 'host-5',
@@ -252,10 +246,10 @@
 	t.is(membership.getMembersById(getState(fleet, 'host-2')).get('host-1')?.state, 'alive');
 });
 
-test('two halves that declared each other dead join again', t => {
+test('two halves of a partition that declared each other dead merge again', t => {
 	const fleet = createSmallFleet(12);
-	const isLeft = (id: string): boolean => Number(id.slice(5)) < 6;
-	fleet.isBlocked = (from, to) => isLeft(from) !== isLeft(to);
+	const isInFirstHalf = (id: string): boolean => Number(id.slice(5)) < 6;
+	fleet.isBlocked = (from, to) => isInFirstHalf(from) !== isInFirstHalf(to);
 	advanceTime(fleet, 40_000);
 	t.is(membership.getAliveMembers(getState(fleet, 'host-0')).length, 6);
 	fleet.isBlocked = () => false;
@@ -287,10 +281,9 @@
 	});
 }
 
-test('a forgotten host isn\'t brought back by an old record', t => {
-	// Symptom: a host removed hours ago is listed again, suspected, dead, and so on forever.
-	// Sequence: its record is forgotten; a host that was cut off meanwhile still lists it as alive.
-	// Cause: nothing was left to say that the record is old.
+test('an expired host isn\'t restored by an old record', t => {
+	// A host removed hours ago must not be listed, suspected and declared dead again and again: a host that was partitioned
+	// off still lists it as alive after its record expired elsewhere, where nothing shows that the record is old.
 	const fleet = createSmallFleet(4);
 	const state = getState(fleet, 'host-0');
 	const expiredMember = membership.getMembersById(state).get('host-3')!;
@@ -314,7 +307,7 @@
 	t.is(getViewedStates(fleet, 'host-3'), 'alive');
 });
 
-test('a draining host tells all, and its revision never falls', t => {
+test('all hosts receive that a host drains, and its revision never decreases', t => {
 	const fleet = createSmallFleet(20);
 	handleEvent(fleet, 'host-1', {kind: 'update-self', draining: true, catalogueRevision: 7});
 	handleEvent(fleet, 'host-1', {kind: 'update-self', catalogueRevision: 3});
@@ -326,7 +319,7 @@
 	}
 });
 
-test('repeated and reordered messages change nothing in the end', t => {
+test('repeated and reordered messages don\'t change the final state', t => {
 	const fleet = createSmallFleet(12);
 	const sentMessages: membership.Message[] = [];
 	const random = utils.createRandom(SEED);
@@ -369,7 +362,7 @@
 const ADDRESSES = ['10.0.0.1:80', '[::1]:80'];
 
 for (const address of ADDRESSES) {
-	test(`the address ${address} keeps its form over the wire`, t => {
+	test(`a record with the address ${address} is the same after encoding and decoding`, t => {
 		const parsed = parseAddress(address);
 		const member = {
 			...describeHost({
--- a/packages/wagtailroute-membership/src/bench/fleet.ts
+++ b/packages/wagtailroute-membership/src/bench/fleet.ts
@@ -1,6 +1,6 @@
 /**
-A fake network of a few lines for the figures and tests of membership: machines in one process, simulated time, and
-messages that are delayed, lost or cut off.
+Simulated fleet for the benchmarks and tests of membership: state machines in one process, simulated time, and a network
+that delays, loses and blocks messages.
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
@@ -12,43 +12,43 @@
 export const TICK_MILLISECONDS = 50;
 
 /**
-Bytes around a message's JSON: IP and UDP heads, authentication tag, and the JSON-RPC envelope.
+Bytes around a message's JSON: IP and UDP headers, authentication tag, and the JSON-RPC envelope.
 */
 export const ENVELOPE_BYTES = 28 + 16 + 60;
 
 const MESSAGE_DELAY_MILLISECONDS = 2;
 
 /**
-Settings of a fleet.
+Settings of a simulated fleet.
 */
 export type FleetSettings = {
 	readonly hosts: number;
 	readonly domains: number;
 	readonly seed: number;
 	/**
-	Share of the messages that are lost.
+	Fraction of the messages that are lost, 0 to 1.
 	*/
 	readonly loss: number;
 	/**
-	Start with all hosts known to all; otherwise they join by the first one.
+	Whether all hosts know each other at the start; otherwise they join through the first two.
 	*/
 	readonly isJoined: boolean;
 };
 
 /**
-A change that a host noticed.
+A changed record at a host, in simulated milliseconds.
 */
 export type Observation = {readonly at: number; readonly observer: string; readonly member: membership.Member};
 
 /**
-A fleet and what went over its network.
+A simulated fleet and the traffic on its network.
 */
 export type Fleet = {
 	readonly settings: FleetSettings;
 	readonly hosts: Map<string, membership.MembershipState>;
 	readonly random: utils.Random;
 	/**
-	Says whether a message from one host to another is cut off.
+	Returns whether the network blocks messages from one host to another.
 	*/
 	isBlocked: (from: string, to: string) => boolean;
 	loss: number;
@@ -58,16 +58,19 @@
 	bytes: number;
 	largestMessageBytes: number;
 	/**
-	Measuring each message's JSON costs time; set when bytes are wanted.
+	Whether the bytes of each message are counted, which takes time to write its JSON.
 	*/
 	isCountingBytes: boolean;
+	/**
+	Messages on their way, by the simulated millisecond of their arrival.
+	*/
 	readonly inFlight: Map<number, InFlightMessage[]>;
 };
 
 type InFlightMessage = {readonly from: string; readonly to: string; readonly message: membership.Message};
 
 /**
-Creates a fleet; each host ticks at its own phase.
+Creates a fleet. Each host ticks at a phase given by its number.
 */
 export function createFleet(settings: FleetSettings): Fleet {
 	const fleet: Fleet = {
@@ -94,7 +97,7 @@
 }
 
 /**
-Describes the host of a number. Its port is its number, so that addresses lead back to hosts.
+Creates the description of a host from its number. Its port is its number plus 1, so that an address identifies its host.
 */
 export function describeHost(settings: FleetSettings, index: number, boot: string): membership.HostDescription {
 	const address = {ip: '10.0.0.1', port: index + 1};
@@ -111,7 +114,7 @@
 }
 
 /**
-Starts or restarts a host.
+Starts a host, or restarts it without its earlier state.
 */
 export function startHost(
 	fleet: Fleet,
@@ -127,7 +130,7 @@
 }
 
 /**
-Gives a host an event and sends what it sends.
+Passes an event to a host, sends its messages and records its changes.
 */
 export function handleEvent(fleet: Fleet, id: string, event: membership.Event): void {
 	const state = fleet.hosts.get(id);
@@ -146,7 +149,7 @@
 }
 
 /**
-Lets time pass, a millisecond at a time; a host ticks every 50 ms.
+Advances the simulated time by steps of one millisecond; each host ticks every `TICK_MILLISECONDS`.
 */
 export function advanceTime(fleet: Fleet, milliseconds: number): void {
 	const end = fleet.now + milliseconds;
@@ -166,7 +169,7 @@
 }
 
 /**
-A record as all know it from the start.
+Creates the record of a host that all hosts know from the start.
 */
 function createAliveMember(description: membership.HostDescription): membership.Member {
 	return {
--- a/packages/wagtailroute-membership/src/bench/membership.bench.ts
+++ b/packages/wagtailroute-membership/src/bench/membership.bench.ts
@@ -1,50 +1,50 @@
 /**
-Figures of membership: detection, false suspicions and deaths under loss, bytes and CPU a host, one-way partitions, and
-the spread of an update. Many machines in one process, simulated time, fixed seeds.
+Benchmark of membership: detection times, false suspicions and deaths under loss, bytes and CPU per host, and the
+dissemination time of an update. Many state machines in one process, simulated time, fixed seeds.
 
-Run it with `npm run bench -- membership`. All but the CPU is deterministic.
+Run it with `npm run bench -- membership`. All figures but the CPU time are deterministic.
 */
 import * as process from 'node:process';
 import type * as membership from '../index.ts';
 import {
+	advanceTime,
 	createFleet,
 	type Fleet,
 	handleEvent,
-	advanceTime,
 } from './fleet.ts';
 
 /**
-Figures of one fleet. Times in milliseconds of simulated time.
+Results of one fleet. Detection and update times are in milliseconds of simulated time.
 */
 export type MembershipRow = {
 	readonly hosts: number;
 	readonly loss: number;
 	/**
-	Simulated seconds of quiet over which bytes, CPU and false suspicions were counted.
+	Simulated seconds without a failure or change, over which bytes, CPU time and false suspicions are counted.
 	*/
 	readonly quietSeconds: number;
 	readonly bytesPerSecond: number;
 	readonly cpuMicrosecondsPerSecond: number;
 	readonly largestMessage: number;
 	/**
-	Suspicions and declarations of death of running hosts, each counted once a host and incarnation.
+	Suspicions and declarations of death of running hosts, each counted once per host and incarnation.
 	*/
 	readonly falseSuspicions: number;
 	readonly falseDeaths: number;
 	/**
-	From the death of a host until the first other one suspects it, over several hosts.
+	From the stop of a host until the first other host suspects it, over several stopped hosts.
 	*/
 	readonly suspectedP50: number;
 	readonly suspectedP99: number;
 	/**
-	Until the median, and 99 in 100, of all hosts know that it is suspected, and that it is dead.
+	From the stop of a host until the median, and 99 in 100, of the other hosts have it as suspected, and as dead.
 	*/
 	readonly knownP50: number;
 	readonly knownP99: number;
 	readonly deadP50: number;
 	readonly deadP99: number;
 	/**
-	From a change of a host's own record until the median and 99 in 100 of all hosts have it.
+	From a change of a host's own record until the median, and 99 in 100, of the other hosts have it.
 	*/
 	readonly updateP50: number;
 	readonly updateP99: number;
@@ -137,7 +137,7 @@
 const MAX_UPDATE_MILLISECONDS = 3000;
 
 /**
-Runs all cases.
+Runs all cases and returns a row for each.
 */
 export function measureMembership(): readonly MembershipRow[] {
 	return CASES.map(benchCase => measureCase(benchCase));
@@ -207,7 +207,7 @@
 	const suspected: number[] = [];
 	const known: number[] = [];
 	const dead: number[] = [];
-	// Few at a time, so that the rest of the fleet stays as it is.
+	// Hosts stop in small groups, so that the rest of the fleet stays nearly whole.
 	const groupSize = Math.max(2, Math.round(fleet.settings.hosts / 300));
 	for (let first = 0; first < victims.length; first += groupSize) {
 		const group = victims.slice(first, first + groupSize);
@@ -263,7 +263,7 @@
 	return first.values().toArray();
 }
 
-// A host that didn't hear of it within the time counts as infinitely late.
+// A host that didn't observe the change within the time counts as infinitely late.
 function padWithInfinity(times: readonly number[], count: number): readonly number[] {
 	return [...times, ...Array.from({length: Math.max(0, count - times.length)}, () => Infinity)];
 }
@@ -274,7 +274,7 @@
 }
 
 /**
-What `scripts/bench.ts` runs: the rows, and the bounds that don't hold.
+Entry point for `scripts/bench.ts`: returns the rows and the bounds that don't hold.
 */
 export async function run(): Promise<{
 	readonly title: string;
@@ -285,7 +285,7 @@
 	return {title: 'Membership: detection, false suspicions, bytes and CPU a host', rows, broken: findBrokenBounds(rows)};
 }
 
-// All deterministic but the CPU, which has no bound here.
+// Only deterministic figures have bounds: the CPU time has none.
 const MAX_BYTES_PER_SECOND = 1500;
 const MAX_BYTES_GROWTH = 1.25;
 const MAX_USUAL_LOSS = 0.05;
@@ -295,7 +295,7 @@
 	const usual = rows.filter(row => row.loss <= MAX_USUAL_LOSS);
 	const lowestBytesPerSecond = Math.min(...usual.map(row => row.bytesPerSecond));
 	return [
-		...rows.filter(row => row.falseDeaths > 0).map(row => `${row.hosts} hosts, loss ${row.loss}: a running host died.`),
+		...rows.filter(row => row.falseDeaths > 0).map(row => `${row.hosts} hosts, loss ${row.loss}: a running host is declared dead.`),
 		...rows.filter(row => row.largestMessage > MAX_MESSAGE_BYTES).map(row => `${row.hosts} hosts: a message is too large.`),
 		...usual
 			.filter(row => row.bytesPerSecond > Math.min(MAX_BYTES_PER_SECOND, lowestBytesPerSecond * MAX_BYTES_GROWTH))
--- a/packages/wagtailroute-membership/src/bench/partitions.bench.ts
+++ b/packages/wagtailroute-membership/src/bench/partitions.bench.ts
@@ -1,21 +1,21 @@
 /**
-Figures of membership in one-way partitions and when a host joins. Many machines in one process, simulated time, fixed
-seeds; all of it is deterministic.
+Benchmark of membership in one-way partitions and when a host joins. Many state machines in one process, simulated time,
+fixed seeds; all figures are deterministic.
 
 Run it with `npm run bench -- partitions`.
 */
 import * as membership from '../index.ts';
 import {
+	advanceTime,
 	createFleet,
 	describeHost,
 	type Fleet,
-	advanceTime,
 	startHost,
 } from './fleet.ts';
 
 /**
-What others came to know of one host with a one-way fault. Times in milliseconds of simulated time; infinite when it
-didn't happen within the time of the run.
+What the other hosts observe of one host with a one-way fault. Times are in milliseconds of simulated time; infinite for
+an event that didn't occur during the run.
 */
 export type PartitionRow = {
 	readonly hosts: number;
@@ -24,28 +24,28 @@
 	readonly deadP50: number;
 	readonly deadP99: number;
 	/**
-	Other hosts that anyone suspected or declared dead.
+	Other hosts that any host but the faulty one suspected or declared dead.
 	*/
 	readonly othersSuspected: number;
 	readonly othersDead: number;
 	/**
-	Hosts with a path fault to the host at the end.
+	Hosts that record a path fault to the faulty host at the end of the run.
 	*/
 	readonly pathFaults: number;
 };
 
 /**
-One host that joins a running fleet.
+Times and traffic when one host joins a running fleet.
 */
 export type JoinRow = {
 	readonly hosts: number;
 	/**
-	Until the new host knows all others, and until all others know it.
+	From the start of the new host until it knows all others, and until all others know it.
 	*/
 	readonly knowsAllMilliseconds: number;
 	readonly knownMilliseconds: number;
 	/**
-	Bytes that the whole fleet sent meanwhile beyond its quiet rate.
+	Bytes that the whole fleet sends during the join beyond its usual rate.
 	*/
 	readonly extraBytes: number;
 };
@@ -68,7 +68,7 @@
 ];
 
 /**
-Runs all one-way faults.
+Runs all one-way faults at each size of the fleet.
 */
 export function measurePartitions(): readonly PartitionRow[] {
 	return SIZES.flatMap(size => FAULTS.map(({fault, isBlocked}) => {
@@ -89,7 +89,7 @@
 }
 
 /**
-Runs a join at each size.
+Runs a join at each size of the fleet.
 */
 export function measureJoins(): readonly JoinRow[] {
 	return JOIN_SIZES.map(size => {
@@ -100,9 +100,9 @@
 			isJoined: true,
 		});
 		advanceTime(fleet, SETTLE_MILLISECONDS);
-		const quiet = fleet.bytes;
+		const startBytes = fleet.bytes;
 		advanceTime(fleet, SETTLE_MILLISECONDS);
-		const quietRate = (fleet.bytes - quiet) / SETTLE_MILLISECONDS;
+		const quietRate = (fleet.bytes - startBytes) / SETTLE_MILLISECONDS;
 		const {bytes, now} = fleet;
 		const joiner = describeHost(fleet.settings, size.hosts, 'first');
 		startHost(fleet, joiner);
@@ -135,7 +135,7 @@
 
 function summarizeVictim(fleet: Fleet, start: number): Omit<PartitionRow, 'hosts' | 'fault'> {
 	const victimObservations = fleet.observations.filter(({member}) => member.id === VICTIM);
-	// What the host itself thinks of others is its own affair: nobody hears it, or nobody should believe it.
+	// The faulty host's own observations don't count: its suspicions reach nobody, or must not be confirmed.
 	const otherObservations = fleet.observations.filter(({observer, member}) => member.id !== VICTIM && observer !== VICTIM);
 	const suspected = victimObservations.filter(({member}) => member.state === 'suspect').map(({at}) => at - start);
 	const dead = victimObservations.filter(({member}) => member.state === 'dead').map(({at}) => at - start);
@@ -168,7 +168,7 @@
 }
 
 /**
-What `scripts/bench.ts` runs: the rows, and the bounds that don't hold.
+Entry point for `scripts/bench.ts`: returns the rows and the bounds that don't hold.
 */
 export async function run(): Promise<{
 	readonly title: string;
@@ -179,20 +179,19 @@
 	return {title: 'Membership: one-way partitions and joins', rows, broken: findBrokenBounds(rows)};
 }
 
-// All deterministic.
 const MAX_DEAD_MILLISECONDS = 12_000;
 
 function findBrokenBounds(rows: ReadonlyArray<PartitionRow | JoinRow>): readonly string[] {
 	return rows.flatMap(row => 'fault' in row ? findBrokenPartition(row) : findBrokenJoin(row));
 }
 
-// A host that can't answer anyone is dead for all; one that some can't reach stays alive.
+// A host whose answers reach nobody must be declared dead by all; one that only some hosts can't reach must stay alive.
 function findBrokenPartition(row: PartitionRow): readonly string[] {
 	const mustDie = row.fault.startsWith('hears');
 	const isBoundKept = mustDie ? row.deadP99 <= MAX_DEAD_MILLISECONDS : row.firstSuspected === Infinity;
-	return isBoundKept && row.othersDead === 0 ? [] : [`${row.hosts} hosts, ${row.fault}: taken for what it is not.`];
+	return isBoundKept && row.othersDead === 0 ? [] : [`${row.hosts} hosts, ${row.fault}: a host is wrongly suspected, wrongly declared dead, or declared dead too late.`];
 }
 
 function findBrokenJoin(row: JoinRow): readonly string[] {
-	return row.knowsAllMilliseconds === Infinity ? [`${row.hosts} hosts: a join doesn't end.`] : [];
+	return row.knowsAllMilliseconds === Infinity ? [`${row.hosts} hosts: a join doesn't complete.`] : [];
 }
--- a/packages/wagtailroute-membership/src/bench/restarts.bench.ts
+++ b/packages/wagtailroute-membership/src/bench/restarts.bench.ts
@@ -1,20 +1,20 @@
 /**
-What membership costs a host by the size of the fleet: messages, bytes, processor time and memory while nothing happens,
-the bytes of the whole fleet for one restart, and a storm in which a tenth of the hosts restarts at once.
+Benchmark of the cost of membership per host by the size of the fleet: messages, bytes, CPU time and memory of a quiet
+fleet, the bytes of the whole fleet for one restart, and a storm in which a tenth of the hosts restarts at once.
 
-Simulated time, fixed seed; all but processor time and memory is deterministic. A restarted host comes back at once under
-its name, with a new boot id and without memory.
+Simulated time, fixed seed; all figures but CPU time and memory are deterministic. A restarted host keeps its id, gets a
+new boot id and starts without its earlier state.
 */
 import * as process from 'node:process';
 import * as v8 from 'node:v8';
 import * as vm from 'node:vm';
 import * as membership from '../index.ts';
 import {
+	advanceTime,
 	createFleet,
 	describeHost,
 	type Fleet,
 	type FleetSettings,
-	advanceTime,
 	startHost,
 } from './fleet.ts';
 
@@ -34,7 +34,8 @@
 const MILLISECONDS_PER_SECOND = 1000;
 
 /**
-Bytes a second of a host in the largest fleet over those in the smallest: the cost a host must not grow with the fleet.
+Highest allowed ratio of a host's bytes per second in the largest fleet to those in the smallest: the cost per host must
+not grow with the fleet.
 */
 const MAX_BYTES_GROWTH = 1.5;
 
@@ -46,7 +47,7 @@
 	readonly cpuMicrosecondsPerSecond: number;
 	readonly heapBytes: number;
 	/**
-	Of all hosts together for one restart.
+	Cost of one restart, over all hosts.
 	*/
 	readonly bytesPerRestart: number;
 	readonly messagesPerRestart: number;
@@ -58,26 +59,26 @@
 	readonly hosts: number;
 	readonly restarted: number;
 	/**
-	Means of a host until all know all new boots.
+	Means per host until all hosts know all new boot ids.
 	*/
 	readonly bytesPerSecond: number;
 	readonly cpuMicrosecondsPerSecond: number;
 	/**
-	Milliseconds until 99 in 100 pairs of a host and a restarted one know of the restart, and until all do.
+	Milliseconds until in 99 in 100 pairs of a host and a restarted one the host knows the new boot id, and until in all.
 	*/
 	readonly mostKnownMilliseconds: number;
 	readonly allKnownMilliseconds: number;
 };
 
 /**
-Measures all sizes.
+Entry point for `scripts/bench.ts`: returns the rows of all sizes and the bounds that don't hold.
 */
 export async function run(): Promise<{
 	title: string;
 	rows: ReadonlyArray<QuietRow | StormRow>;
 	broken: readonly string[];
 }> {
-	// Before there are fleets, whose end would be taken for a gain.
+	// Measured before any fleet exists: the collection of a fleet would reduce the measured heap.
 	const heaps = SIZES.map(hosts => measureHeap(describeFleet(hosts)));
 	const quiet = SIZES.map((hosts, index) => measureQuiet(hosts, heaps[index]!));
 	const storms = STORM_SIZES.map(hosts => measureStorm(hosts));
@@ -87,7 +88,7 @@
 		rows: [...quiet, ...storms],
 		broken: [
 			...ratio > MAX_BYTES_GROWTH ? [`the bytes of a host grow ${ratio.toFixed(2)} times with the fleet`] : [],
-			...storms.filter(row => row.allKnownMilliseconds === Infinity).map(row => `${row.hosts} hosts: a storm of restarts doesn't settle`),
+			...storms.filter(row => row.allKnownMilliseconds === Infinity).map(row => `${row.hosts} hosts: not all hosts know the new boot ids after a storm of restarts`),
 		],
 	};
 }
@@ -130,7 +131,7 @@
 type Cost = {readonly messages: number; readonly bytes: number; readonly cpuMicroseconds: number};
 
 /**
-Returns what passes a second a host. The processor time includes the fake network and the measuring of the bytes.
+Returns the mean cost per host and second. The CPU time includes the simulated network and the counting of bytes.
 */
 function measureCost(fleet: Fleet, milliseconds: number, onStep: (at: number) => void = () => undefined): Cost {
 	const {messages, bytes} = fleet;
@@ -154,7 +155,7 @@
 	return `host-${index}`;
 }
 
-// The two seeds stay: a fleet without any of its seeds is another matter.
+// The two seeds keep running: a fleet that loses all seeds is a different case.
 function measureStorm(hosts: number): StormRow {
 	const fleet = createJoinedFleet(hosts);
 	const count = Math.round(hosts * STORM_FRACTION);
@@ -186,7 +187,7 @@
 }
 
 /**
-Share of the pairs of a host and a restarted one in which the host knows the new boot.
+Returns the fraction of the pairs of a host and a restarted one in which the host knows the new boot id.
 */
 function getKnownFraction(fleet: Fleet, restarted: readonly string[]): number {
 	let known = 0;
@@ -199,8 +200,8 @@
 }
 
 /**
-Memory of one host that knows all others, each record as it came over the network. The larger of two runs: the first one
-also frees what compiling and flattening left behind.
+Returns the heap bytes of one host that knows all others, each record parsed as if received from the network. The result
+is the larger of two runs: the first one also frees garbage left by compilation and by flattened strings.
 */
 function measureHeap(settings: FleetSettings): number {
 	const text = JSON.stringify(Array.from({length: settings.hosts}, (_, index) => ({
@@ -227,7 +228,7 @@
 }
 
 function collectGarbage(): void {
-	// The flag counts for contexts made after it.
+	// The flag affects only contexts created after it is set.
 	v8.setFlagsFromString('--expose-gc');
 	(vm.runInNewContext('gc') as () => void)();
 }
--- a/packages/wagtailroute-membership/src/constants.ts
+++ b/packages/wagtailroute-membership/src/constants.ts
@@ -1,15 +1,15 @@
 /**
-Intervals and bounds of membership. Each names its unit and the reason for its value.
+Intervals, timeouts and bounds of membership.
 */
 
 /**
-Milliseconds from the start of one probe to the start of the next; the cost a host doesn't grow with the fleet. A probe
-that fails delays the next one.
+Milliseconds from the start of one probe to the start of the next. Each host runs one probe at a time, so its cost
+doesn't grow with the fleet; a probe that gets no answer delays the next one.
 */
 export const PROBE_INTERVAL_MILLISECONDS = 700;
 
 /**
-Milliseconds that a probe may take.
+Milliseconds from the start of a probe until it has failed.
 */
 export const PROBE_TIMEOUT_MILLISECONDS = 1000;
 
@@ -19,172 +19,175 @@
 export const PING_INTERVAL_MILLISECONDS = 200;
 
 /**
-Milliseconds into a probe at which other hosts are asked to ping the target as well.
+Milliseconds from the start of a probe to each round of ping requests, which ask other hosts to ping the target.
 */
 export const PING_REQUEST_DELAYS_MILLISECONDS: readonly number[] = [400, 600, 800];
 
 /**
-Hosts asked each time.
+Hosts that receive a ping request in each round.
 */
 export const PING_REQUEST_FANOUT = 3;
 
 /**
-Of so many probes, one goes out of the failure domain.
+One in this number of probes goes to a host outside the own failure domain.
 */
 export const PROBES_PER_REMOTE_PROBE = 5;
 
 /**
-Of so many probes, one goes to a host with a path fault, if there is one.
+One in this number of probes goes to a host with a path fault, if there is one.
 */
 export const PROBES_PER_PATH_FAULT_PROBE = 3;
 
 /**
-Fleets up to this number of other hosts are probed as one failure domain.
+Fleets with up to this number of other hosts are probed as one failure domain.
 */
 export const MAX_SMALL_FLEET_HOSTS = 64;
 
 /**
-With so few other hosts a failed probe always counts: there are too few to ask, and too few to flood.
+With up to this number of other hosts a failed probe always raises a suspicion: too few hosts can confirm that this host
+is isolated, and too few exist for its suspicions to flood the fleet.
 */
 export const MAX_HOSTS_WITHOUT_ISOLATION_CHECK = 3;
 
 /**
-Highest score of local health; a probe takes (1 + score) times as long.
+Highest local health score; the intervals and timeouts of a probe are multiplied by 1 + score.
 */
 export const MAX_LOCAL_HEALTH_SCORE = 3;
 
 /**
-Milliseconds of suspicion before a host is declared dead, when nobody else suspects it.
+Milliseconds until a suspected host is declared dead when no other host confirms the suspicion.
 */
 export const MAX_SUSPICION_MILLISECONDS = 6000;
 
 /**
-Milliseconds of suspicion when `CONFIRMATIONS` others suspect it too.
+Milliseconds until a suspected host is declared dead when `SUSPICION_CONFIRMATIONS` other hosts confirm the suspicion.
 */
 export const MIN_SUSPICION_MILLISECONDS = 2000;
 
 /**
-Other hosts' suspicions that shorten the time to the least.
+Confirmations by other hosts that shorten the suspicion to its minimum.
 */
 export const SUSPICION_CONFIRMATIONS = 3;
 
 /**
-Milliseconds between two rounds of gossip; there are none while there is no news.
+Milliseconds between two rounds of gossip; there are none while no update is queued.
 */
 export const GOSSIP_INTERVAL_MILLISECONDS = 200;
 
 /**
-Hosts told in each round.
+Hosts that receive gossip in each round.
 */
 export const GOSSIP_FANOUT = 2;
 
 /**
-Transmissions of an update by one host beyond the logarithm of the fleet's size.
+Transmissions of an update by each host beyond the natural logarithm of the fleet's size.
 */
 export const EXTRA_TRANSMISSIONS = 4;
 
 /**
-Updates that wait to be sent; the most often sent are dropped first.
+Updates in the queue; beyond that the one with the most transmissions is dropped.
 */
 export const MAX_QUEUED_UPDATES = 4096;
 
 /**
-Milliseconds between two exchanges of digests, which repair what gossip left out.
+Milliseconds between two digest exchanges, which repair what gossip missed.
 */
 export const EXCHANGE_INTERVAL_MILLISECONDS = 10_000;
 
 /**
-Milliseconds between two exchanges while a host joins.
+Milliseconds between two digest exchanges while a host joins.
 */
 export const JOIN_EXCHANGE_INTERVAL_MILLISECONDS = 200;
 
 /**
-Milliseconds between two words to a host taken for dead, so that a healed partition is noticed.
+Milliseconds between two messages to hosts declared dead, which detect that a partition has healed.
 */
 export const RECONNECT_INTERVAL_MILLISECONDS = 5000;
 
 /**
-Groups of hosts in a digest.
+Buckets of hosts in a digest.
 */
 export const DIGEST_BUCKETS = 128;
 
 /**
-Groups compared in one exchange.
+Buckets compared in one digest exchange.
 */
 export const MAX_BUCKETS_PER_EXCHANGE = 8;
 
 /**
-Records asked for in one message.
+Records requested in one message.
 */
 export const MAX_FETCHED_RECORDS = 40;
 
 /**
-Bytes of one message's JSON. The datagram around it adds less than 100.
+Bytes of one message's JSON. The rest of the datagram adds less than 100.
 */
 export const MAX_MESSAGE_BYTES = 1100;
 
 /**
-Bytes kept for everything in a message but its updates.
+Bytes reserved in a message for everything but its updates or versions.
 */
 export const MESSAGE_OVERHEAD_BYTES = 260;
 
 /**
-Milliseconds after which a dead or left host is no longer listed.
+Milliseconds for which a dead or left host stays listed.
 */
 export const ENDED_MEMBER_RETENTION_MILLISECONDS = 600_000;
 
 /**
-Milliseconds for which an older record of a forgotten host is refused.
+Milliseconds for which the tombstone of an expired host rejects older records of it.
 */
 export const TOMBSTONE_RETENTION_MILLISECONDS = 3_600_000;
 
 /**
-Forgotten hosts remembered; the oldest go first.
+Tombstones kept; beyond that the oldest are removed.
 */
 export const MAX_TOMBSTONES = 4096;
 
 /**
-Pings on behalf of others that may be under way.
+Pings relayed for other hosts that may await an answer; beyond that the oldest are dropped.
 */
 export const MAX_RELAYED_PINGS = 256;
 
 /**
-Milliseconds between two searches for hosts to forget.
+Milliseconds between two scans for hosts whose retention time is over.
 */
 export const EXPIRY_SCAN_INTERVAL_MILLISECONDS = 1000;
 
 /**
-Exchanges after which a host no longer counts as joining.
+Digest exchanges after which a host no longer counts as joining, even when no digest matched.
 */
 export const MAX_JOIN_EXCHANGES = 150;
 
 /**
-Of so many exchanges, one goes to a seed that isn't known as a running host, if there is one.
+One in this number of digest exchanges goes to a seed that isn't known as a running host, if there is one.
 */
 export const EXCHANGES_PER_SEED_EXCHANGE = 4;
 
 /**
-Hosts that tell a suspected host at once, on average, whatever the size of the fleet.
+Hosts that notify a suspected host directly when they receive the suspicion: on average, at any size of the fleet.
 */
 export const SUSPICION_NOTIFIERS = 8;
 
 /**
-Milliseconds after its own failed probe at which a host asks another what it knows, before it declares a host dead.
+Milliseconds after a host's own failed probe at which it asks another host for its record of the suspected one, before it
+declares that one dead.
 */
 export const OWN_SUSPICION_CHECK_DELAY_MILLISECONDS = 1000;
 
 /**
-Milliseconds after which a suspicion that a host only heard of is asked about, and again at the same interval.
+Milliseconds between two checks of a suspicion, each of which asks another host for its record of the suspected one, and
+from a received suspicion to its first check.
 */
 export const SUSPICION_CHECK_INTERVAL_MILLISECONDS = 3000;
 
 /**
-Milliseconds after which a suspicion that a host only heard of makes it declare the other dead: those that suspected it
-themselves must be gone, too.
+Milliseconds after which a received suspicion, which this host's own probe didn't confirm, ends in a declaration of
+death: the hosts whose own probes failed must be gone as well.
 */
 export const RECEIVED_SUSPICION_TIMEOUT_MILLISECONDS = 20_000;
 
 /**
-Milliseconds between two ticks above which this host is taken to have been paused.
+Milliseconds between two ticks from which on this process counts as paused in between.
 */
 export const MIN_PAUSE_MILLISECONDS = 1000;
--- a/packages/wagtailroute-membership/src/dissemination.ts
+++ b/packages/wagtailroute-membership/src/dissemination.ts
@@ -1,8 +1,10 @@
 /**
-News on their way: each update travels along with probes and gossip until this host has sent it often enough.
+Queue of updates to disseminate: each update is piggybacked on probes and gossip until this host has sent it often
+enough.
 
-With every host sending an update ln(n) + 4 times, few hosts of thousands miss it, also when one message in five is lost; the exchange of digests tells
-these. One update a host is kept, the newest, so that the queue is bounded by the fleet.
+When every host sends an update ln(n) + 4 times, few hosts out of thousands miss it, even when one message in five is
+lost; the digest exchange reaches these. The queue keeps only the newest update about each host, so the size of the fleet
+bounds it.
 */
 import type * as core from 'wagtailroute-core';
 import {
@@ -14,24 +16,24 @@
 import type {Update} from './messages.ts';
 
 /**
-An update and how often this host sent it.
+A queued update, its size in JSON, and how often this host has sent it.
 */
 export type QueuedUpdate = {readonly update: Update; readonly bytes: number; transmissions: number};
 
 /**
-Updates by the host that they are about.
+Queued updates by the host that each is about.
 */
 export type UpdateQueue = Map<core.HostId, QueuedUpdate>;
 
 /**
-Bytes of an update in a message's JSON.
+Returns the bytes of an update in a message's JSON, with its comma.
 */
 export function getUpdateBytes(update: Update): number {
 	return JSON.stringify(update).length + 1;
 }
 
 /**
-Adds an update in place of an older one about the same host.
+Queues an update in place of an older one about the same host. A full queue drops the update with the most transmissions.
 */
 export function queueUpdate(queue: UpdateQueue, id: core.HostId, update: Update): void {
 	queue.set(id, {update, bytes: getUpdateBytes(update), transmissions: 0});
@@ -45,7 +47,8 @@
 }
 
 /**
-Takes the least sent updates that fit into one message, and drops those that were sent often enough.
+Selects the updates with the fewest transmissions that fit into one message, counts the transmission, and drops those
+that were sent often enough.
 */
 export function selectUpdates(queue: UpdateQueue, hostCount: number): readonly Update[] {
 	if (queue.size === 0) {
@@ -73,7 +76,7 @@
 }
 
 /**
-Packs updates into as many messages as they need.
+Splits updates into lists that each fit into one message.
 */
 export function packUpdates(updates: readonly Update[]): ReadonlyArray<readonly Update[]> {
 	const packed: Update[][] = [];
--- a/packages/wagtailroute-membership/src/exchange.ts
+++ b/packages/wagtailroute-membership/src/exchange.ts
@@ -1,11 +1,13 @@
 /**
-Exchange of digests: repairs what gossip left out, fills the table of a host that joins, and joins what a partition had
-parted. Each message is bounded; a host that knows little asks often until it knows what the others know.
+Digest exchange (anti-entropy): repairs what gossip missed, fills the table of a host that joins, and merges the two
+sides of a healed partition. Each message is bounded in size; a joining host repeats the exchange at a short interval
+until a digest matches.
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {
 	EXCHANGE_INTERVAL_MILLISECONDS,
+	EXCHANGES_PER_SEED_EXCHANGE,
 	JOIN_EXCHANGE_INTERVAL_MILLISECONDS,
 	MAX_BUCKETS_PER_EXCHANGE,
 	MAX_FETCHED_RECORDS,
@@ -13,7 +15,6 @@
 	MAX_MESSAGE_BYTES,
 	MESSAGE_OVERHEAD_BYTES,
 	RECONNECT_INTERVAL_MILLISECONDS,
-	EXCHANGES_PER_SEED_EXCHANGE,
 } from './constants.ts';
 import {packUpdates} from './dissemination.ts';
 import {
@@ -25,20 +26,20 @@
 import type {Effect, Message, Update} from './messages.ts';
 import {createOwnUpdate} from './updates.ts';
 import {
+	createMemberUpdate,
 	getUnknownSeeds,
 	pickMembers,
 	sendMessage,
-	createMemberUpdate,
 } from './sending.ts';
 import type {MembershipState} from './state.ts';
-import {findDifferentBuckets, encodeDigest, getBucket} from './table.ts';
+import {encodeDigest, findDifferentBuckets, getBucket} from './table.ts';
 import {parseAddress} from './wire.ts';
 
-// Quotes, colon, comma and a version of up to ten digits around a name.
+// Bytes of a version in JSON besides the host id: quotes, colon, comma and up to ten digits.
 const VERSION_OVERHEAD_BYTES = 14;
 
 /**
-Sends a digest when it is time.
+Sends a digest to one host when an exchange is due.
 */
 export function runExchange(state: MembershipState, {now, random}: core.Circumstances): readonly Effect[] {
 	if (state.nextExchangeAt > now) {
@@ -46,7 +47,7 @@
 	}
 
 	state.exchangeCount++;
-	// Where hosts come and go all the time, two tables are never quite the same.
+	// While hosts start and stop all the time, no two digests ever match.
 	state.isJoining &&= state.exchangeCount <= MAX_JOIN_EXCHANGES;
 	state.nextExchangeAt = now + (state.isJoining ? JOIN_EXCHANGE_INTERVAL_MILLISECONDS : EXCHANGE_INTERVAL_MILLISECONDS);
 	const address = pickExchangeAddress(state, random);
@@ -54,7 +55,8 @@
 }
 
 /**
-Tells a dead host so when it is time: one that runs objects.
+Sends its record to one of the hosts declared dead, when that is due: a running host refutes it, for example after a
+partition has healed.
 */
 export function runReconnect(state: MembershipState, {now, random}: core.Circumstances): readonly Effect[] {
 	if (state.nextReconnectAt > now) {
@@ -71,7 +73,7 @@
 }
 
 /**
-Answers a digest with the versions of groups that differ.
+Answers a digest with the versions of the hosts in some of the buckets that differ, chosen at random.
 */
 export function answerDigest(
 	state: MembershipState,
@@ -98,7 +100,7 @@
 }
 
 /**
-Compares versions: asks for what is newer there and tells what is newer here.
+Compares received versions with the known ones: requests the records that are newer there, sends those newer here.
 */
 export function compareVersions(
 	state: MembershipState,
@@ -110,7 +112,7 @@
 	for (const [id, encodedVersion] of Object.entries(message.versions)) {
 		const version = decodeVersion(encodedVersion);
 		const known = state.table.members.get(id);
-		// An ended host that this one never knew is of no use to it.
+		// An unknown host that is dead or has left isn't worth fetching.
 		if (known ? isNewer(version, known) : isPresent(version)) {
 			idsToFetch.push(id);
 		} else if (known && isNewer(known, version)) {
@@ -129,7 +131,7 @@
 }
 
 /**
-Answers with records.
+Answers a fetch with the requested records that are known.
 */
 export function answerFetch(
 	state: MembershipState,
@@ -138,7 +140,7 @@
 	const updates = message.ids
 		.map(id => id === state.self.id ? undefined : state.table.members.get(id))
 		.filter(member => member !== undefined)
-		// A suspected host's whole record first: the receiver may not know the host at all.
+		// An update of a suspicion carries no record: the record precedes it for a receiver that doesn't know the host.
 		.flatMap(member => member.state === 'suspect'
 			? [createMemberUpdate(state, {...member, state: 'alive'}), createMemberUpdate(state, member)]
 			: [createMemberUpdate(state, member)]);
@@ -147,7 +149,7 @@
 }
 
 /**
-Takes the word of another host that both know the same.
+Handles the answer that the digests match: joining is complete.
 */
 export function handleSame(state: MembershipState): readonly Effect[] {
 	state.isJoining = false;
@@ -168,7 +170,7 @@
 		return member.peerAddress;
 	}
 
-	// Two parts of a fleet that forgot each other find together only by their seeds.
+	// Two sides of a partition whose records of each other have expired can only merge through the seeds.
 	const seeds = getUnknownSeeds(state);
 	return seeds[utils.pickIndex(random, seeds.length)] ?? member?.peerAddress;
 }
--- a/packages/wagtailroute-membership/src/index.ts
+++ b/packages/wagtailroute-membership/src/index.ts
@@ -1,12 +1,13 @@
 /**
-Membership: which hosts of the fleet run.
+Membership in the manner of SWIM: a state machine that tracks which hosts of the fleet run, by probes, suspicions and
+gossip.
 */
 export type {HostDescription, Member, MemberState} from './members.ts';
 export type {
-	MessageBody,
 	Effect,
 	Event,
 	Message,
+	MessageBody,
 	Sender,
 	Update,
 	WireRecord,
--- a/packages/wagtailroute-membership/src/machine.ts
+++ b/packages/wagtailroute-membership/src/machine.ts
@@ -1,5 +1,5 @@
 /**
-The machine of membership: events to effects, by tables of handlers.
+The state machine of membership: tables of handlers map events and messages to effects.
 */
 import type * as core from 'wagtailroute-core';
 import {
@@ -12,27 +12,27 @@
 	answerDigest,
 	answerFetch,
 	compareVersions,
+	handleSame,
 	runExchange,
 	runReconnect,
-	handleSame,
 } from './exchange.ts';
 import type {Effect, Event, Message} from './messages.ts';
-import {updateOwnRecord, createOwnUpdate, applyUpdates} from './updates.ts';
+import {applyUpdates, createOwnUpdate, updateOwnRecord} from './updates.ts';
 import {
 	answerPing,
-	relayPing,
-	runProbe,
 	handleAck,
 	handleRelaying,
+	relayPing,
+	runProbe,
 } from './probing.ts';
 import {handleSender} from './senders.ts';
-import {pickMembers, sendWithQueuedUpdates, sendMessage} from './sending.ts';
+import {pickMembers, sendMessage, sendWithQueuedUpdates} from './sending.ts';
 import type {MembershipState} from './state.ts';
 import {runSuspicions} from './suspicion.ts';
 import {expireMembers, storeMember} from './table.ts';
 import {parseAddress} from './wire.ts';
 
-// Hosts that a leaving host tells itself, besides the gossip.
+// Hosts that a leaving host notifies directly, besides the gossip.
 const LEAVE_FANOUT = 8;
 
 type MessageHandlers = {
@@ -71,7 +71,7 @@
 };
 
 /**
-Handles an event. The state that it returns is the one given, see the table.
+Handles an event. Returns the given state, which is mutable; see the table for the reason.
 */
 export const stepMembership: core.Step<MembershipState, Event, Effect> = (state, event, circumstances) => {
 	const handler = EVENT_HANDLERS[event.kind];
@@ -95,14 +95,14 @@
 }
 
 /**
-Starts the waits anew after a pause of this process (a long garbage collection, a stopped virtual machine). The answers
-and objections that came meanwhile still wait in the socket: without this, the first tick would declare dead whoever was
-suspected before, and the whole fleet would see running hosts die whenever a host wakes up.
+Drops the probe and restarts the suspicion timeouts after a pause of this process (a long garbage collection, a stopped
+virtual machine). Answers and refutations that arrived during the pause are still unread in the socket: without this, the
+first tick would declare all suspected hosts dead, and the whole fleet would see running hosts die after each pause.
 */
 function resumeAfterPause(state: MembershipState, now: number): void {
-	const last = state.lastTickAt ?? now;
+	const lastTickAt = state.lastTickAt ?? now;
 	state.lastTickAt = now;
-	if (now - last < MIN_PAUSE_MILLISECONDS) {
+	if (now - lastTickAt < MIN_PAUSE_MILLISECONDS) {
 		return;
 	}
 
@@ -118,14 +118,14 @@
 	message: Message,
 	circumstances: core.Circumstances,
 ): readonly Effect[] {
-	// A host's own messages come back when a seed is its own address under another name.
+	// A host receives its own messages when a seed is its own address in another form.
 	if (message.from.id === state.self.id && message.from.boot === state.self.boot) {
 		return [];
 	}
 
 	const {incarnation} = state.self;
 	const effects = applyUpdates(state, message.updates ?? [], circumstances);
-	// Whoever was wrong about this host hears it first: it may be on the other side of a healed partition.
+	// The sender of the wrong update gets the refutation directly: it may be on the other side of a healed partition.
 	const refutation = state.self.incarnation > incarnation
 		? [sendMessage(state, parseAddress(message.from.peer), {kind: 'gossip'}, [createOwnUpdate(state)])]
 		: [];
@@ -144,7 +144,8 @@
 ): readonly Effect[] {
 	const {draining = state.self.draining, load = state.self.load} = event;
 	const catalogueRevision = Math.max(state.self.catalogueRevision, event.catalogueRevision ?? 0);
-	// Revision and load travel with each message anyhow: no news for them, 2,400 hosts change their load every second.
+	// Every message carries the sender's revision and load, so no update is queued for them: 2,400 hosts change their load
+	// every second.
 	if (draining !== state.self.draining) {
 		return [updateOwnRecord(state, {draining, load, catalogueRevision})];
 	}
--- a/packages/wagtailroute-membership/src/members.ts
+++ b/packages/wagtailroute-membership/src/members.ts
@@ -1,20 +1,21 @@
 /**
-Records of hosts and the order in which one replaces another.
+Records of hosts, and the order of their versions, which decides which of two records of a host replaces the other.
 */
 import type * as core from 'wagtailroute-core';
 
 /**
-`alive`; `suspect`: probes fail and it has a short time to object; `dead`: it didn't; `left`: it said so.
+`alive`; `suspect`: a probe failed, and the host has a short time to refute the suspicion; `dead`: it didn't refute it;
+`left`: it announced its stop.
 */
 export type MemberState = 'alive' | 'suspect' | 'dead' | 'left';
 
 /**
-What a host is and where it is reached.
+Properties of a host that are fixed from start to stop of its process.
 */
 export type HostDescription = {
 	readonly id: core.HostId;
 	/**
-	Random, new at each start of the process.
+	Boot id: random, new at each start of the process.
 	*/
 	readonly boot: string;
 	readonly peerAddress: core.Address;
@@ -26,24 +27,24 @@
 };
 
 /**
-A host as another one knows it.
+The record of a host, as one host of the fleet knows it.
 */
 export type Member = HostDescription & {
 	/**
-	Only the host itself raises it: to object to a suspicion, or because its record changed.
+	Raised only by the host itself: to refute a suspicion, or because its record changed.
 	*/
 	readonly incarnation: number;
 	readonly state: MemberState;
 	/**
-	The host refuses new requests soon.
+	Whether the host is about to refuse new requests.
 	*/
 	readonly draining: boolean;
 	/**
-	Last revision of the catalogue heard of; it may be older than what the host has.
+	Highest revision of the catalogue that the host reported; it may have a newer one by now.
 	*/
 	readonly catalogueRevision: number;
 	/**
-	Used share of the host's capacity, 0 to 1, as last heard.
+	Fraction of the host's capacity in use, 0 to 1, as last reported.
 	*/
 	readonly load?: number;
 };
@@ -58,33 +59,33 @@
 const STATES: readonly MemberState[] = ['alive', 'suspect', 'dead', 'left'];
 
 /**
-A version of a record: what is heard replaces what is known when its version is greater.
+Version of a record. A received record replaces the known one when its version is greater: by incarnation, then by state.
 */
 export type Version = Pick<Member, 'incarnation' | 'state'>;
 
 /**
-Writes a version as one integer that grows with it.
+Encodes a version as an integer in the same order.
 */
 export function encodeVersion(version: Version): number {
 	return (version.incarnation * STATES.length) + STATE_RANKS[version.state];
 }
 
 /**
-Reads a version.
+Decodes a version written by `encodeVersion`.
 */
 export function decodeVersion(encodedVersion: number): Version {
 	return {incarnation: Math.floor(encodedVersion / STATES.length), state: STATES[encodedVersion % STATES.length]!};
 }
 
 /**
-Says whether a version replaces another.
+Returns whether the received version replaces the known one.
 */
 export function isNewer(received: Version, known: Version): boolean {
 	return encodeVersion(received) > encodeVersion(known);
 }
 
 /**
-Says whether the host is taken for running: alive or suspected.
+Returns whether the host is present: alive or suspected, so not known to have ended.
 */
 export function isPresent(member: Version): boolean {
 	return member.state === 'alive' || member.state === 'suspect';
--- a/packages/wagtailroute-membership/src/messages.ts
+++ b/packages/wagtailroute-membership/src/messages.ts
@@ -1,14 +1,14 @@
 /**
 Messages between hosts, as JSON documents for datagrams that may be lost, repeated and reordered.
 
-Every update carries its version and every answer the sequence number of what it answers, so that a repeated message
-changes nothing.
+Every update carries the version of the record, and every answer the sequence number of the message that it answers, so
+that a repeated message changes nothing.
 */
 import type * as core from 'wagtailroute-core';
 import type {Member} from './members.ts';
 
 /**
-A host's record on the wire; addresses as `ip:port`.
+A host's record on the wire: addresses as `ip:port`, roles separated by commas.
 */
 export type WireRecord = {
 	readonly id: core.HostId;
@@ -26,7 +26,8 @@
 };
 
 /**
-News of a host.
+An update of the membership: a record of a running host, or its new state at an incarnation; `by` is a host whose own
+probe failed.
 */
 export type Update =
 	| {readonly kind: 'alive'; readonly record: WireRecord}
@@ -34,7 +35,7 @@
 	| {readonly kind: 'dead' | 'left'; readonly id: core.HostId; readonly incarnation: number};
 
 /**
-What each message tells of its sender.
+Sender of a message: its current version, peer address, catalogue revision and load.
 */
 export type Sender = {
 	readonly id: core.HostId;
@@ -46,16 +47,16 @@
 };
 
 /**
-The contents of a message.
+The body of a message, by its kind.
 */
 export type MessageBody =
 	| {readonly kind: 'ping'; readonly target: core.HostId; readonly sequence: number}
 	/**
-	Answers a ping; `target` is the host that answered when the sender pinged on the receiver's behalf.
+	Answers a ping. With `target`, a relay reports that this host answered the ping sent on the receiver's behalf.
 	*/
 	| {readonly kind: 'ack'; readonly sequence: number; readonly target?: core.HostId}
 	/**
-	Asks to ping the target on the sender's behalf.
+	Ping request: asks the receiver to ping the target on the sender's behalf.
 	*/
 	| {
 		readonly kind: 'request';
@@ -64,20 +65,20 @@
 		readonly sequence: number;
 	}
 	/**
-	Answers a request at once: the way to the helper and back works, whatever becomes of the target.
+	Answers a ping request at once: the path to the relay and back works, whether or not the target answers.
 	*/
 	| {readonly kind: 'relaying'; readonly sequence: number}
 	| {readonly kind: 'gossip'}
 	/**
-	The sender's digest of all groups, in base64.
+	The sender's digest of all buckets, in base64.
 	*/
 	| {readonly kind: 'digest'; readonly hashes: string}
 	/**
-	Answers a digest that is the receiver's own.
+	Answers a digest that equals the one of the answering host.
 	*/
 	| {readonly kind: 'same'}
 	/**
-	Versions of the hosts of a group; `whole` when all of them are in this message.
+	Encoded versions of the hosts of a bucket; `whole` when all of them are in this message.
 	*/
 	| {
 		readonly kind: 'versions';
@@ -86,21 +87,21 @@
 		readonly versions: Readonly<Record<core.HostId, number>>;
 	}
 	/**
-	Asks for records.
+	Requests the records of hosts.
 	*/
 	| {readonly kind: 'fetch'; readonly ids: readonly core.HostId[]};
 
 /**
-A message: its content, who sent it, and news that travel along.
+A message: its body, its sender, and the updates piggybacked on it.
 */
 export type Message = MessageBody & {readonly from: Sender; readonly updates?: readonly Update[]};
 
 /**
-What happens to the machine.
+Inputs of the state machine.
 */
 export type Event =
 	/**
-	To be sent every 50 to 100 ms.
+	Due every 50 to 100 ms.
 	*/
 	| {readonly kind: 'tick'}
 	| {readonly kind: 'receive'; readonly message: Message}
@@ -111,20 +112,20 @@
 		readonly load?: number;
 	}
 	/**
-	The host is about to stop; ticks may follow for a moment, so that the news goes out.
+	The host is about to stop; further ticks gossip that it left.
 	*/
 	| {readonly kind: 'leave'};
 
 /**
-What is to be done.
+Outputs of the state machine.
 */
 export type Effect =
 	| {readonly kind: 'send'; readonly to: core.Address; readonly message: Message}
 	/**
-	The record of a host is another one now; not sent for load alone.
+	The record of a host has changed; not issued for a change of load alone.
 	*/
 	| {readonly kind: 'changed'; readonly member: Member}
 	/**
-	A host that was dead or left is no longer listed.
+	A dead or left host expired and is no longer listed.
 	*/
 	| {readonly kind: 'forgotten'; readonly id: core.HostId};
--- a/packages/wagtailroute-membership/src/probing.ts
+++ b/packages/wagtailroute-membership/src/probing.ts
@@ -1,21 +1,21 @@
 /**
-Probes. Each host probes one other at a time, in random order, so that the cost a host is constant and each is probed
-within one pass.
+Probes. Each host probes one other host at a time, in random order, so that the cost per host is constant and every host
+is probed once in each pass.
 
-An answer must come back to count: hearing from a host says nothing about being heard by it. The target is pinged several
-times directly, and by others on this host's behalf. An answer only by way of others leaves the host alive for everyone
-and marks a path fault in this host's own view. No answer at all makes it suspected, unless no other host answered
-either: then it is this host that is cut off, and it accuses nobody.
+Only the answer to a ping counts: a message from a host doesn't show that messages reach it. The target is pinged several
+times directly, and by relays on this host's behalf. When only a relayed ping is answered, the target stays alive for the
+whole fleet, and this host records a path fault to it. Without any answer the target is suspected, unless no relay
+answered either: then this host itself is isolated and suspects nobody.
 */
 import * as core from 'wagtailroute-core';
 import type * as utils from 'wagtailroute-utils';
 import {
 	MAX_HOSTS_WITHOUT_ISOLATION_CHECK,
-	PING_REQUEST_DELAYS_MILLISECONDS,
-	PING_REQUEST_FANOUT,
 	MAX_LOCAL_HEALTH_SCORE,
 	MAX_RELAYED_PINGS,
 	PING_INTERVAL_MILLISECONDS,
+	PING_REQUEST_DELAYS_MILLISECONDS,
+	PING_REQUEST_FANOUT,
 	PROBE_INTERVAL_MILLISECONDS,
 	PROBE_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
@@ -23,10 +23,10 @@
 import type {Effect, Message} from './messages.ts';
 import {applySuspicion} from './updates.ts';
 import {
+	createMemberUpdate,
 	pickMembers,
-	sendWithQueuedUpdates,
 	sendMessage,
-	createMemberUpdate,
+	sendWithQueuedUpdates,
 } from './sending.ts';
 import type {MembershipState, Probe} from './state.ts';
 import {listPresentIds} from './table.ts';
@@ -34,7 +34,7 @@
 import {parseAddress} from './wire.ts';
 
 /**
-Starts, continues or ends the probe, as the time says.
+Ends the probe that timed out, continues the one in progress, and starts the next when it is due.
 */
 export function runProbe(state: MembershipState, circumstances: core.Circumstances): readonly Effect[] {
 	state.nextProbeAt ??= circumstances.now + (circumstances.random() * PROBE_INTERVAL_MILLISECONDS);
@@ -47,7 +47,7 @@
 }
 
 /**
-Answers a ping that is meant for this host.
+Answers a ping whose target is this host, and ignores others.
 */
 export function answerPing(
 	state: MembershipState,
@@ -57,7 +57,7 @@
 }
 
 /**
-Takes an answer to a ping of this host, be it its own or on behalf of another.
+Handles the answer to a ping: forwards it for a relayed ping, else matches it to the probe in progress.
 */
 export function handleAck(
 	state: MembershipState,
@@ -85,7 +85,7 @@
 }
 
 /**
-Pings a host on behalf of another.
+Handles a ping request: confirms it and pings the target on the requester's behalf.
 */
 export function relayPing(
 	state: MembershipState,
@@ -109,7 +109,7 @@
 }
 
 /**
-Takes a helper's word that it was asked.
+Handles a relay's confirmation that it received a ping request.
 */
 export function handleRelaying(
 	state: MembershipState,
@@ -161,7 +161,7 @@
 	return [ping, ...sendPingRequests(state, probe, target, circumstances.random)];
 }
 
-// A suspected host is told with the ping, so that it can object at once.
+// The ping to a suspected host carries the suspicion, so that the host can refute it at once.
 function pingTarget(state: MembershipState, probe: Probe, target: Member): Effect {
 	const body = {kind: 'ping', target: target.id, sequence: probe.sequence} as const;
 	return target.state === 'suspect'
--- a/packages/wagtailroute-membership/src/queries.ts
+++ b/packages/wagtailroute-membership/src/queries.ts
@@ -1,5 +1,5 @@
 /**
-What other parts ask of membership.
+Queries of the membership state by other packages.
 */
 import type * as core from 'wagtailroute-core';
 import type {Member} from './members.ts';
@@ -7,56 +7,56 @@
 import {listMembers} from './table.ts';
 
 /**
-This host's own record.
+Returns this host's own record.
 */
 export function getSelf(state: MembershipState): Member {
 	return state.self;
 }
 
 /**
-All hosts known, dead and left ones until they are forgotten. The same array while nothing changed.
+Returns the records of all hosts known; dead and left ones until they expire. The same array while nothing changed.
 */
 export function getMembers(state: MembershipState): readonly Member[] {
 	return listMembers(state.table);
 }
 
 /**
-All hosts known, by name; a live view.
+Returns the records of all hosts known, by id; a live view.
 */
 export function getMembersById(state: MembershipState): ReadonlyMap<core.HostId, Member> {
 	return state.table.members;
 }
 
 /**
-Hosts neither suspected, dead nor left, this one included; draining ones too.
+Returns the hosts that are neither suspected, dead nor left: draining ones and this host included.
 */
 export function getAliveMembers(state: MembershipState): readonly Member[] {
 	return listMembers(state.table).filter(member => member.state === 'alive');
 }
 
 /**
-Says whether this host answers to itself only by way of others: alive, but not for this host.
+Returns whether this host has a path fault to another host, which answers only relayed pings.
 */
 export function hasPathFault(state: MembershipState, id: core.HostId): boolean {
 	return state.pathFaults.has(id);
 }
 
 /**
-Says whether a host is alive and, as far as this host knows, reached directly.
+Returns whether a host is alive and this host has no path fault to it.
 */
 export function isReachable(state: MembershipState, id: core.HostId): boolean {
 	return state.table.members.get(id)?.state === 'alive' && !state.pathFaults.has(id);
 }
 
 /**
-Says whether this host seems cut off from all others: its last probe got no answer from anyone.
+Returns whether this host seems isolated: its last probe got no answer from the target or any relay.
 */
 export function isIsolated(state: MembershipState): boolean {
 	return state.isIsolated;
 }
 
 /**
-Says whether this host doesn't yet know what the others know.
+Returns whether this host is still joining, so that its list of hosts may be incomplete.
 */
 export function isJoining(state: MembershipState): boolean {
 	return state.isJoining;
--- a/packages/wagtailroute-membership/src/senders.ts
+++ b/packages/wagtailroute-membership/src/senders.ts
@@ -1,5 +1,5 @@
 /**
-What every message tells of its sender, and what the sender is told when others take it for something else.
+Comparison of a message's sender with its known record, and the correction sent to it where they differ.
 */
 import type {Member} from './members.ts';
 import type {Effect, Sender} from './messages.ts';
@@ -8,8 +8,9 @@
 import {parseAddress} from './wire.ts';
 
 /**
-Takes what a message tells of its sender. A sender that others take for something else than it is gets told, so that it
-can object; without that, a host that restarted, or that was cut off and taken for dead, would stay unknown or dead.
+Compares the sender of a message with its known record. A newer sender is asked for its record; one whose known record is
+wrong receives that record, so that it can refute it. Without that, a host that restarted, or that was partitioned off
+and declared dead, would stay unknown or dead.
 */
 export function handleSender(state: MembershipState, sender: Sender): readonly Effect[] {
 	const address = parseAddress(sender.peer);
--- a/packages/wagtailroute-membership/src/sending.ts
+++ b/packages/wagtailroute-membership/src/sending.ts
@@ -1,14 +1,14 @@
 /**
-Sending of messages, and the choice of their receivers.
+Creation of messages, and the choice of their receivers.
 */
 import * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {selectUpdates} from './dissemination.ts';
 import type {Member} from './members.ts';
 import type {
-	MessageBody,
 	Effect,
 	Message,
+	MessageBody,
 	Update,
 } from './messages.ts';
 import type {MembershipState} from './state.ts';
@@ -16,14 +16,14 @@
 import {encodeSender, encodeUpdate} from './wire.ts';
 
 /**
-Sends a message with the news that fit.
+Sends a message with as many queued updates as fit.
 */
 export function sendWithQueuedUpdates(state: MembershipState, to: core.Address, body: MessageBody): Effect {
 	return sendMessage(state, to, body, selectUpdates(state.updateQueue, state.table.members.size));
 }
 
 /**
-Sends a message with the given updates, none for a message that has no room for any.
+Sends a message with the given updates. A message whose body needs the space carries none.
 */
 export function sendMessage(
 	state: MembershipState,
@@ -36,7 +36,7 @@
 }
 
 /**
-Picks up to `count` different hosts taken for running, other than this one and those excluded.
+Picks up to `count` different present hosts at random, without this host and the excluded ones.
 */
 export function pickMembers(
 	state: MembershipState,
@@ -45,13 +45,13 @@
 	isExcluded: (member: Member) => boolean = () => false,
 ): readonly Member[] {
 	const ids = listPresentIds(state.table);
-	// A host that leaves is no longer listed: alone, it finds nobody to tell.
+	// The list is empty when this host has left and knows no other present host.
 	if (ids.length === 0) {
 		return [];
 	}
 
 	const picked = new Set<Member>();
-	// A bounded number of draws: in a large fleet it costs no search, in a small one it finds nearly all.
+	// The number of draws is bounded: a large fleet needs no scan, and in a small one nearly all hosts are found.
 	for (let draws = count * 8; draws > 0 && picked.size < count; draws--) {
 		const member = state.table.members.get(ids[utils.pickIndex(random, ids.length)]!)!;
 		if (member.id !== state.self.id && !isExcluded(member)) {
@@ -63,7 +63,7 @@
 }
 
 /**
-The peer addresses of the seeds that are neither this host nor a host known to run.
+Returns the peer addresses of the seeds that are neither this host nor another present host.
 */
 export function getUnknownSeeds(state: MembershipState): readonly core.Address[] {
 	const present = listPresentIds(state.table).map(id => state.table.members.get(id)!);
@@ -72,8 +72,8 @@
 }
 
 /**
-Writes what this host knows of another. A suspicion is passed on under the name of a host whose own probe failed: one
-that only heard of it is no further witness.
+Creates an update from a known record. A suspicion names a host whose own probe failed: a host that only received the
+suspicion doesn't count as a confirmation.
 */
 export function createMemberUpdate(state: MembershipState, member: Member): Update {
 	const [witness] = state.suspicions.get(member.id)?.suspectedBy ?? [];
--- a/packages/wagtailroute-membership/src/state.ts
+++ b/packages/wagtailroute-membership/src/state.ts
@@ -1,5 +1,5 @@
 /**
-State of the machine.
+State of membership on one host.
 */
 import type * as core from 'wagtailroute-core';
 import type {UpdateQueue} from './dissemination.ts';
@@ -7,84 +7,93 @@
 import {createTable, type MemberTable, storeMember} from './table.ts';
 
 /**
-Settings of a host.
+Configuration of membership on one host.
 */
 export type MembershipConfig = {
 	readonly self: HostDescription;
 	/**
-	Peer addresses of some hosts; this host's own may be among them.
+	Peer addresses of hosts through which this host joins; its own may be among them.
 	*/
 	readonly seeds: readonly core.Address[];
 	/**
-	First sequence number, random at each start, so that answers to an earlier process aren't taken for this one's.
+	Start of the sequence numbers, random at each start, so that answers to an earlier process match no probe of this one.
 	*/
 	readonly firstSequence?: number;
 	/**
-	Hosts known from elsewhere, such as the last catalogue.
+	Records of hosts known from another source, such as the last catalogue.
 	*/
 	readonly members?: readonly Member[];
 };
 
 /**
-A probe under way. Times are monotonic milliseconds.
+The probe in progress. Times are monotonic milliseconds.
 */
 export type Probe = {
 	readonly target: core.HostId;
 	readonly sequence: number;
 	readonly startedAt: number;
 	/**
-	Stretches all times of the probe while this host's own health is in doubt.
+	Multiplies all delays of the probe while this host's own health is in doubt.
 	*/
 	readonly timeoutMultiplier: number;
 	nextPingAt: number;
 	/**
-	Rounds of asking others so far.
+	Rounds of ping requests sent so far.
 	*/
 	pingRequestRounds: number;
+	/**
+	Hosts that were sent a ping request.
+	*/
 	readonly relayIds: Set<core.HostId>;
 	/**
-	The target answered, at least by way of another host.
+	The target answered a ping of a relay; a direct answer ends the probe.
 	*/
 	hasIndirectAck: boolean;
 	/**
-	Another host answered, so this host's own connection works.
+	A relay answered, so this host's own connection works.
 	*/
 	hasRelayResponse: boolean;
 };
 
 /**
-A suspicion that runs.
+A suspicion not yet refuted or confirmed as a death. Times are monotonic milliseconds.
 */
 export type Suspicion = {
 	readonly incarnation: number;
 	startedAt: number;
+	/**
+	Hosts whose own probes failed, in the order in which they became known.
+	*/
 	readonly suspectedBy: Set<core.HostId>;
 	/**
-	When this host's own probe failed; undefined when it only heard of the suspicion.
+	When this host's own probe failed; undefined when it only received the suspicion.
 	*/
 	ownProbeFailedAt: number | undefined;
 	/**
-	When this host asks another what it knows of the suspected one.
+	When this host next asks another one for its record of the suspected host.
 	*/
 	nextCheckAt: number;
 };
 
 /**
-A ping on behalf of another host.
+A ping sent on behalf of another host.
 */
 export type RelayedPing = {readonly requesterAddress: core.Address; readonly requesterSequence: number; readonly target: core.HostId};
 
 /**
-State of the machine.
+State of the machine. It is mutable; see the table for the reason. Times are monotonic milliseconds.
 */
 export type MembershipState = {
 	readonly config: MembershipConfig;
 	readonly table: MemberTable;
 	readonly updateQueue: UpdateQueue;
 	readonly suspicions: Map<core.HostId, Suspicion>;
+	/**
+	Pings on behalf of other hosts, by the sequence number of the ping sent to the target.
+	*/
 	readonly relayedPings: Map<number, RelayedPing>;
 	/**
-	Hosts that answer only by way of others, or not at all while this host seems cut off.
+	Hosts that answer only relayed pings, or that don't answer while this host seems isolated.
 	*/
 	readonly pathFaults: Set<core.HostId>;
 	/**
@@ -96,17 +105,20 @@
 	probeCount: number;
 	lastSequence: number;
 	/**
-	Score of this host's own health, 0 good.
+	Score of this host's own health: 0 is healthy, each isolated probe adds 1, each direct answer takes 1 away.
 	*/
 	localHealthScore: number;
 	/**
-	The last probe failed without a single answer from any host.
+	The last probe got no answer from the target or any relay.
 	*/
 	isIsolated: boolean;
+	/**
+	True for a host with seeds until another host reports the same digest, or for `MAX_JOIN_EXCHANGES` exchanges.
+	*/
 	isJoining: boolean;
 	exchangeCount: number;
 	/**
-	Undefined until the first tick, which draws it: hosts that start together don't probe together.
+	Undefined until the first tick, which draws it at random, so that hosts that start together don't probe in step.
 	*/
 	nextProbeAt: number | undefined;
 	nextGossipAt: number;
@@ -117,7 +129,7 @@
 };
 
 /**
-Creates the state of a host that starts.
+Creates the state of membership at the start of a host.
 */
 export function createMembership(config: MembershipConfig): MembershipState {
 	const self: Member = {
--- a/packages/wagtailroute-membership/src/suspicion.ts
+++ b/packages/wagtailroute-membership/src/suspicion.ts
@@ -1,21 +1,22 @@
 /**
-Suspicions that run out.
+Timeouts of suspicions.
 
-A suspected host has some seconds to object. The more hosts suspect it on their own, the shorter: a host that nobody can
-reach is dead soon, while a single host with a bad connection convinces nobody for long.
+A suspected host has a few seconds to refute the suspicion. Each host whose own probe also fails shortens this time: a
+host that nobody can reach is declared dead soon, while a suspicion by a single host with a bad connection lasts long
+enough to be refuted.
 
-Only hosts whose own probe failed declare another dead, and they ask a third one first. The others wait for that word:
-one in a thousand hosts misses an objection under loss, and if each of these declared the host dead, every suspicion in a
-large fleet would end in a false death. Only when no word comes for long, because the hosts that suspected it are gone
-as well, do the others declare it.
+Only hosts whose own probe failed declare another one dead, and they ask a third host for its record first. The other
+hosts wait for that declaration: under loss, one in a thousand hosts misses a refutation, and if each of these declared
+the death by itself, every suspicion in a large fleet would end in a false death. They declare it only after a much longer
+timeout, when the hosts that raised the suspicion must be gone as well.
 */
 import type * as core from 'wagtailroute-core';
 import {
-	SUSPICION_CONFIRMATIONS,
-	SUSPICION_CHECK_INTERVAL_MILLISECONDS,
-	RECEIVED_SUSPICION_TIMEOUT_MILLISECONDS,
 	MAX_SUSPICION_MILLISECONDS,
 	MIN_SUSPICION_MILLISECONDS,
+	RECEIVED_SUSPICION_TIMEOUT_MILLISECONDS,
+	SUSPICION_CHECK_INTERVAL_MILLISECONDS,
+	SUSPICION_CONFIRMATIONS,
 } from './constants.ts';
 import type {Effect} from './messages.ts';
 import {updateMember} from './updates.ts';
@@ -23,7 +24,7 @@
 import type {MembershipState, Suspicion} from './state.ts';
 
 /**
-Declares dead the hosts that didn't object in time.
+Declares the hosts dead that didn't refute their suspicion in time, and checks the suspicions that are due for a check.
 */
 export function runSuspicions(state: MembershipState, circumstances: core.Circumstances): readonly Effect[] {
 	const effects: Effect[] = [];
--- a/packages/wagtailroute-membership/src/table.ts
+++ b/packages/wagtailroute-membership/src/table.ts
@@ -1,12 +1,12 @@
 /**
-The hosts that a host knows, and a digest of them by groups.
+The hosts known to this host, and a digest of them by bucket.
 
 The table is mutable inside the state: at 2,400 hosts a copy for each of the few messages a second would cost more than
-all else. Records are immutable and replaced as a whole; the order of the hosts follows from the events alone, so the
-machine stays deterministic.
+everything else. Records are immutable and replaced as a whole; the order of the hosts depends on the events alone, so
+the machine stays deterministic.
 
-The digest covers the hosts taken for running, with suspected ones as alive: a suspicion is over within seconds and would
-make every exchange differ.
+The digest covers the present hosts and treats suspected ones as alive: a suspicion is over within seconds, and including
+it would make every exchange find a difference.
 */
 /* eslint-disable no-bitwise -- hashes are made of bit operations */
 import * as buffer from 'node:buffer';
@@ -20,27 +20,30 @@
 import {isPresent, type Member} from './members.ts';
 
 /**
-A forgotten host: records up to this incarnation are refused.
+An expired host: records up to this incarnation are rejected.
 */
 export type Tombstone = {readonly incarnation: number; readonly createdAt: number};
 
 /**
-All hosts known.
+The hosts known, with values derived from their records.
 */
 export type MemberTable = {
 	readonly members: Map<core.HostId, Member>;
 	/**
-	When a dead or left host ended, in monotonic milliseconds.
+	When each dead or left host entered that state, in monotonic milliseconds.
 	*/
 	readonly endedAt: Map<core.HostId, number>;
 	readonly tombstones: Map<core.HostId, Tombstone>;
+	/**
+	One hash a bucket: the XOR of the hashes of its present hosts' ids and incarnations.
+	*/
 	readonly bucketHashes: Uint32Array;
 	/**
-	Names of the hosts taken for running; undefined after a change.
+	Ids of the present hosts; undefined after a change.
 	*/
 	presentIds: readonly core.HostId[] | undefined;
 	/**
-	All records; undefined after a change.
+	Cached list of all records; undefined after a change.
 	*/
 	memberList: readonly Member[] | undefined;
 };
@@ -63,7 +66,7 @@
 }
 
 /**
-Stores a record in place of the one known.
+Stores a record in place of the known one; the caller has compared their versions.
 */
 export function storeMember(table: MemberTable, member: Member, now: number): void {
 	const known = table.members.get(member.id);
@@ -83,7 +86,7 @@
 }
 
 /**
-All records, dead and left hosts included.
+Lists all records, dead and left hosts included.
 */
 export function listMembers(table: MemberTable): readonly Member[] {
 	table.memberList ??= table.members.values().toArray();
@@ -91,7 +94,7 @@
 }
 
 /**
-Names of the hosts taken for running, this one included.
+Lists the ids of the present hosts, this host included.
 */
 export function listPresentIds(table: MemberTable): readonly core.HostId[] {
 	table.presentIds ??= table.members.values().filter(member => isPresent(member)).map(member => member.id).toArray();
@@ -99,16 +102,16 @@
 }
 
 /**
-Forgets hosts that ended long ago and returns their names.
+Removes the dead and left hosts whose retention time is over, and returns their ids.
 */
 export function expireMembers(table: MemberTable, now: number): readonly core.HostId[] {
 	const expiredIds: core.HostId[] = [];
-	for (const [id, at] of table.endedAt) {
-		if (now - at < ENDED_MEMBER_RETENTION_MILLISECONDS) {
+	for (const [id, endTime] of table.endedAt) {
+		if (now - endTime < ENDED_MEMBER_RETENTION_MILLISECONDS) {
 			continue;
 		}
 
-		// Without a tombstone, a host that was cut off and still lists it as alive would bring it back.
+		// Without a tombstone, a host that was partitioned off and still lists the expired one as alive would restore it.
 		table.tombstones.delete(id);
 		table.tombstones.set(id, {incarnation: table.members.get(id)!.incarnation, createdAt: now});
 		table.members.delete(id);
@@ -122,14 +125,14 @@
 }
 
 /**
-The group that a host belongs to.
+Returns the index of the bucket that a host belongs to.
 */
 export function getBucket(id: core.HostId): number {
 	return hashText(id) % DIGEST_BUCKETS;
 }
 
 /**
-The digest of all groups, in base64.
+Encodes the digest of all buckets in base64, three bytes a bucket.
 */
 export function encodeDigest(table: MemberTable): string {
 	const bytes = buffer.Buffer.alloc(DIGEST_BUCKETS * DIGEST_HASH_BYTES);
@@ -141,11 +144,11 @@
 }
 
 /**
-Groups in which another host's digest differs.
+Returns the indexes of the buckets in which another host's digest differs; all of them for a digest of another length.
 */
 export function findDifferentBuckets(table: MemberTable, hashes: string): readonly number[] {
 	const bytes = buffer.Buffer.from(hashes, 'base64');
-	// A digest of another length is none of this table's: reading past its end would throw, and end this host.
+	// Reading past the end of a shorter digest would throw and stop this host.
 	if (bytes.length !== DIGEST_BUCKETS * DIGEST_HASH_BYTES) {
 		return table.bucketHashes.keys().toArray();
 	}
@@ -190,7 +193,7 @@
 		hash = Math.imul(hash ^ text.charCodeAt(index), 0x01_00_01_93);
 	}
 
-	// FNV-1a leaves the low bits of similar names alike: mix the high ones in.
+	// FNV-1a leaves the low bits of similar ids alike, so the high bits are mixed in.
 	hash = Math.imul(hash ^ (hash >>> 16), 0x85_EB_CA_6B);
 	return (hash ^ (hash >>> 13)) >>> 0;
 }
--- a/packages/wagtailroute-membership/src/targets.ts
+++ b/packages/wagtailroute-membership/src/targets.ts
@@ -1,17 +1,17 @@
 /**
-Which host to probe next: in random order, each once in a pass, mostly within the failure domain, where a probe is cheap
-and most hosts are probed by hosts that share their fate; some outside it, so that the loss of a whole failure domain is
-noticed. Hosts with a path fault get a share of the probes, to notice the end of the fault.
+Choice of the next host to probe: in random order, each once in a pass. Most probes stay within the failure domain, where
+they are cheap; some go outside it, so that the loss of a whole failure domain, whose hosts fail together, is detected.
+Part of the probes goes to hosts with a path fault, to detect the end of the fault.
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
-import {PROBES_PER_PATH_FAULT_PROBE, PROBES_PER_REMOTE_PROBE, MAX_SMALL_FLEET_HOSTS} from './constants.ts';
+import {MAX_SMALL_FLEET_HOSTS, PROBES_PER_PATH_FAULT_PROBE, PROBES_PER_REMOTE_PROBE} from './constants.ts';
 import {isPresent} from './members.ts';
 import type {MembershipState} from './state.ts';
 import {listPresentIds} from './table.ts';
 
 /**
-Picks the next host to probe, undefined when there is none.
+Picks the next host to probe; undefined when there is none.
 */
 export function pickProbeTarget(state: MembershipState, random: utils.Random): core.HostId | undefined {
 	if (state.pathFaults.size > 0 && state.probeCount % PROBES_PER_PATH_FAULT_PROBE === 0) {
--- a/packages/wagtailroute-membership/src/updates.ts
+++ b/packages/wagtailroute-membership/src/updates.ts
@@ -1,5 +1,5 @@
 /**
-News of hosts: what an update changes in the table, and what this host says to news of itself.
+Membership updates: how an update changes the table, and how this host refutes false updates about itself.
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
@@ -32,7 +32,7 @@
 };
 
 /**
-Takes updates from another host.
+Applies updates received from another host.
 */
 export function applyUpdates(
 	state: MembershipState,
@@ -46,7 +46,7 @@
 }
 
 /**
-Stores a record, queues it as news, and says so.
+Stores a record, queues it as an update for other hosts, and returns the effect that reports the change.
 */
 export function updateMember(state: MembershipState, member: Member, circumstances: core.Circumstances): Effect {
 	const known = state.table.members.get(member.id);
@@ -68,7 +68,7 @@
 }
 
 /**
-Suspects a host, or counts one more host that does.
+Starts a suspicion, or adds a confirmation to the one in progress. Ignores other incarnations than the known one.
 */
 export function applySuspicion(
 	state: MembershipState,
@@ -107,7 +107,7 @@
 }
 
 /**
-Changes this host's own record under a new incarnation.
+Changes this host's own record, raises its incarnation, and queues it as an update.
 */
 export function updateOwnRecord(state: MembershipState, change: Partial<Member>): Effect {
 	state.self = {...state.self, ...change, incarnation: state.self.incarnation + 1};
@@ -121,8 +121,8 @@
 }
 
 /**
-Objects to news of this host that aren't true, by a higher incarnation: that it is suspected, dead or left, or a record
-of an earlier process of the same name.
+Refutes a false update about this host with a higher incarnation: that it is suspected, dead or left, or a record of an
+earlier process with the same host id.
 */
 function refuteUpdate(state: MembershipState, update: Update): readonly Effect[] {
 	const {incarnation} = update.kind === 'alive' ? update.record : update;
@@ -186,14 +186,14 @@
 	};
 }
 
-// A host that comes is probed within this pass, like all others: one that dies right after it came is noticed as soon.
+// A new host is probed within the current pass, so that its death right after the join is detected as soon as any other.
 function insertIntoProbeOrder(state: MembershipState, member: Member, {random}: core.Circumstances): void {
 	const order = member.failureDomain === state.self.failureDomain ? state.probeOrders.local : state.probeOrders.remote;
 	order.splice(utils.pickIndex(random, order.length + 1), 0, member.id);
 }
 
 /**
-The news of this host itself.
+Creates the update that carries this host's own record, or that it has left.
 */
 export function createOwnUpdate(state: MembershipState): Update {
 	return state.self.state === 'left'
--- a/packages/wagtailroute-membership/src/wire.ts
+++ b/packages/wagtailroute-membership/src/wire.ts
@@ -1,14 +1,15 @@
 /**
-Records to and from their form on the wire.
+Conversion of records to and from their form on the wire.
 */
 import * as core from 'wagtailroute-core';
 import type {Member} from './members.ts';
 import type {Sender, Update, WireRecord} from './messages.ts';
 
+// The load is sent in steps of 1/100.
 const LOAD_SCALE = 100;
 
 /**
-Writes a host's record.
+Encodes a host's record.
 */
 export function encodeRecord(member: Member): WireRecord {
 	return {
@@ -28,7 +29,7 @@
 }
 
 /**
-Reads a host's record; the host is alive in it.
+Decodes a host's record. Its state is alive: other states are sent without a record.
 */
 export function decodeRecord(record: WireRecord): Member {
 	return {
@@ -49,7 +50,7 @@
 }
 
 /**
-Writes what a message tells of its sender.
+Encodes the sender of a message.
 */
 export function encodeSender(member: Member): Sender {
 	return {
@@ -63,7 +64,7 @@
 }
 
 /**
-Writes the news that a record is.
+Encodes a record as an update; `by` is the host that suspects it, if its state is suspect.
 */
 export function encodeUpdate(member: Member, by: core.HostId): Update {
 	const {id, incarnation, state} = member;
@@ -82,7 +83,7 @@
 }
 
 /**
-Reads `ip:port`, with brackets around an IPv6 number.
+Parses `ip:port`, with brackets around an IPv6 address.
 */
 export function parseAddress(text: string): core.Address {
 	const colonIndex = text.lastIndexOf(':');
