--- a/packages/wagtailroute-membership/src/__tests__/unit/membership.test.ts
+++ b/packages/wagtailroute-membership/src/__tests__/unit/membership.test.ts
@@ -1,14 +1,14 @@
 /**
-Tests of membership: machines in one process over a fake network, with simulated time.
+Tests of membership: state machines in one process over a simulated network, with simulated time.
 */
 import test from 'ava';
 import * as utils from 'wagtailroute-utils';
 import {
+	advanceTime,
 	createFleet,
 	describeHost,
 	type Fleet,
-	handle,
-	pass,
+	handleEvent,
 	startHost,
 } from '../../bench/fleet.ts';
 import * as membership from '../../index.ts';
@@ -28,9 +28,9 @@
 }
 
 /**
-States in which each host sees the subject, sorted and without repetition.
+Returns the distinct states in which the other hosts list the subject, sorted.
 */
-function getViews(fleet: Fleet, subject: string): string {
+function getViewedStates(fleet: Fleet, subject: string): string {
 	const views = fleet.hosts.entries()
 		.filter(([id]) => id !== subject)
 		.map(([, state]) => membership.getMembersById(state).get(subject)?.state ?? 'unknown');
@@ -41,7 +41,7 @@
 	return left < right ? -1 : Number(left > right);
 }
 
-function wasSeen(fleet: Fleet, subject: string, state: membership.MemberState): boolean {
+function hasObservation(fleet: Fleet, subject: string, state: membership.MemberState): boolean {
 	return fleet.observations.some(({member}) => member.id === subject && member.state === state);
 }
 
@@ -54,7 +54,7 @@
 	readonly hosts?: number;
 	readonly run: (fleet: Fleet) => void;
 	/**
-	What all others think of host-1 in the end.
+	Distinct states in which the other hosts list host-1 at the end.
 	*/
 	readonly views: string;
 	readonly neverSuspected?: true;
@@ -62,99 +62,95 @@
 	{
 		name: 'a healthy host is never suspected',
 		run(fleet) {
-			pass(fleet, 30_000);
+			advanceTime(fleet, 30_000);
 		},
 		views: 'alive',
 		neverSuspected: true,
 	},
 	{
-		name: 'a host that stops is dead for all within 12 seconds',
+		name: 'all others declare a stopped host dead within 12 seconds',
 		run(fleet) {
 			fleet.hosts.delete('host-1');
-			pass(fleet, 12_000);
+			advanceTime(fleet, 12_000);
 		},
 		views: 'dead',
 	},
 	{
-		name: 'one of two hosts that stops is dead for the other',
+		name: 'in a fleet of two, the other host declares a stopped host dead',
 		hosts: 2,
 		run(fleet) {
 			fleet.hosts.delete('host-1');
-			pass(fleet, 12_000);
+			advanceTime(fleet, 12_000);
 		},
 		views: 'dead',
 	},
 	{
-		name: 'a host that leaves is gone at once, without suspicion',
+		name: 'a host that leaves is listed as left at once, without suspicion',
 		run(fleet) {
-			handle(fleet, 'host-1', {kind: 'leave'});
-			pass(fleet, 1500);
+			handleEvent(fleet, 'host-1', {kind: 'leave'});
+			advanceTime(fleet, 1500);
 		},
 		views: 'left',
 		neverSuspected: true,
 	},
 	{
-		// Symptom: a host is taken out of the directory, though it serves and others reach it.
-		// Sequence: one link loses everything one way, so that direct probes over it fail.
-		// Cause: a probe without an answer was taken for a failure of the host, not of the path.
-		name: 'a host cut off one way from one other stays alive for all',
+		// A host must not leave the directory while it serves and others reach it: one path loses all messages in one
+		// direction, and a failed direct probe over it would count as a failure of the host instead of the path.
+		name: 'a host that one other can\'t reach stays alive for all',
 		run(fleet) {
-			fleet.isCut = (from, to) => from === 'host-0' && to === 'host-1';
-			pass(fleet, 60_000);
+			fleet.isBlocked = (from, to) => from === 'host-0' && to === 'host-1';
+			advanceTime(fleet, 60_000);
 		},
 		views: 'alive',
 		neverSuspected: true,
 	},
 	{
-		// Symptom: callers are sent to a host that can hear no one.
-		// Sequence: all messages to the host are lost, its own probes still reach the others.
-		// Cause: hearing from a host was taken for reaching it.
-		name: 'a host that is heard but hears nothing is dead for all',
+		// Callers must not be sent to a host that receives nothing: all messages to it are lost while its own probes reach
+		// the others, and would count as a sign that it is reachable.
+		name: 'a host that sends but receives nothing is declared dead by all',
 		run(fleet) {
-			fleet.isCut = (_from, to) => to === 'host-1';
-			pass(fleet, 14_000);
+			fleet.isBlocked = (_from, to) => to === 'host-1';
+			advanceTime(fleet, 14_000);
 		},
 		views: 'dead',
 	},
 	{
-		name: 'a host that hears all but isn\'t heard is dead for all',
+		name: 'a host that receives but whose messages are all lost is declared dead by all',
 		run(fleet) {
-			fleet.isCut = from => from === 'host-1';
-			pass(fleet, 14_000);
+			fleet.isBlocked = from => from === 'host-1';
+			advanceTime(fleet, 14_000);
 		},
 		views: 'dead',
 	},
 	{
-		// Symptom: a host stays dead for the fleet after its network is back.
-		// Sequence: cut off until it was declared dead, then reconnected; nobody probes the dead.
-		// Cause: a wrong word about a host never reached the host itself.
-		name: 'a host that was cut off and declared dead comes back by itself',
+		// A host must not stay dead after its network is back: dead hosts aren't probed, so nothing would send it the wrong
+		// record to refute.
+		name: 'a host that was partitioned off and declared dead becomes alive again by itself',
 		run(fleet) {
-			fleet.isCut = (from, to) => from === 'host-1' || to === 'host-1';
-			pass(fleet, 20_000);
-			fleet.isCut = () => false;
-			pass(fleet, 8000);
+			fleet.isBlocked = (from, to) => from === 'host-1' || to === 'host-1';
+			advanceTime(fleet, 20_000);
+			fleet.isBlocked = () => false;
+			advanceTime(fleet, 8000);
 		},
 		views: 'alive',
 	},
 	{
-		// Symptom: a restarted host stays dead, because its first incarnation is lower than that of its death.
-		// Sequence: killed, declared dead, restarted without memory.
-		// Cause: incarnations start at 0 with each process.
-		name: 'a host that restarts without memory comes back with its new boot',
+		// A host that was killed and declared dead must not stay dead after its restart: incarnations start at 0 with each
+		// process, below the incarnation at which it was declared dead.
+		name: 'a host that restarts after it was declared dead becomes alive with its new boot id',
 		run(fleet) {
 			fleet.hosts.delete('host-1');
-			pass(fleet, 14_000);
+			advanceTime(fleet, 14_000);
 			startHost(fleet, describeHost(fleet.settings, 1, 'second'));
-			pass(fleet, 3000);
+			advanceTime(fleet, 3000);
 		},
 		views: 'alive',
 	},
 	{
-		name: 'a host that restarts before anyone noticed is known with its new boot',
+		name: 'a host that restarts before any other detects it is known with its new boot id',
 		run(fleet) {
 			startHost(fleet, describeHost(fleet.settings, 1, 'second'));
-			pass(fleet, 3000);
+			advanceTime(fleet, 3000);
 		},
 		views: 'alive',
 		neverSuspected: true,
@@ -165,72 +161,70 @@
 	test(name, t => {
 		const fleet = createSmallFleet(hosts ?? 20);
 		run(fleet);
-		t.is(getViews(fleet, 'host-1'), views);
-		t.false(neverSuspected === true && wasSeen(fleet, 'host-1', 'suspect'));
+		t.is(getViewedStates(fleet, 'host-1'), views);
+		t.false(neverSuspected === true && hasObservation(fleet, 'host-1', 'suspect'));
 		const known = membership.getMembersById(getState(fleet, 'host-0')).get('host-1')!;
 		const running = fleet.hosts.get('host-1');
 		t.is(known.boot, running ? membership.getSelf(running).boot : 'first');
 
-		t.true(fleet.largest <= MAX_DATAGRAM_JSON_BYTES, `largest message ${fleet.largest}`);
+		t.true(fleet.largestMessageBytes <= MAX_DATAGRAM_JSON_BYTES, `largest message ${fleet.largestMessageBytes}`);
 	});
 }
 
 test('a host that only one other can\'t reach has a path fault there and nowhere else', t => {
 	const fleet = createSmallFleet(8);
-	fleet.isCut = (from, to) => from === 'host-1' && to === 'host-0';
-	pass(fleet, 20_000);
+	fleet.isBlocked = (from, to) => from === 'host-1' && to === 'host-0';
+	advanceTime(fleet, 20_000);
 	t.true(membership.hasPathFault(getState(fleet, 'host-0'), 'host-1'));
 	t.false(membership.isReachable(getState(fleet, 'host-0'), 'host-1'));
 	t.true(membership.isReachable(getState(fleet, 'host-2'), 'host-1'));
-	fleet.isCut = () => false;
-	pass(fleet, 20_000);
+	fleet.isBlocked = () => false;
+	advanceTime(fleet, 20_000);
 	t.true(membership.isReachable(getState(fleet, 'host-0'), 'host-1'));
 });
 
-test('a host that is cut off accuses nobody', t => {
-	// Symptom: a host with a broken network card floods the fleet with suspicions once it is back.
-	// Sequence: all its probes fail for a minute. Cause: it took its own fault for that of all others.
+test('an isolated host suspects nobody', t => {
+	// A host with a broken network card must not flood the fleet with suspicions once it is back: all its probes fail for
+	// a minute, and it would take its own fault for a failure of all others.
 	const fleet = createSmallFleet(20);
-	fleet.isCut = (from, to) => from === 'host-0' || to === 'host-0';
-	pass(fleet, 60_000);
+	fleet.isBlocked = (from, to) => from === 'host-0' || to === 'host-0';
+	advanceTime(fleet, 60_000);
 	t.true(membership.isIsolated(getState(fleet, 'host-0')));
 	const own = fleet.observations.filter(({observer, member}) => observer === 'host-0' && member.state !== 'alive');
 	t.deepEqual(own, []);
-	fleet.isCut = () => false;
-	pass(fleet, 10_000);
+	fleet.isBlocked = () => false;
+	advanceTime(fleet, 10_000);
 	t.false(membership.isIsolated(getState(fleet, 'host-0')));
-	t.is(getViews(fleet, 'host-0'), 'alive');
+	t.is(getViewedStates(fleet, 'host-0'), 'alive');
 });
 
-test('a host that was paused declares nobody dead when it wakes up', t => {
-	// Symptom: running hosts are declared dead by a host that was stopped for half a minute.
-	// Sequence: it suspects a host, is paused, and wakes up; the suspected host objected meanwhile.
-	// Cause: the suspicion's time ran out during the pause, and the tick came before the messages were read.
+test('a host that was paused declares nobody dead when it resumes', t => {
+	// A host must not declare running hosts dead after a pause of half a minute: a suspicion times out during the pause,
+	// and the first tick comes before the refutation is read from the socket.
 	const fleet = createSmallFleet(20);
 	const stopped = getState(fleet, 'host-1');
 	fleet.hosts.delete('host-1');
 	while (membership.isReachable(getState(fleet, 'host-0'), 'host-1')) {
-		pass(fleet, 100);
+		advanceTime(fleet, 100);
 	}
 
 	fleet.hosts.set('host-1', stopped);
 	const paused = getState(fleet, 'host-0');
 	fleet.hosts.delete('host-0');
-	pass(fleet, 30_000);
+	advanceTime(fleet, 30_000);
 	fleet.hosts.set('host-0', paused);
 	fleet.observations.length = 0;
-	handle(fleet, 'host-0', {kind: 'tick'});
-	pass(fleet, 10_000);
+	handleEvent(fleet, 'host-0', {kind: 'tick'});
+	advanceTime(fleet, 10_000);
 	const own = fleet.observations.filter(({observer, member}) => observer === 'host-0' && member.state === 'dead');
 	t.deepEqual(own, []);
-	t.is(getViews(fleet, 'host-1'), 'alive');
-	t.is(getViews(fleet, 'host-0'), 'alive');
+	t.is(getViewedStates(fleet, 'host-1'), 'alive');
+	t.is(getViewedStates(fleet, 'host-0'), 'alive');
 });
 
-test('a host that only heard of a suspicion leaves the word to those that failed to reach the other', t => {
-	// Symptom: under loss, every wrong suspicion in a large fleet ends in a false death.
-	// Sequence: a host is suspected and objects at once; one host in a thousand hears the first and not the second.
-	// Cause: each host that heard of the suspicion declared the death by itself when the time was over.
+test('a host that only received a suspicion leaves the declaration of death to hosts whose own probes failed', t => {
+	// Under loss, a wrong suspicion in a large fleet must not end in a false death: one host in a thousand receives the
+	// suspicion and misses the refutation, and would declare the death by itself at the timeout.
 	const fleet = createSmallFleet(20);
 	const from = {
 		id: 'host-5',
@@ -245,21 +239,21 @@
 		incarnation: 0,
 		by: 'host-5',
 	}] as const;
-	handle(fleet, 'host-0', {kind: 'receive', message: {kind: 'gossip', from, updates}});
-	fleet.isCut = (_from, to) => to === 'host-0';
-	pass(fleet, 10_000);
+	handleEvent(fleet, 'host-0', {kind: 'receive', message: {kind: 'gossip', from, updates}});
+	fleet.isBlocked = (_from, to) => to === 'host-0';
+	advanceTime(fleet, 10_000);
 	t.is(membership.getMembersById(getState(fleet, 'host-0')).get('host-1')?.state, 'suspect');
 	t.is(membership.getMembersById(getState(fleet, 'host-2')).get('host-1')?.state, 'alive');
 });
 
-test('two halves that declared each other dead join again', t => {
+test('two halves of a partition that declared each other dead merge again', t => {
 	const fleet = createSmallFleet(12);
-	const isLeft = (id: string): boolean => Number(id.slice(5)) < 6;
-	fleet.isCut = (from, to) => isLeft(from) !== isLeft(to);
-	pass(fleet, 40_000);
+	const isInFirstHalf = (id: string): boolean => Number(id.slice(5)) < 6;
+	fleet.isBlocked = (from, to) => isInFirstHalf(from) !== isInFirstHalf(to);
+	advanceTime(fleet, 40_000);
 	t.is(membership.getAliveMembers(getState(fleet, 'host-0')).length, 6);
-	fleet.isCut = () => false;
-	pass(fleet, 40_000);
+	fleet.isBlocked = () => false;
+	advanceTime(fleet, 40_000);
 	for (const state of fleet.hosts.values()) {
 		t.is(membership.getAliveMembers(state).length, 12);
 	}
@@ -280,25 +274,24 @@
 			loss: 0.05,
 			isJoined: false,
 		});
-		pass(fleet, milliseconds);
+		advanceTime(fleet, milliseconds);
 		const counts = fleet.hosts.values().map(state => membership.getAliveMembers(state).length).toArray();
 		t.deepEqual([...new Set(counts)], [hosts]);
-		t.true(fleet.largest <= MAX_DATAGRAM_JSON_BYTES, `largest message ${fleet.largest}`);
+		t.true(fleet.largestMessageBytes <= MAX_DATAGRAM_JSON_BYTES, `largest message ${fleet.largestMessageBytes}`);
 	});
 }
 
-test('a forgotten host isn\'t brought back by an old record', t => {
-	// Symptom: a host removed hours ago is listed again, suspected, dead, and so on forever.
-	// Sequence: its record is forgotten; a host that was cut off meanwhile still lists it as alive.
-	// Cause: nothing was left to say that the record is old.
+test('an expired host isn\'t restored by an old record', t => {
+	// A host removed hours ago must not be listed, suspected and declared dead again and again: a host that was partitioned
+	// off still lists it as alive after its record expired elsewhere, where nothing shows that the record is old.
 	const fleet = createSmallFleet(4);
 	const state = getState(fleet, 'host-0');
-	const gone = membership.getMembersById(state).get('host-3')!;
+	const expiredMember = membership.getMembersById(state).get('host-3')!;
 	fleet.hosts.delete('host-3');
-	pass(fleet, 15_000);
+	advanceTime(fleet, 15_000);
 	fleet.now += 600_000;
-	pass(fleet, 3000);
-	t.is(getViews(fleet, 'host-3'), 'unknown');
+	advanceTime(fleet, 3000);
+	t.is(getViewedStates(fleet, 'host-3'), 'unknown');
 	const from = {
 		id: 'host-1',
 		boot: 'first',
@@ -306,19 +299,19 @@
 		peer: '10.0.0.1:2',
 		revision: 0,
 	};
-	const updates = [{kind: 'alive', record: encodeRecord(gone)}] as const;
-	handle(fleet, 'host-0', {kind: 'receive', message: {kind: 'gossip', from, updates}});
-	t.is(getViews(fleet, 'host-3'), 'unknown');
+	const updates = [{kind: 'alive', record: encodeRecord(expiredMember)}] as const;
+	handleEvent(fleet, 'host-0', {kind: 'receive', message: {kind: 'gossip', from, updates}});
+	t.is(getViewedStates(fleet, 'host-3'), 'unknown');
 	startHost(fleet, describeHost(fleet.settings, 3, 'second'));
-	pass(fleet, 10_000);
-	t.is(getViews(fleet, 'host-3'), 'alive');
+	advanceTime(fleet, 10_000);
+	t.is(getViewedStates(fleet, 'host-3'), 'alive');
 });
 
-test('a draining host tells all, and its revision never falls', t => {
+test('all hosts receive that a host drains, and its revision never decreases', t => {
 	const fleet = createSmallFleet(20);
-	handle(fleet, 'host-1', {kind: 'update-self', draining: true, catalogueRevision: 7});
-	handle(fleet, 'host-1', {kind: 'update-self', catalogueRevision: 3});
-	pass(fleet, 2000);
+	handleEvent(fleet, 'host-1', {kind: 'update-self', draining: true, catalogueRevision: 7});
+	handleEvent(fleet, 'host-1', {kind: 'update-self', catalogueRevision: 3});
+	advanceTime(fleet, 2000);
 	for (const state of fleet.hosts.values()) {
 		const member = membership.getMembersById(state).get('host-1')!;
 		t.true(member.draining);
@@ -326,28 +319,28 @@
 	}
 });
 
-test('repeated and reordered messages change nothing in the end', t => {
+test('repeated and reordered messages don\'t change the final state', t => {
 	const fleet = createSmallFleet(12);
-	const kept: membership.Message[] = [];
+	const sentMessages: membership.Message[] = [];
 	const random = utils.createRandom(SEED);
 	for (let millisecond = 1; millisecond <= 2000; millisecond++) {
-		pass(fleet, 1);
-		const sent = fleet.due.get(fleet.now + 1) ?? [];
-		kept.push(...sent.map(flight => structuredClone(flight.message)));
+		advanceTime(fleet, 1);
+		const sent = fleet.inFlight.get(fleet.now + 1) ?? [];
+		sentMessages.push(...sent.map(delivery => structuredClone(delivery.message)));
 		if (millisecond % 100 === 0) {
-			handle(fleet, 'host-1', {kind: 'update-self', draining: millisecond % 200 === 0});
+			handleEvent(fleet, 'host-1', {kind: 'update-self', draining: millisecond % 200 === 0});
 		}
 	}
 
-	handle(fleet, 'host-1', {kind: 'update-self', draining: false});
+	handleEvent(fleet, 'host-1', {kind: 'update-self', draining: false});
 
-	const replayed = utils.shuffle(random, kept);
+	const replayed = utils.shuffle(random, sentMessages);
 	t.true(replayed.length > 100);
 	for (const message of replayed) {
-		handle(fleet, 'host-0', {kind: 'receive', message});
+		handleEvent(fleet, 'host-0', {kind: 'receive', message});
 	}
 
-	pass(fleet, 3000);
+	advanceTime(fleet, 3000);
 	for (const state of fleet.hosts.values()) {
 		t.is(membership.getAliveMembers(state).length, 12);
 		t.false(membership.getMembersById(state).get('host-1')!.draining);
@@ -360,8 +353,8 @@
 	test(`no running host is declared dead when ${loss} of all messages are lost`, t => {
 		t.log(`seed ${SEED}`);
 		const fleet = createSmallFleet(40, loss);
-		fleet.isMeasured = false;
-		pass(fleet, 120_000);
+		fleet.isCountingBytes = false;
+		advanceTime(fleet, 120_000);
 		t.is(fleet.observations.filter(({member}) => member.state === 'dead').length, 0);
 	});
 }
@@ -369,7 +362,7 @@
 const ADDRESSES = ['10.0.0.1:80', '[::1]:80'];
 
 for (const address of ADDRESSES) {
-	test(`the address ${address} keeps its form over the wire`, t => {
+	test(`a record with the address ${address} is the same after encoding and decoding`, t => {
 		const parsed = parseAddress(address);
 		const member = {
 			...describeHost({
--- a/packages/wagtailroute-membership/src/bench/fleet.ts
+++ b/packages/wagtailroute-membership/src/bench/fleet.ts
@@ -1,6 +1,6 @@
 /**
-A fake network of a few lines for the figures and tests of membership: machines in one process, simulated time, and
-messages that are delayed, lost or cut off.
+Simulated fleet for the benchmarks and tests of membership: state machines in one process, simulated time, and a network
+that delays, loses and blocks messages.
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
@@ -12,80 +12,83 @@
 export const TICK_MILLISECONDS = 50;
 
 /**
-Bytes around a message's JSON: IP and UDP heads, authentication tag, and the JSON-RPC envelope.
+Bytes around a message's JSON: IP and UDP headers, authentication tag, and the JSON-RPC envelope.
 */
 export const ENVELOPE_BYTES = 28 + 16 + 60;
 
-const DELAY_MILLISECONDS = 2;
+const MESSAGE_DELAY_MILLISECONDS = 2;
 
 /**
-Settings of a fleet.
+Settings of a simulated fleet.
 */
 export type FleetSettings = {
 	readonly hosts: number;
 	readonly domains: number;
 	readonly seed: number;
 	/**
-	Share of the messages that are lost.
+	Fraction of the messages that are lost, 0 to 1.
 	*/
 	readonly loss: number;
 	/**
-	Start with all hosts known to all; otherwise they join by the first one.
+	Whether all hosts know each other at the start; otherwise they join through the first two.
 	*/
 	readonly isJoined: boolean;
 };
 
 /**
-A change that a host noticed.
+A changed record at a host, in simulated milliseconds.
 */
 export type Observation = {readonly at: number; readonly observer: string; readonly member: membership.Member};
 
 /**
-A fleet and what went over its network.
+A simulated fleet and the traffic on its network.
 */
 export type Fleet = {
 	readonly settings: FleetSettings;
 	readonly hosts: Map<string, membership.MembershipState>;
 	readonly random: utils.Random;
 	/**
-	Says whether a message from one host to another is cut off.
+	Returns whether the network blocks messages from one host to another.
 	*/
-	isCut: (from: string, to: string) => boolean;
+	isBlocked: (from: string, to: string) => boolean;
 	loss: number;
 	now: number;
 	readonly observations: Observation[];
 	messages: number;
 	bytes: number;
-	largest: number;
+	largestMessageBytes: number;
 	/**
-	Measuring each message's JSON costs time; set when bytes are wanted.
+	Whether the bytes of each message are counted, which takes time to write its JSON.
 	*/
-	isMeasured: boolean;
-	readonly due: Map<number, Flight[]>;
+	isCountingBytes: boolean;
+	/**
+	Messages on their way, by the simulated millisecond of their arrival.
+	*/
+	readonly inFlight: Map<number, InFlightMessage[]>;
 };
 
-type Flight = {readonly from: string; readonly to: string; readonly message: membership.Message};
+type InFlightMessage = {readonly from: string; readonly to: string; readonly message: membership.Message};
 
 /**
-Creates a fleet; each host ticks at its own phase.
+Creates a fleet. Each host ticks at a phase given by its number.
 */
 export function createFleet(settings: FleetSettings): Fleet {
 	const fleet: Fleet = {
 		settings,
 		hosts: new Map(),
 		random: utils.createRandom(settings.seed),
-		isCut: () => false,
+		isBlocked: () => false,
 		loss: settings.loss,
 		now: 0,
 		observations: [],
 		messages: 0,
 		bytes: 0,
-		largest: 0,
-		isMeasured: true,
-		due: new Map(),
+		largestMessageBytes: 0,
+		isCountingBytes: true,
+		inFlight: new Map(),
 	};
 	const descriptions = Array.from({length: settings.hosts}, (_, index) => describeHost(settings, index, 'first'));
-	const members = settings.isJoined ? descriptions.map(description => createMember(description)) : [];
+	const members = settings.isJoined ? descriptions.map(description => createAliveMember(description)) : [];
 	for (const description of descriptions) {
 		startHost(fleet, description, members);
 	}
@@ -94,7 +97,7 @@
 }
 
 /**
-Describes the host of a number. Its port is its number, so that addresses lead back to hosts.
+Creates the description of a host from its number. Its port is its number plus 1, so that an address identifies its host.
 */
 export function describeHost(settings: FleetSettings, index: number, boot: string): membership.HostDescription {
 	const address = {ip: '10.0.0.1', port: index + 1};
@@ -111,7 +114,7 @@
 }
 
 /**
-Starts or restarts a host.
+Starts a host, or restarts it without its earlier state.
 */
 export function startHost(
 	fleet: Fleet,
@@ -127,9 +130,9 @@
 }
 
 /**
-Gives a host an event and sends what it sends.
+Passes an event to a host, sends its messages and records its changes.
 */
-export function handle(fleet: Fleet, id: string, event: membership.Event): void {
+export function handleEvent(fleet: Fleet, id: string, event: membership.Event): void {
 	const state = fleet.hosts.get(id);
 	if (!state) {
 		return;
@@ -146,29 +149,29 @@
 }
 
 /**
-Lets time pass, a millisecond at a time; a host ticks every 50 ms.
+Advances the simulated time by steps of one millisecond; each host ticks every `TICK_MILLISECONDS`.
 */
-export function pass(fleet: Fleet, milliseconds: number): void {
+export function advanceTime(fleet: Fleet, milliseconds: number): void {
 	const end = fleet.now + milliseconds;
-	const byPhase = Map.groupBy(fleet.hosts.keys(), id => Number(id.slice(id.indexOf('-') + 1)) % TICK_MILLISECONDS);
+	const hostsByPhase = Map.groupBy(fleet.hosts.keys(), id => Number(id.slice(id.indexOf('-') + 1)) % TICK_MILLISECONDS);
 	while (fleet.now < end) {
 		fleet.now++;
-		const flights = fleet.due.get(fleet.now) ?? [];
-		fleet.due.delete(fleet.now);
-		for (const {to, message} of flights) {
-			handle(fleet, to, {kind: 'receive', message});
+		const arrivals = fleet.inFlight.get(fleet.now) ?? [];
+		fleet.inFlight.delete(fleet.now);
+		for (const {to, message} of arrivals) {
+			handleEvent(fleet, to, {kind: 'receive', message});
 		}
 
-		for (const id of byPhase.get(fleet.now % TICK_MILLISECONDS) ?? []) {
-			handle(fleet, id, {kind: 'tick'});
+		for (const id of hostsByPhase.get(fleet.now % TICK_MILLISECONDS) ?? []) {
+			handleEvent(fleet, id, {kind: 'tick'});
 		}
 	}
 }
 
 /**
-A record as all know it from the start.
+Creates the record of a host that all hosts know from the start.
 */
-function createMember(description: membership.HostDescription): membership.Member {
+function createAliveMember(description: membership.HostDescription): membership.Member {
 	return {
 		...description,
 		incarnation: 0,
@@ -180,19 +183,19 @@
 
 function send(fleet: Fleet, from: string, effect: {readonly to: core.Address; readonly message: membership.Message}): void {
 	fleet.messages++;
-	if (fleet.isMeasured) {
+	if (fleet.isCountingBytes) {
 		const bytes = JSON.stringify(effect.message).length;
 		fleet.bytes += bytes + ENVELOPE_BYTES;
-		fleet.largest = Math.max(fleet.largest, bytes);
+		fleet.largestMessageBytes = Math.max(fleet.largestMessageBytes, bytes);
 	}
 
 	const to = `host-${effect.to.port - 1}`;
-	if (fleet.isCut(from, to) || fleet.random() < fleet.loss) {
+	if (fleet.isBlocked(from, to) || fleet.random() < fleet.loss) {
 		return;
 	}
 
-	const at = fleet.now + DELAY_MILLISECONDS;
-	const flights = fleet.due.get(at) ?? [];
-	flights.push({from, to, message: effect.message});
-	fleet.due.set(at, flights);
+	const arrivesAt = fleet.now + MESSAGE_DELAY_MILLISECONDS;
+	const deliveries = fleet.inFlight.get(arrivesAt) ?? [];
+	deliveries.push({from, to, message: effect.message});
+	fleet.inFlight.set(arrivesAt, deliveries);
 }
--- a/packages/wagtailroute-membership/src/bench/restarts.bench.ts
+++ b/packages/wagtailroute-membership/src/bench/restarts.bench.ts
@@ -1,20 +1,20 @@
 /**
-What membership costs a host by the size of the fleet: messages, bytes, processor time and memory while nothing happens,
-the bytes of the whole fleet for one restart, and a storm in which a tenth of the hosts restarts at once.
+Benchmark of the cost of membership per host by the size of the fleet: messages, bytes, CPU time and memory of a quiet
+fleet, the bytes of the whole fleet for one restart, and a storm in which a tenth of the hosts restarts at once.
 
-Simulated time, fixed seed; all but processor time and memory is deterministic. A restarted host comes back at once under
-its name, with a new boot id and without memory.
+Simulated time, fixed seed; all figures but CPU time and memory are deterministic. A restarted host keeps its id, gets a
+new boot id and starts without its earlier state.
 */
 import * as process from 'node:process';
 import * as v8 from 'node:v8';
 import * as vm from 'node:vm';
 import * as membership from '../index.ts';
 import {
+	advanceTime,
 	createFleet,
 	describeHost,
 	type Fleet,
 	type FleetSettings,
-	pass,
 	startHost,
 } from './fleet.ts';
 
@@ -27,16 +27,17 @@
 const QUIET_MILLISECONDS = 4000;
 const CHURN_MILLISECONDS = 5000;
 const CHURN_RESTARTS = 5;
-const STORM_SHARE = 0.1;
-const STORM_LIMIT_MILLISECONDS = 60_000;
-const STORM_LOOK_MILLISECONDS = 250;
-const MOST = 0.99;
-const SECOND = 1000;
+const STORM_FRACTION = 0.1;
+const MAX_STORM_MILLISECONDS = 60_000;
+const CHECK_INTERVAL_MILLISECONDS = 250;
+const MOST_PAIRS_FRACTION = 0.99;
+const MILLISECONDS_PER_SECOND = 1000;
 
 /**
-Bytes a second of a host in the largest fleet over those in the smallest: the cost a host must not grow with the fleet.
+Highest allowed ratio of a host's bytes per second in the largest fleet to those in the smallest: the cost per host must
+not grow with the fleet.
 */
-const GROWTH_BOUND = 1.5;
+const MAX_BYTES_GROWTH = 1.5;
 
 type QuietRow = {
 	readonly measure: 'quiet';
@@ -46,7 +47,7 @@
 	readonly cpuMicrosecondsPerSecond: number;
 	readonly heapBytes: number;
 	/**
-	Of all hosts together for one restart.
+	Cost of one restart, over all hosts.
 	*/
 	readonly bytesPerRestart: number;
 	readonly messagesPerRestart: number;
@@ -58,26 +59,26 @@
 	readonly hosts: number;
 	readonly restarted: number;
 	/**
-	Means of a host until all know all new boots.
+	Means per host until all hosts know all new boot ids.
 	*/
 	readonly bytesPerSecond: number;
 	readonly cpuMicrosecondsPerSecond: number;
 	/**
-	Milliseconds until 99 in 100 pairs of a host and a restarted one know of the restart, and until all do.
+	Milliseconds until in 99 in 100 pairs of a host and a restarted one the host knows the new boot id, and until in all.
 	*/
 	readonly mostKnownMilliseconds: number;
 	readonly allKnownMilliseconds: number;
 };
 
 /**
-Measures all sizes.
+Entry point for `scripts/bench.ts`: returns the rows of all sizes and the bounds that don't hold.
 */
 export async function run(): Promise<{
 	title: string;
 	rows: ReadonlyArray<QuietRow | StormRow>;
 	broken: readonly string[];
 }> {
-	// Before there are fleets, whose end would be taken for a gain.
+	// Measured before any fleet exists: the collection of a fleet would reduce the measured heap.
 	const heaps = SIZES.map(hosts => measureHeap(describeFleet(hosts)));
 	const quiet = SIZES.map((hosts, index) => measureQuiet(hosts, heaps[index]!));
 	const storms = STORM_SIZES.map(hosts => measureStorm(hosts));
@@ -86,15 +87,15 @@
 		title: 'Membership: cost of a host by the size of the fleet, quiet and with restarts',
 		rows: [...quiet, ...storms],
 		broken: [
-			...ratio > GROWTH_BOUND ? [`the bytes of a host grow ${ratio.toFixed(2)} times with the fleet`] : [],
-			...storms.filter(row => row.allKnownMilliseconds === Infinity).map(row => `${row.hosts} hosts: a storm of restarts doesn't settle`),
+			...ratio > MAX_BYTES_GROWTH ? [`the bytes of a host grow ${ratio.toFixed(2)} times with the fleet`] : [],
+			...storms.filter(row => row.allKnownMilliseconds === Infinity).map(row => `${row.hosts} hosts: not all hosts know the new boot ids after a storm of restarts`),
 		],
 	};
 }
 
 function createJoinedFleet(hosts: number): Fleet {
 	const fleet = createFleet(describeFleet(hosts));
-	pass(fleet, SETTLE_MILLISECONDS);
+	advanceTime(fleet, SETTLE_MILLISECONDS);
 	return fleet;
 }
 
@@ -106,46 +107,46 @@
 
 function measureQuiet(hosts: number, heapBytes: number): QuietRow {
 	const fleet = createJoinedFleet(hosts);
-	const quiet = measurePass(fleet, QUIET_MILLISECONDS);
-	const churn = measurePass(fleet, CHURN_MILLISECONDS, at => {
+	const quiet = measureCost(fleet, QUIET_MILLISECONDS);
+	const churn = measureCost(fleet, CHURN_MILLISECONDS, at => {
 		if (at % (CHURN_MILLISECONDS / CHURN_RESTARTS) === 0) {
-			restart(fleet, 2 + (at / SECOND), `churn-${at}`);
+			restart(fleet, 2 + (at / MILLISECONDS_PER_SECOND), `churn-${at}`);
 		}
 	});
-	const getPerRestart = (unit: keyof Cost) =>
-		Math.round((churn[unit] - quiet[unit]) * hosts * CHURN_MILLISECONDS / SECOND / CHURN_RESTARTS);
+	const getCostPerRestart = (cost: keyof Cost) =>
+		Math.round((churn[cost] - quiet[cost]) * hosts * CHURN_MILLISECONDS / MILLISECONDS_PER_SECOND / CHURN_RESTARTS);
 	return {
 		measure: 'quiet',
 		hosts,
-		messagesPerSecond: round(quiet.messages),
+		messagesPerSecond: roundToHundredths(quiet.messages),
 		bytesPerSecond: Math.round(quiet.bytes),
-		cpuMicrosecondsPerSecond: Math.round(quiet.microseconds),
+		cpuMicrosecondsPerSecond: Math.round(quiet.cpuMicroseconds),
 		heapBytes,
-		bytesPerRestart: getPerRestart('bytes'),
-		messagesPerRestart: getPerRestart('messages'),
-		cpuMicrosecondsPerRestart: getPerRestart('microseconds'),
+		bytesPerRestart: getCostPerRestart('bytes'),
+		messagesPerRestart: getCostPerRestart('messages'),
+		cpuMicrosecondsPerRestart: getCostPerRestart('cpuMicroseconds'),
 	};
 }
 
-type Cost = {readonly messages: number; readonly bytes: number; readonly microseconds: number};
+type Cost = {readonly messages: number; readonly bytes: number; readonly cpuMicroseconds: number};
 
 /**
-Returns what passes a second a host. The processor time includes the fake network and the measuring of the bytes.
+Returns the mean cost per host and second. The CPU time includes the simulated network and the counting of bytes.
 */
-function measurePass(fleet: Fleet, milliseconds: number, act: (at: number) => void = () => undefined): Cost {
+function measureCost(fleet: Fleet, milliseconds: number, onStep: (at: number) => void = () => undefined): Cost {
 	const {messages, bytes} = fleet;
 	const start = process.cpuUsage();
-	for (let at = 0; at < milliseconds; at += STORM_LOOK_MILLISECONDS) {
-		act(at);
-		pass(fleet, STORM_LOOK_MILLISECONDS);
+	for (let at = 0; at < milliseconds; at += CHECK_INTERVAL_MILLISECONDS) {
+		onStep(at);
+		advanceTime(fleet, CHECK_INTERVAL_MILLISECONDS);
 	}
 
 	const used = process.cpuUsage(start);
-	const hostSeconds = fleet.hosts.size * milliseconds / SECOND;
+	const hostSeconds = fleet.hosts.size * milliseconds / MILLISECONDS_PER_SECOND;
 	return {
 		messages: (fleet.messages - messages) / hostSeconds,
 		bytes: (fleet.bytes - bytes) / hostSeconds,
-		microseconds: (used.user + used.system) / hostSeconds,
+		cpuMicroseconds: (used.user + used.system) / hostSeconds,
 	};
 }
 
@@ -154,10 +155,10 @@
 	return `host-${index}`;
 }
 
-// The two seeds stay: a fleet without any of its seeds is another matter.
+// The two seeds keep running: a fleet that loses all seeds is a different case.
 function measureStorm(hosts: number): StormRow {
 	const fleet = createJoinedFleet(hosts);
-	const count = Math.round(hosts * STORM_SHARE);
+	const count = Math.round(hosts * STORM_FRACTION);
 	const step = Math.floor((hosts - 2) / count);
 	const restarted = Array.from({length: count}, (_, number) => restart(fleet, 2 + (number * step), 'storm'));
 	const startedAt = fleet.now;
@@ -165,15 +166,15 @@
 	const start = process.cpuUsage();
 	let mostKnownAt = Infinity;
 	let known = 0;
-	while (fleet.now - startedAt < STORM_LIMIT_MILLISECONDS && known < 1) {
-		pass(fleet, STORM_LOOK_MILLISECONDS);
-		known = getKnownShare(fleet, restarted);
-		mostKnownAt = known >= MOST ? Math.min(mostKnownAt, fleet.now) : mostKnownAt;
+	while (fleet.now - startedAt < MAX_STORM_MILLISECONDS && known < 1) {
+		advanceTime(fleet, CHECK_INTERVAL_MILLISECONDS);
+		known = getKnownFraction(fleet, restarted);
+		mostKnownAt = known >= MOST_PAIRS_FRACTION ? Math.min(mostKnownAt, fleet.now) : mostKnownAt;
 	}
 
 	const used = process.cpuUsage(start);
 	const milliseconds = fleet.now - startedAt;
-	const hostSeconds = hosts * milliseconds / SECOND;
+	const hostSeconds = hosts * milliseconds / MILLISECONDS_PER_SECOND;
 	return {
 		measure: 'storm',
 		hosts,
@@ -186,9 +187,9 @@
 }
 
 /**
-Share of the pairs of a host and a restarted one in which the host knows the new boot.
+Returns the fraction of the pairs of a host and a restarted one in which the host knows the new boot id.
 */
-function getKnownShare(fleet: Fleet, restarted: readonly string[]): number {
+function getKnownFraction(fleet: Fleet, restarted: readonly string[]): number {
 	let known = 0;
 	for (const state of fleet.hosts.values()) {
 		const members = membership.getMembersById(state);
@@ -199,18 +200,18 @@
 }
 
 /**
-Memory of one host that knows all others, each record as it came over the network. The larger of two runs: the first one
-also frees what compiling and flattening left behind.
+Returns the heap bytes of one host that knows all others, each record parsed as if received from the network. The result
+is the larger of two runs: the first one also frees garbage left by compilation and by flattened strings.
 */
 function measureHeap(settings: FleetSettings): number {
 	const text = JSON.stringify(Array.from({length: settings.hosts}, (_, index) => ({
 		...describeHost(settings, index, `boot-${index}`), incarnation: 0, state: 'alive', draining: false, catalogueRevision: 0,
 	})));
-	const kept: membership.MembershipState[] = [];
+	const states: membership.MembershipState[] = [];
 	const runs = [1, 2].map(() => {
 		collectGarbage();
 		const before = process.memoryUsage().heapUsed;
-		kept.push(membership.createMembership({
+		states.push(membership.createMembership({
 			self: describeHost(settings, 0, 'boot-0'),
 			seeds: [],
 			members: JSON.parse(text) as membership.Member[],
@@ -219,15 +220,15 @@
 		collectGarbage();
 		return process.memoryUsage().heapUsed - before;
 	});
-	return kept.every(state => membership.getMembersById(state).size === settings.hosts) ? Math.max(...runs) : NaN;
+	return states.every(state => membership.getMembersById(state).size === settings.hosts) ? Math.max(...runs) : NaN;
 }
 
-function round(value: number): number {
+function roundToHundredths(value: number): number {
 	return Math.round(value * 100) / 100;
 }
 
 function collectGarbage(): void {
-	// The flag counts for contexts made after it.
+	// The flag affects only contexts created after it is set.
 	v8.setFlagsFromString('--expose-gc');
 	(vm.runInNewContext('gc') as () => void)();
 }
--- a/packages/wagtailroute-membership/src/machine.ts
+++ b/packages/wagtailroute-membership/src/machine.ts
@@ -1,38 +1,38 @@
 /**
-The machine of membership: events to effects, by tables of handlers.
+The state machine of membership: tables of handlers map events and messages to effects.
 */
 import type * as core from 'wagtailroute-core';
 import {
-	FORGET_SCAN_MILLISECONDS,
+	EXPIRY_SCAN_INTERVAL_MILLISECONDS,
 	GOSSIP_FANOUT,
-	GOSSIP_MILLISECONDS,
-	PAUSE_MILLISECONDS,
+	GOSSIP_INTERVAL_MILLISECONDS,
+	MIN_PAUSE_MILLISECONDS,
 } from './constants.ts';
 import {
 	answerDigest,
 	answerFetch,
 	compareVersions,
+	handleSame,
 	runExchange,
 	runReconnect,
-	takeSame,
 } from './exchange.ts';
 import type {Effect, Event, Message} from './messages.ts';
-import {changeSelf, describeSelf, takeNews} from './news.ts';
+import {applyUpdates, createOwnUpdate, updateOwnRecord} from './updates.ts';
 import {
 	answerPing,
+	handleAck,
+	handleRelaying,
 	relayPing,
 	runProbe,
-	takeAck,
-	takeRelaying,
 } from './probing.ts';
-import {takeSender} from './senders.ts';
-import {pickMembers, sendNews, sendWith} from './sending.ts';
+import {handleSender} from './senders.ts';
+import {pickMembers, sendMessage, sendWithQueuedUpdates} from './sending.ts';
 import type {MembershipState} from './state.ts';
 import {runSuspicions} from './suspicion.ts';
-import {forgetMembers, storeMember} from './table.ts';
+import {expireMembers, storeMember} from './table.ts';
 import {parseAddress} from './wire.ts';
 
-// Hosts that a leaving host tells itself, besides the gossip.
+// Hosts that a leaving host notifies directly, besides the gossip.
 const LEAVE_FANOUT = 8;
 
 type MessageHandlers = {
@@ -53,12 +53,12 @@
 
 const MESSAGE_HANDLERS: MessageHandlers = {
 	ping: answerPing,
-	ack: takeAck,
+	ack: handleAck,
 	request: relayPing,
-	relaying: takeRelaying,
+	relaying: handleRelaying,
 	gossip: () => [],
 	digest: (state, message, {random}) => answerDigest(state, message, random),
-	same: takeSame,
+	same: handleSame,
 	versions: compareVersions,
 	fetch: answerFetch,
 };
@@ -71,7 +71,7 @@
 };
 
 /**
-Handles an event. The state that it returns is the one given, see the table.
+Handles an event. Returns the given state, which is mutable; see the table for the reason.
 */
 export const stepMembership: core.Step<MembershipState, Event, Effect> = (state, event, circumstances) => {
 	const handler = EVENT_HANDLERS[event.kind];
@@ -90,26 +90,26 @@
 		...runGossip(state, circumstances),
 		...runExchange(state, circumstances),
 		...runReconnect(state, circumstances),
-		...runForget(state, circumstances.now),
+		...runExpiry(state, circumstances.now),
 	];
 }
 
 /**
-Starts the waits anew after a pause of this process (a long garbage collection, a stopped virtual machine). The answers
-and objections that came meanwhile still wait in the socket: without this, the first tick would declare dead whoever was
-suspected before, and the whole fleet would see running hosts die whenever a host wakes up.
+Drops the probe and restarts the suspicion timeouts after a pause of this process (a long garbage collection, a stopped
+virtual machine). Answers and refutations that arrived during the pause are still unread in the socket: without this, the
+first tick would declare all suspected hosts dead, and the whole fleet would see running hosts die after each pause.
 */
 function resumeAfterPause(state: MembershipState, now: number): void {
-	const last = state.lastTickAt ?? now;
+	const lastTickAt = state.lastTickAt ?? now;
 	state.lastTickAt = now;
-	if (now - last < PAUSE_MILLISECONDS) {
+	if (now - lastTickAt < MIN_PAUSE_MILLISECONDS) {
 		return;
 	}
 
 	state.probe = undefined;
 	for (const suspicion of state.suspicions.values()) {
 		suspicion.startedAt = now;
-		suspicion.ownSince &&= now;
+		suspicion.ownProbeFailedAt &&= now;
 	}
 }
 
@@ -118,22 +118,22 @@
 	message: Message,
 	circumstances: core.Circumstances,
 ): readonly Effect[] {
-	// A host's own messages come back when a seed is its own address under another name.
+	// A host receives its own messages when a seed is its own address in another form.
 	if (message.from.id === state.self.id && message.from.boot === state.self.boot) {
 		return [];
 	}
 
 	const {incarnation} = state.self;
-	const news = takeNews(state, message.updates ?? [], circumstances);
-	// Whoever was wrong about this host hears it first: it may be on the other side of a healed partition.
-	const objection = state.self.incarnation > incarnation
-		? [sendWith(state, parseAddress(message.from.peer), {kind: 'gossip'}, [describeSelf(state)])]
+	const effects = applyUpdates(state, message.updates ?? [], circumstances);
+	// The sender of the wrong update gets the refutation directly: it may be on the other side of a healed partition.
+	const refutation = state.self.incarnation > incarnation
+		? [sendMessage(state, parseAddress(message.from.peer), {kind: 'gossip'}, [createOwnUpdate(state)])]
 		: [];
 	const handler = MESSAGE_HANDLERS[message.kind];
 	return [
-		...news,
-		...objection,
-		...takeSender(state, message.from),
+		...effects,
+		...refutation,
+		...handleSender(state, message.from),
 		...handler(state, message as never, circumstances),
 	];
 }
@@ -144,9 +144,10 @@
 ): readonly Effect[] {
 	const {draining = state.self.draining, load = state.self.load} = event;
 	const catalogueRevision = Math.max(state.self.catalogueRevision, event.catalogueRevision ?? 0);
-	// Revision and load travel with each message anyhow: no news for them, 2,400 hosts change their load every second.
+	// Every message carries the sender's revision and load, so no update is queued for them: 2,400 hosts change their load
+	// every second.
 	if (draining !== state.self.draining) {
-		return [changeSelf(state, {draining, load, catalogueRevision})];
+		return [updateOwnRecord(state, {draining, load, catalogueRevision})];
 	}
 
 	state.self = {...state.self, load, catalogueRevision};
@@ -155,27 +156,27 @@
 }
 
 function leaveFleet(state: MembershipState, random: () => number): readonly Effect[] {
-	const change = changeSelf(state, {state: 'left'});
-	const told = pickMembers(state, LEAVE_FANOUT, random);
-	const update = describeSelf(state);
-	return [change, ...told.map(member => sendWith(state, member.peerAddress, {kind: 'gossip'}, [update]))];
+	const change = updateOwnRecord(state, {state: 'left'});
+	const receivers = pickMembers(state, LEAVE_FANOUT, random);
+	const update = createOwnUpdate(state);
+	return [change, ...receivers.map(member => sendMessage(state, member.peerAddress, {kind: 'gossip'}, [update]))];
 }
 
 function runGossip(state: MembershipState, {now, random}: core.Circumstances): readonly Effect[] {
-	if (state.updates.size === 0 || state.nextGossipAt > now) {
+	if (state.updateQueue.size === 0 || state.nextGossipAt > now) {
 		return [];
 	}
 
-	state.nextGossipAt = now + GOSSIP_MILLISECONDS;
+	state.nextGossipAt = now + GOSSIP_INTERVAL_MILLISECONDS;
 	return pickMembers(state, GOSSIP_FANOUT, random)
-		.map(member => sendNews(state, member.peerAddress, {kind: 'gossip'}));
+		.map(member => sendWithQueuedUpdates(state, member.peerAddress, {kind: 'gossip'}));
 }
 
-function runForget(state: MembershipState, now: number): readonly Effect[] {
-	if (state.nextForgetAt > now) {
+function runExpiry(state: MembershipState, now: number): readonly Effect[] {
+	if (state.nextExpiryScanAt > now) {
 		return [];
 	}
 
-	state.nextForgetAt = now + FORGET_SCAN_MILLISECONDS;
-	return forgetMembers(state.table, now).map(id => ({kind: 'forgotten', id}));
+	state.nextExpiryScanAt = now + EXPIRY_SCAN_INTERVAL_MILLISECONDS;
+	return expireMembers(state.table, now).map(id => ({kind: 'forgotten', id}));
 }
