--- a/packages/wagtailroute-detection/src/__tests__/unit/codec.test.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/codec.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of the compact text of summaries.
+Tests of the compact text encoding of summaries.
 */
 import {Buffer} from 'node:buffer';
 import test from 'ava';
@@ -18,7 +18,7 @@
 	{selector: ({id}) => id},
 );
 
-test('what is written is read', t => {
+test('decoding returns what was encoded', t => {
 	const seed = 21;
 	t.log(`seed ${seed}`);
 	fc.assert(fc.property(UPSTREAMS, fc.nat(), (upstreams, salt) => {
@@ -26,10 +26,8 @@
 	}), {seed, numRuns: 300});
 });
 
-test('text cut short or of another sort is refused or read in part, and ends', t => {
-	// Symptom: a host stops at a message of another version.
-	// Sequence: any bytes arrive where a summary is expected.
-	// Cause: a count that is read and believed.
+test('truncated or foreign text is refused or decoded in part, and decoding ends', t => {
+	// Guards against a decoder that trusts counts in arbitrary bytes, and hangs at a message of another version.
 	const seed = 22;
 	t.log(`seed ${seed}`);
 	fc.assert(fc.property(fc.uint8Array({maxLength: 200}), bytes => {
@@ -42,22 +40,21 @@
 	t.is(detection.decodeUpstreamSummaries(text.slice(0, 4), IDS, 1), undefined);
 });
 
-test('evidence about upstreams whose hashes are the same counts for neither', t => {
-	// Symptom: a healthy upstream is ejected for another one's failures.
-	// Sequence: two names of one service have the same hash.
-	// Cause: the reader takes the first name that fits.
+test('evidence about upstreams with the same hash counts for neither', t => {
+	// Guards against the ejection of a healthy upstream for the failures of another one: the ids of two upstreams of one service
+	// have the same hash, and the decoder uses the first id that matches.
 	const names = Array.from({length: 12_000}, (_, index) => `u-${index}`);
-	const one = (id: string) => detection.encodeUpstreamSummaries([{
+	const encode = (id: string) => detection.encodeUpstreamSummaries([{
 		id, successes: 1, failures: {}, sheds: 0, latencies: [],
 	}], 1);
 	const seen = new Map<string, string>();
 	const pair = names.flatMap(id => {
-		const text = one(id);
+		const text = encode(id);
 		const other = seen.get(text);
 		seen.set(text, id);
 		return other === undefined ? [] : [[other, id]];
 	})[0];
 	t.truthy(pair);
-	t.deepEqual(detection.decodeUpstreamSummaries(one(pair![0]!), pair!, 1), []);
-	t.is(detection.decodeUpstreamSummaries(one(pair![0]!), [pair![0]!], 1)?.length, 1);
+	t.deepEqual(detection.decodeUpstreamSummaries(encode(pair![0]!), pair!, 1), []);
+	t.is(detection.decodeUpstreamSummaries(encode(pair![0]!), [pair![0]!], 1)?.length, 1);
 });
--- a/packages/wagtailroute-detection/src/__tests__/unit/detection.test.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/detection.test.ts
@@ -19,11 +19,11 @@
 
 const CASES: readonly Case[] = [
 	{name: 'all healthy', getReport: () => HEALTHY, ejected: []},
-	{name: 'one fails', getReport: only('0', {successes: 0, failures: 3}), ejected: ['0']},
-	{name: 'one fails for a third', getReport: only('0', {successes: 2, failures: 1}), ejected: ['0']},
-	{name: 'one is four times as slow', getReport: only('0', {successes: 2, bucket: 28}), ejected: ['0']},
-	{name: 'one is 40% slower', getReport: only('0', {successes: 2, bucket: 22}), ejected: []},
-	{name: 'one sheds', getReport: only('0', {successes: 1, sheds: 9}), ejected: []},
+	{name: 'one fails', getReport: reportSick('0', {successes: 0, failures: 3}), ejected: ['0']},
+	{name: 'one fails for a third', getReport: reportSick('0', {successes: 2, failures: 1}), ejected: ['0']},
+	{name: 'one is four times as slow', getReport: reportSick('0', {successes: 2, bucket: 28}), ejected: ['0']},
+	{name: 'one is 40% slower', getReport: reportSick('0', {successes: 2, bucket: 22}), ejected: []},
+	{name: 'one sheds', getReport: reportSick('0', {successes: 1, sheds: 9}), ejected: []},
 	{name: 'all fail for a third', getReport: () => ({successes: 2, failures: 1}), ejected: []},
 	{name: 'all are slow', getReport: () => ({successes: 2, bucket: 32}), ejected: []},
 	{name: 'half fail', getReport: upstream => ['0', '1', '2'].includes(upstream) ? {successes: 0, failures: 3} : HEALTHY, ejected: []},
@@ -50,15 +50,14 @@
 			const subject = service.createService({operatingPoint});
 			subject.run(20_000, () => HEALTHY);
 			const effects = subject.run(5000, getReport);
-			t.deepEqual([...new Set(getRequested(effects))], ejected);
+			t.deepEqual([...new Set(listRequestedEjections(effects))], ejected);
 		});
 	}
 }
 
 test('upstreams that are all equally bad are never ejected, whatever the rate', t => {
-	// Symptom: a dependency fails, and the fleet takes out one upstream after the other.
-	// Sequence: all upstreams fail at the same rate; by chance one fails more often for a while.
-	// Cause: a limit that doesn't move with the peers.
+	// Guards against the ejection of one upstream after the other when a common dependency fails: all upstreams fail at the same
+	// rate, one by chance more often for a while, and the limit doesn't follow the peers.
 	const seed = 3;
 	t.log(`seed ${seed}`);
 	const rates = fc.double({min: 0.02, max: 0.9, noNaN: true});
@@ -70,14 +69,13 @@
 			const failures = [0, 1, 2, 3].filter(() => random() < rate).length;
 			return {successes: 4 - failures, failures};
 		});
-		t.deepEqual(getRequested(effects), []);
+		t.deepEqual(listRequestedEjections(effects), []);
 	}), {seed, numRuns: 25});
 });
 
-test('a host steers away from what it alone cannot reach, and only there', t => {
-	// Symptom: one host's requests to one upstream fail while the upstream is well.
-	// Sequence: the path from host 0 to upstream 0 breaks; the other hosts go on.
-	// Cause: a one-way partition, not a sick upstream.
+test('a host steers away from an upstream that it alone cannot reach, and from no other', t => {
+	// Guards against a host that keeps sending requests over a broken path: after a one-way partition, only host 0 can't reach
+	// upstream 0, which is healthy.
 	const subject = service.createService();
 	subject.run(5000, () => HEALTHY);
 	const effects = subject.run(3000, (upstream, host) =>
@@ -87,69 +85,65 @@
 	t.true(steered.every(effect => effect.kind === 'steer-away' && effect.upstream === '0'));
 });
 
-test('a host that reaches no upstream reports itself and steers nowhere', t => {
-	// Symptom: all requests of one host fail, and its load falls on the few upstreams that it still reaches.
-	// Sequence: host 0 loses its way to all upstreams at once.
-	// Cause: its own network.
+test('a host that reaches no upstream reports its own network and requests no ejection', t => {
+	// Guards against a host that sends its whole load to the few upstreams that it still reaches: host 0 loses its connections to
+	// all upstreams at once through a fault of its own network.
 	const subject = service.createService();
 	subject.run(5000, () => HEALTHY);
 	const effects = subject.run(3000, (_upstream, host) => host === 0 ? {successes: 0, failures: 3} : HEALTHY);
 	t.is(effects.filter(({kind}) => kind === 'report-self').length, 1);
-	t.deepEqual(getRequested(effects), []);
+	t.deepEqual(listRequestedEjections(effects), []);
 });
 
-test('a refused ejection becomes a preference, and is asked for again', t => {
-	// Symptom: a sick upstream keeps its work because the floor is reached or the grantor can't be asked.
-	// Sequence: a request for a grant is refused.
-	// Cause: the floor goes before the ejection; the host may only prefer others.
+test('after a refused ejection the host steers away, and requests the ejection again', t => {
+	// Guards against a sick upstream that keeps its work because the floor is reached or the grantor is unreachable: the floor has
+	// priority over the ejection, so the host may only prefer other upstreams.
 	const subject = service.createService();
 	subject.run(5000, () => HEALTHY);
-	const sick = only('0', {successes: 0, failures: 3});
-	t.deepEqual(getRequested(subject.run(500, sick)), ['0']);
+	const sick = reportSick('0', {successes: 0, failures: 3});
+	t.deepEqual(listRequestedEjections(subject.run(500, sick)), ['0']);
 	const refused = subject.send({kind: 'refused', upstream: '0', reason: 'unreachable'});
 	t.like(refused, [{kind: 'steer-away', upstream: '0', cause: 'refused'}]);
-	t.deepEqual(getRequested(subject.run(1500, sick)), []);
-	t.deepEqual(getRequested(subject.run(1500, sick)), ['0']);
+	t.deepEqual(listRequestedEjections(subject.run(1500, sick)), []);
+	t.deepEqual(listRequestedEjections(subject.run(1500, sick)), ['0']);
 });
 
-test('an ejected upstream is tried after a wait that doubles, and comes back after a good trial', t => {
-	// Symptom: a flapping upstream gets its whole share again and again.
-	// Sequence: it is ejected, comes back after a good trial, and fails again.
-	// Cause: a wait that doesn't grow with the ejections.
+test('the time before the trial of an ejected upstream doubles, and a successful trial ends the ejection', t => {
+	// Guards against a flapping upstream that repeatedly gets its full traffic: it is ejected, re-admitted after a successful
+	// trial, and fails again, and the time before the trial doesn't grow.
 	const subject = service.createService();
-	const waits = [1, 2, 3].map(() => {
+	const ejectionTimes = [1, 2, 3].map(() => {
 		subject.run(5000, () => HEALTHY);
-		subject.run(1000, only('0', {successes: 0, failures: 3}));
+		subject.run(1000, reportSick('0', {successes: 0, failures: 3}));
 		subject.send({kind: 'ejected', upstream: '0'});
 		const ejectedAt = subject.getNow();
-		let wait = 0;
-		while (wait === 0) {
-			const effects = subject.run(100, only('0', {successes: 0}));
-			wait = effects.some(({kind}) => kind === 'start-trial') ? subject.getNow() - ejectedAt : 0;
+		let ejectionTime = 0;
+		while (ejectionTime === 0) {
+			const effects = subject.run(100, reportSick('0', {successes: 0}));
+			ejectionTime = effects.some(({kind}) => kind === 'start-trial') ? subject.getNow() - ejectedAt : 0;
 		}
 
 		const effects = subject.run(2000, () => HEALTHY);
 		t.true(effects.some(({kind}) => kind === 'request-readmission'));
 		subject.send({kind: 'readmitted', upstream: '0'});
 		t.is(subject.getPhase('0'), 'serving');
-		return wait;
+		return ejectionTime;
 	});
-	t.true(waits[1]! > waits[0]! * 1.6 && waits[2]! > waits[1]! * 1.6, waits.join(', '));
+	t.true(ejectionTimes[1]! > ejectionTimes[0]! * 1.6 && ejectionTimes[2]! > ejectionTimes[1]! * 1.6, ejectionTimes.join(', '));
 });
 
-test('a trial that fails ends at once and waits longer', t => {
+test('a failed trial ends at once, and the upstream is ejected again', t => {
 	const subject = service.createService();
 	subject.run(5000, () => HEALTHY);
 	subject.send({kind: 'ejected', upstream: '0'});
-	const effects = subject.run(8000, only('0', {successes: 0, failures: 1}));
+	const effects = subject.run(8000, reportSick('0', {successes: 0, failures: 1}));
 	t.deepEqual(effects.map(({kind}) => kind), ['start-trial', 'end-trial']);
 	t.is(subject.getPhase('0'), 'ejected');
 });
 
-test('no order of evidence, refusals and hints takes an upstream out without the grantor', t => {
-	// Symptom: hosts that can't reach the grantor eject together more than the floor allows.
-	// Sequence: evidence, refusals, hints and withdrawn failures in any order, and no decision of the grantor.
-	// Cause: a host that acts on its own finding.
+test('no order of evidence, refusals and hints ejects an upstream without the grantor', t => {
+	// Guards against hosts that eject upstreams on their own findings, and together more than the floor allows, while the grantor
+	// is unreachable.
 	const seed = 8;
 	t.log(`seed ${seed}`);
 	const upstream = fc.constantFrom('0', '1', '2', '3', '4', '5');
@@ -165,7 +159,7 @@
 		subject.run(1000, () => HEALTHY);
 		for (const event of moves) {
 			if (event.kind === 'fail') {
-				subject.run(300, only(event.upstream, {successes: 0, failures: 3}));
+				subject.run(300, reportSick(event.upstream, {successes: 0, failures: 3}));
 			} else {
 				subject.send(event);
 			}
@@ -176,10 +170,9 @@
 	}), {seed, numRuns: 30});
 });
 
-test('a summary that comes twice counts once', t => {
-	// Symptom: an upstream with a few failures is ejected when a connection between hosts is opened anew.
-	// Sequence: a summary is sent again because its acknowledgement was lost.
-	// Cause: evidence counted twice.
+test('a summary that arrives twice counts once', t => {
+	// Guards against evidence that counts several times: a summary is sent again after its acknowledgement was lost, and an
+	// upstream with a few failures is ejected.
 	const subject = service.createService({hosts: 1});
 	subject.run(5000, () => HEALTHY);
 	const summary: detection.Summary = {
@@ -199,24 +192,21 @@
 		subject.send({kind: 'summary', summary});
 	}
 
-	t.deepEqual(getRequested(subject.run(1000, () => HEALTHY)), []);
+	t.deepEqual(listRequestedEjections(subject.run(1000, () => HEALTHY)), []);
 });
 
-test('failures withdrawn as the doing of a request are no evidence', t => {
-	// Symptom: innocent upstreams are ejected after a request crashed them.
-	// Sequence: failures arrive, then the quarantine withdraws them.
-	// Cause: evidence that belongs to the request.
+test('failures withdrawn because a request caused them are no evidence', t => {
+	// Guards against the ejection of healthy upstreams that a request crashed: their failures are counted first, then withdrawn by
+	// the quarantine of the request.
 	const subject = service.createService({hosts: 1, operatingPoint: 'careful'});
 	subject.run(5000, () => HEALTHY);
-	subject.run(100, only('0', {successes: 0, failures: 3}));
+	subject.run(100, reportSick('0', {successes: 0, failures: 3}));
 	subject.send({kind: 'discount', upstream: '0', count: 3});
-	t.deepEqual(getRequested(subject.run(100, only('0', {successes: 0, failures: 2}))), []);
+	t.deepEqual(listRequestedEjections(subject.run(100, reportSick('0', {successes: 0, failures: 2}))), []);
 });
 
-test('a cold upstream is not held to the latency of warm ones', t => {
-	// Symptom: an upstream that just started is ejected for being slow.
-	// Sequence: it announces itself and ramps up with empty caches.
-	// Cause: its latency compared with that of warm peers.
+test('a cold upstream is not compared with the latency of warm ones', t => {
+	// Guards against the ejection of an upstream for slowness while it ramps up with empty caches.
 	const subject = service.createService();
 	subject.run(5000, () => HEALTHY);
 	const upstreams = Array.from({length: 6}, (_, index): detection.Upstream => ({
@@ -225,25 +215,25 @@
 		...((index === 0) && {rampStartedAt: subject.getNow()}),
 	}));
 	subject.send({kind: 'upstreams-changed', upstreams});
-	t.deepEqual(getRequested(subject.run(9000, only('0', {successes: 2, bucket: 28}))), []);
-	t.deepEqual(getRequested(subject.run(3000, only('0', {successes: 0, failures: 3}))), ['0', '0', '0']);
+	t.deepEqual(listRequestedEjections(subject.run(9000, reportSick('0', {successes: 2, bucket: 28}))), []);
+	t.deepEqual(listRequestedEjections(subject.run(3000, reportSick('0', {successes: 0, failures: 3}))), ['0', '0', '0']);
 });
 
-test('a lying health endpoint only orders what the evidence calls for', t => {
+test('a wrong health endpoint only changes the order of the requested ejections', t => {
 	const subject = service.createService();
 	subject.run(5000, () => HEALTHY);
 	subject.send({kind: 'health-hint', upstream: '3', isHealthy: false});
-	t.deepEqual(getRequested(subject.run(2000, () => HEALTHY)), []);
+	t.deepEqual(listRequestedEjections(subject.run(2000, () => HEALTHY)), []);
 	const getReport = (upstream: string): service.Report => upstream === '1' || upstream === '3'
 		? {successes: 0, failures: 3}
 		: HEALTHY;
-	t.deepEqual(getRequested(subject.run(500, getReport)), ['3', '1']);
+	t.deepEqual(listRequestedEjections(subject.run(500, getReport)), ['3', '1']);
 });
 
-function only(sick: string, report: service.Report): (upstream: string) => service.Report {
+function reportSick(sick: string, report: service.Report): (upstream: string) => service.Report {
 	return upstream => upstream === sick ? report : HEALTHY;
 }
 
-function getRequested(effects: readonly detection.Effect[]): string[] {
+function listRequestedEjections(effects: readonly detection.Effect[]): string[] {
 	return effects.filter(effect => effect.kind === 'request-ejection').map(({upstream}) => upstream);
 }
--- a/packages/wagtailroute-detection/src/__tests__/unit/floor.test.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/floor.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of the floor.
+Tests of the floor that limits ejections.
 */
 import test from 'ava';
 import * as fc from 'fast-check';
@@ -17,7 +17,7 @@
 	// Draining capacity counts in the total, so that it doesn't lower the floor.
 	{counts: createCounts('percent', 50, [4, 0, 4]), allowance: 0},
 	{counts: createCounts('percent', 100, [30, 0, 0]), allowance: 0},
-	// The last upstream stays, even with no floor at all.
+	// The last upstream stays in service, even without a floor.
 	{counts: createCounts('percent', 0, [1, 0, 0]), allowance: 0},
 	{counts: createCounts('count', 0, [2, 0, 0]), allowance: 1},
 ];
@@ -29,10 +29,9 @@
 	});
 }
 
-test('no order of grants, re-admissions, departures and arrivals lets a grant break the floor', t => {
-	// Symptom: with several upstreams sick at once, fewer than the floor are left.
-	// Sequence: grants are asked for while upstreams drain and leave.
-	// Cause: an allowance computed from upstreams that no longer take work, or rounded down.
+test('no order of grants, re-admissions, drains and arrivals lets a grant violate the floor', t => {
+	// Guards against fewer upstreams than the floor when several are sick at once: the allowance includes upstreams that drain, or
+	// is rounded the wrong way.
 	const seed = 5;
 	t.log(`seed ${seed}`);
 	const orders = fc.array(fc.constantFrom('grant', 'readmit', 'drain', 'arrive'), {maxLength: 60});
--- a/packages/wagtailroute-detection/src/__tests__/unit/service.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/service.ts
@@ -1,11 +1,11 @@
 /**
-A small service for tests: hosts report given counts for each upstream each 100 ms to one detection.
+A small service for tests: every 100 ms, each host reports given counts for each upstream to one detection state.
 */
 import * as utils from 'wagtailroute-utils';
 import * as detection from '../../index.ts';
 
 /**
-What a host reports of an upstream each tick.
+What a host reports about an upstream in each tick.
 */
 export type Report = {
 	readonly successes: number;
@@ -13,18 +13,18 @@
 	readonly kind?: detection.FailureKind;
 	readonly sheds?: number;
 	/**
-	Bucket of the latency of successes.
+	Latency bucket of the successes.
 	*/
 	readonly bucket?: number;
 };
 
 /**
-Runs detection over reports.
+Detection that runs on generated reports.
 */
 export type Service = {
 	readonly send: (event: detection.Event) => readonly detection.Effect[];
 	/**
-	Reports and ticks for a time; returns all effects.
+	Sends reports and ticks for the given time, and returns all effects.
 	*/
 	readonly run: (milliseconds: number, getReport: (upstream: string, host: number) => Report) => detection.Effect[];
 	readonly getPhase: (upstream: string) => detection.Phase['kind'] | undefined;
@@ -36,7 +36,7 @@
 const USUAL_BUCKET = 20;
 
 /**
-Creates a service of upstreams `0`, `1`, ... seen by host 0.
+Creates a service of upstreams `0`, `1`, ... with detection on host 0.
 */
 export function createService({upstreams = 6, hosts = 4, operatingPoint = 'fast'}: {
 	readonly upstreams?: number;
--- a/packages/wagtailroute-detection/src/__tests__/unit/statistics.test.ts
+++ b/packages/wagtailroute-detection/src/__tests__/unit/statistics.test.ts
@@ -1,5 +1,5 @@
 /**
-Differential tests: the running statistics against naive versions that recompute them from the whole history.
+Differential tests: the incremental statistics are compared with naive versions that recompute them from the full history.
 */
 import test from 'ava';
 import * as fc from 'fast-check';
@@ -14,7 +14,7 @@
 	{minLength: 1, maxLength: 60},
 );
 
-test('the evidence is the largest sum of log likelihood ratios over any latest stretch of the history', t => {
+test('the evidence is the largest sum of log likelihood ratios over any suffix of the history', t => {
 	t.log(`seed ${SEED}`);
 	const normalRate = 0.01;
 	fc.assert(fc.property(SAMPLES, history => {
@@ -36,14 +36,14 @@
 	}), {seed: SEED, numRuns: 100});
 });
 
-test('a window is the sum of its history, each sample weighted by its age', t => {
+test('a window is the sum of its history, with each sample weighted by its age', t => {
 	t.log(`seed ${SEED}`);
 	fc.assert(fc.property(SAMPLES, history => {
-		let kept = windows.EMPTY_WINDOWS;
+		let window = windows.EMPTY_WINDOWS;
 		const ages: Array<{age: number; bad: number; count: number}> = [];
 		for (const {good, bad, elapsed} of history) {
 			const errors = {count: good + bad, bad};
-			kept = windows.addSamples(kept, new Map([['host', {...symptoms.EMPTY_SAMPLES, errors}]]), elapsed);
+			window = windows.addSamples(window, new Map([['host', {...symptoms.EMPTY_SAMPLES, errors}]]), elapsed);
 			for (const sample of ages) {
 				sample.age += elapsed;
 			}
@@ -56,30 +56,30 @@
 			bad += sample.bad * Math.exp(-sample.age / 1000);
 		}
 
-		t.true(Math.abs(kept.short.samples.errors.bad - bad) < 1e-6);
+		t.true(Math.abs(window.short.samples.errors.bad - bad) < 1e-6);
 	}), {seed: SEED, numRuns: 100});
 });
 
-test('a window of latencies is the sum of its history, and a peer taken out of the sum leaves the others', t => {
+test('a window of latencies is the weighted sum of its history, and subtracting a peer from a sum leaves the others', t => {
 	t.log(`seed ${SEED}`);
 	const pairs = fc.array(fc.tuple(fc.nat({max: latencies.BUCKET_COUNT + 3}), fc.nat({max: 9})), {maxLength: 8});
 	const history = fc.array(fc.record({pairs, elapsed: fc.integer({min: 10, max: 500})}), {minLength: 1, maxLength: 30});
 	fc.assert(fc.property(history, steps => {
-		let kept = windows.EMPTY_WINDOWS;
+		let window = windows.EMPTY_WINDOWS;
 		for (const {pairs: added, elapsed} of steps) {
-			kept = windows.addLatencies(kept, added.flat(), elapsed);
+			window = windows.addLatencies(window, added.flat(), elapsed);
 		}
 
 		const expected = naiveLatencies(steps, 1000);
-		t.true(kept.short.latencies.every((count, bucket) => Math.abs(count - expected[bucket]!) < 1e-6));
-		const sum = latencies.sumHistograms([kept.short.latencies, kept.long.latencies]);
-		const rest = latencies.subtractHistogram(sum, kept.long.latencies);
+		t.true(window.short.latencies.every((count, bucket) => Math.abs(count - expected[bucket]!) < 1e-6));
+		const sum = latencies.sumHistograms([window.short.latencies, window.long.latencies]);
+		const rest = latencies.subtractHistogram(sum, window.long.latencies);
 		t.true(rest.every((count, bucket) => Math.abs(count - expected[bucket]!) < 1e-6));
-		t.is(latencies.getMergedMedianBucket(kept.short.latencies, kept.long.latencies), latencies.getQuantileBucket(sum, 0.5));
+		t.is(latencies.getMergedMedianBucket(window.short.latencies, window.long.latencies), latencies.getQuantileBucket(sum, 0.5));
 	}), {seed: SEED, numRuns: 100});
 });
 
-test('a quantile by buckets holds the exact one within a bucket', t => {
+test('the estimate of a quantile by buckets is at most one bucket above the exact one', t => {
 	t.log(`seed ${SEED}`);
 	const values = fc.array(fc.double({min: 0.6, max: 60_000, noNaN: true}), {minLength: 1, maxLength: 80});
 	fc.assert(fc.property(values, fc.double({min: 0.05, max: 1, noNaN: true}), (all, quantile) => {
--- a/packages/wagtailroute-detection/src/alerts.ts
+++ b/packages/wagtailroute-detection/src/alerts.ts
@@ -1,25 +1,25 @@
 /**
-Upstreams that a host tells of more often than in quiet times, because something was seen of them here or elsewhere.
+Alerts: upstreams that a host summarizes more often, because this or another host recently saw them fail or be slow.
 
-What goes wrong without: a host that sees an upstream fail asks for an ejection only when the others' evidence agrees, and
-theirs would come with their next regular summary, a second or more later. One failure is usual and alerts nobody: at usual
-rates all upstreams of a busy service would be alerted at all times.
+A host that sees an upstream fail requests an ejection only when the other hosts' evidence agrees. Without alerts, that
+evidence would arrive with their next regular summaries, a second or more later. A single failure alerts no host: at usual
+error rates, all upstreams of a busy service would always be alerted.
 */
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
 import type * as summaries from './summaries.ts';
 
 /**
-The alerts of one service on one host.
+Alerts of one service on one host.
 */
 export type Alerts = {
 	/**
-	Takes what a summary of any host tells. `isLate` says of a bucket whether requests in it took far too long.
+	Applies a summary of any host. `isOverdue` returns whether requests in a latency bucket took several times the usual time.
 	*/
 	readonly applySummary: (summary: summaries.Summary, isOverdue: (bucket: number) => boolean, now: number) => void;
 	readonly isAlerted: (upstream: core.UpstreamId, now: number) => boolean;
 	/**
-	Whether any upstream is alerted.
+	Returns whether any upstream is alerted.
 	*/
 	readonly hasAlerts: (now: number) => boolean;
 };
@@ -31,11 +31,11 @@
 };
 
 /**
-Creates alerts.
+Creates alerts without any alerted upstream.
 */
 export function createAlerts(): Alerts {
 	const alerts = new Map<core.UpstreamId, Alert>();
-	let lastAlertUntil = -Infinity;
+	let alertedUntil = -Infinity;
 
 	const addWeight = (upstream: core.UpstreamId, addedWeight: number, now: number): void => {
 		const before = alerts.get(upstream);
@@ -43,20 +43,20 @@
 		const weight = decayedWeight + addedWeight;
 		const until = weight >= constants.ALERT_FAILURES ? now + constants.ALERT_DURATION_MILLISECONDS : before?.until ?? now;
 		alerts.set(upstream, {weight, updatedAt: now, until});
-		lastAlertUntil = Math.max(lastAlertUntil, until);
+		alertedUntil = Math.max(alertedUntil, until);
 	};
 
 	return {
 		applySummary(summary, isOverdue, now) {
-			for (const seen of summary.upstreams) {
-				const weight = getAlertWeight(seen, isOverdue);
+			for (const upstream of summary.upstreams) {
+				const weight = getAlertWeight(upstream, isOverdue);
 				if (weight > 0) {
-					addWeight(seen.id, weight, now);
+					addWeight(upstream.id, weight, now);
 				}
 			}
 		},
 		isAlerted: (upstream, now) => (alerts.get(upstream)?.until ?? now) > now,
-		hasAlerts: now => lastAlertUntil > now,
+		hasAlerts: now => alertedUntil > now,
 	};
 }
 
--- a/packages/wagtailroute-detection/src/baselines.ts
+++ b/packages/wagtailroute-detection/src/baselines.ts
@@ -1,9 +1,9 @@
 /**
-What is normal for a service just now: the pooled rates and latencies of an upstream's peers.
+Baselines of a service: the present pooled rates and latencies of an upstream's peers.
 
-The peers that look worst are left out, up to a quarter, so that a few sick ones don't hide another. Of the windows
-the worst one counts: when the whole service gets worse, the shortest one follows within a tick and no upstream stands
-out; when a service has little traffic, the long one still knows its usual rate.
+The peers that look worst are left out, a tenth rounded up, so that a few sick ones don't hide another. The worst of the
+windows counts: when the whole service gets worse, the shortest window follows within a tick and no upstream stands out;
+when a service has little traffic, the long window still holds its usual rate.
 */
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
@@ -12,19 +12,19 @@
 import type * as windows from './windows.ts';
 
 /**
-Latency limits, as buckets: a request above one is slow, or stalled.
+Latency limits as bucket numbers: a request in a higher bucket is slow, or stalled.
 */
 export type LatencyLimits = {
 	readonly slow: number;
 	readonly stalled: number;
 	/**
-	The peers' median.
+	Bucket of the peers' median.
 	*/
 	readonly median: number;
 };
 
 /**
-The windows of each upstream in service.
+Windows of the upstreams in service.
 */
 export type PeerWindows = ReadonlyMap<core.UpstreamId, windows.Windows>;
 
@@ -35,7 +35,7 @@
 type RateWindow = {
 	readonly get: (windows: windows.Windows) => symptoms.Samples;
 	/**
-	Requests that the window counts at least.
+	Smallest number of requests that the rate is divided by.
 	*/
 	readonly minRequests: number;
 };
@@ -50,7 +50,7 @@
 const MEDIAN = 0.5;
 
 /**
-What is normal for the latencies of a service.
+Normal latencies of a service.
 */
 export type LatencyBaseline = {
 	/**
@@ -58,13 +58,13 @@
 	*/
 	readonly getLimits: (upstream: core.UpstreamId) => LatencyLimits | undefined;
 	/**
-	Whether the service as a whole has become slow: overload, or something that all upstreams depend on.
+	Whether the service as a whole has become slow, through overload or a common dependency.
 	*/
 	readonly isServiceSlow: boolean;
 };
 
 /**
-Creates the baseline of latencies. Limits are made when they are first asked for: a step asks only for upstreams that had
+Creates the baseline of latencies. Limits are computed on first use, since a tick needs them only for upstreams that had
 traffic.
 */
 export function createLatencyBaseline(peers: PeerWindows): LatencyBaseline {
@@ -94,7 +94,7 @@
 }
 
 /**
-Returns a function from an upstream to its peers' rate of a symptom.
+Returns a function that gives, for an upstream, its peers' rate of a symptom.
 */
 export function createRateBaseline(
 	peers: PeerWindows,
--- a/packages/wagtailroute-detection/src/bench/bounds.ts
+++ b/packages/wagtailroute-detection/src/bench/bounds.ts
@@ -1,12 +1,12 @@
 /**
-Bounds of the bench of detection, as ratios to the baselines of the same run.
+Bounds of the detection bench, as ratios to the results of the baseline policies in the same run.
 */
 import type * as detection from './detection.ts';
 import type * as policies from './policies.ts';
 
 /**
-Largest part of the better baseline's detection time. A path fault shows only when requests time out or stall, so there
-is less to gain.
+Largest allowed fraction of the better baseline's detection time. A path fault shows only when requests time out or stall,
+so less can be gained.
 */
 const DETECTION_RATIO = 0.5;
 const PATH_DETECTION_RATIO = 0.6;
@@ -14,12 +14,12 @@
 const PATH_SCENARIO = 'one-way partition of a host, one upstream';
 
 /**
-False ejections per hour that `fast` may have where the baselines have none: it answers to long pauses.
+False ejections per hour that each policy may have more than the baselines. `fast` reacts to long pauses.
 */
 const FALSE_EJECTION_ALLOWANCE: Readonly<Partial<Record<policies.PolicyName, number>>> = {fast: 60, careful: 0};
 
 /**
-Returns what the rows break of the bounds, one sentence each.
+Returns one sentence for each bound that the rows break.
 */
 export function getBrokenBounds(rows: readonly detection.Row[]): string[] {
 	return rows.flatMap(row => {
--- a/packages/wagtailroute-detection/src/bench/detection-cost.bench.ts
+++ b/packages/wagtailroute-detection/src/bench/detection-cost.bench.ts
@@ -1,7 +1,8 @@
 /**
-What detection of one healthy service costs a host: processor time of its steps, and bytes told to each other carrier. Two
-ways over the same traffic: everything told as JSON each 250 ms with a step each 100 ms, as it once was, and work that
-follows the change, as it is. Bytes are deterministic; times are means without the longest tenth, and bounds are ratios within the run.
+Bench of the cost of detection for one healthy service on a host: processor time of its steps, and bytes sent to each other
+carrier. It compares two strategies over the same traffic. `steady`, the former one, sends everything as JSON every 250 ms and
+steps every 100 ms; `following`, the present one, does work as things change. Bytes are deterministic; times are means without
+the longest tenth, and bounds are ratios within the run.
 */
 import * as utils from 'wagtailroute-utils';
 import * as detection from '../index.ts';
@@ -56,7 +57,7 @@
 };
 
 /**
-Largest parts of the steady way that the following one may cost.
+Largest fractions of the cost of `steady` that `following` may have.
 */
 const BYTES_RATIO = 0.2;
 const TIME_RATIO = 0.6;
@@ -64,13 +65,13 @@
 const STEADY_STEPS_PER_SECOND = 1000 / detection.TICK_INTERVAL_MILLISECONDS;
 
 /**
-Largest part of the JSON of a summary that its compact text may take, where it tells of some requests of each upstream.
+Largest fraction of the JSON of a summary that its compact text may take, when it covers some requests of each upstream.
 */
 const TEXT_RATIO = 0.3;
 
 /**
-Largest ratio of a step's cost on the largest size to that on the smallest; there are 55 times as many pairs of an upstream
-and a host.
+Largest ratio of the cost of a step at the largest size to that at the smallest. The largest size has 55 times as many pairs
+of an upstream and a host.
 */
 const GROWTH_RATIO = 40;
 
@@ -82,7 +83,7 @@
 	readonly rows: readonly Row[];
 	readonly broken: readonly string[];
 }> {
-	// The first runs compile the code.
+	// Warm-up: the engine compiles the code during the first runs.
 	for (const size of SIZES.slice(-WARM_UP_SIZES)) {
 		measureSize(size);
 	}
@@ -112,7 +113,7 @@
 	};
 }
 
-function measure({upstreams, hosts}: Size, way: Strategy): Cost {
+function measure({upstreams, hosts}: Size, strategy: Strategy): Cost {
 	const random = utils.createRandom(1);
 	const ids = Array.from({length: upstreams}, (_, index) => `quoting-${24_500 + index}`);
 	const evidence = Array.from({length: hosts}, (_, host) => detection.createEvidenceCollector({
@@ -133,22 +134,22 @@
 		jsonBytes: 0,
 		textBytes: 0,
 	};
-	const getClock = (host: number, now: number): number => now + Math.floor(host * 1000 / hosts);
+	const getHostTime = (host: number, now: number): number => now + Math.floor(host * 1000 / hosts);
 	let steppedAt = 0;
 	for (let loop = 1; loop <= LOOPS; loop++) {
 		const now = loop * LOOP_STEP_MILLISECONDS;
-		serve(ids, evidence, random);
-		const collected = evidence.map((own, host) => [host, way.collect(own, getClock(host, now))] as const);
+		simulateRequests(ids, evidence, random);
+		const collected = evidence.map((collector, host) => [host, strategy.collect(collector, getHostTime(host, now))] as const);
 		const sent = collected.filter(hasSummary);
 		for (const [host, summary] of sent) {
 			cost.summaries++;
 			cost.jsonBytes += JSON.stringify({service: 'quoting', summary}).length;
 			cost.textBytes += JSON.stringify(['quoting', summary.sequence, detection.encodeUpstreamSummaries(summary.upstreams, host)]).length;
 			step({kind: 'summary', summary}, now);
-			applyToOthers(evidence, host, {summary, now, getClock});
+			applyToOthers(evidence, host, {summary, now, getHostTime});
 		}
 
-		if (now - steppedAt < way.getStepIntervalMilliseconds(state)) {
+		if (now - steppedAt < strategy.getStepIntervalMilliseconds(state)) {
 			continue;
 		}
 
@@ -161,7 +162,7 @@
 	return cost;
 }
 
-function serve(ids: readonly string[], evidence: readonly detection.EvidenceCollector[], random: utils.Random): void {
+function simulateRequests(ids: readonly string[], evidence: readonly detection.EvidenceCollector[], random: utils.Random): void {
 	const requests = Math.round(REQUESTS_PER_UPSTREAM_SECOND * ids.length * LOOP_STEP_MILLISECONDS / 1000);
 	for (let request = 0; request < requests; request++) {
 		const normal = Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
@@ -172,22 +173,22 @@
 	}
 }
 
-function hasSummary(told: readonly [number, detection.Summary | undefined]): told is readonly [number, detection.Summary] {
-	return told[1] !== undefined;
+function hasSummary(collected: readonly [number, detection.Summary | undefined]): collected is readonly [number, detection.Summary] {
+	return collected[1] !== undefined;
 }
 
-function applyToOthers(evidence: readonly detection.EvidenceCollector[], from: number, {summary, now, getClock}: {
+function applyToOthers(evidence: readonly detection.EvidenceCollector[], from: number, {summary, now, getHostTime}: {
 	readonly summary: detection.Summary;
 	readonly now: number;
-	readonly getClock: (host: number, now: number) => number;
+	readonly getHostTime: (host: number, now: number) => number;
 }): void {
 	const others = evidence.entries().filter(([host]) => host !== from);
 	for (const [host, other] of others) {
-		other.applySummary(summary, getClock(host, now));
+		other.applySummary(summary, getHostTime(host, now));
 	}
 }
 
-// The longest tenth is left out: pauses of the process, and of a busy machine.
+// The longest tenth is left out, since it holds pauses of the process and of a busy machine.
 function getMean(values: readonly number[]): number {
 	const ordered = values.toSorted((left, right) => left - right);
 	const kept = ordered.slice(0, Math.ceil(ordered.length * KEPT_FRACTION));
@@ -203,7 +204,7 @@
 	];
 }
 
-// Over all sizes together: single times are a matter of chance on a busy machine.
+// The bound applies to all sizes together, since the time of a single size varies by chance on a busy machine.
 function getBrokenTimeBound(rows: readonly Row[]): string[] {
 	const steady = rows.reduce((sum, row) => sum + row.steadyMicroseconds, 0);
 	const following = rows.reduce((sum, row) => sum + row.followingMicroseconds, 0);
@@ -211,7 +212,7 @@
 }
 
 function getBrokenGrowthBound(rows: readonly Row[]): string[] {
-	const least = rows[0]!.stepMicroseconds;
+	const smallest = rows[0]!.stepMicroseconds;
 	const largest = rows.at(-1)!.stepMicroseconds;
-	return largest > least * GROWTH_RATIO ? [`detection cost: a step takes ${largest} microseconds on the largest size, ${least} on the smallest`] : [];
+	return largest > smallest * GROWTH_RATIO ? [`detection cost: a step takes ${largest} microseconds on the largest size, ${smallest} on the smallest`] : [];
 }
--- a/packages/wagtailroute-detection/src/bench/detection.bench.ts
+++ b/packages/wagtailroute-detection/src/bench/detection.bench.ts
@@ -1,15 +1,15 @@
 /**
-Entry of the bench of detection: the guarded rows with their bounds.
+Entry point of the detection bench, which compares the results with their bounds.
 
-The whole table of all sizes takes minutes, so a run by default keeps to one seed and the guarded sizes. `DETECTION_BENCH=all`
-runs every size with two seeds.
+The full table of all sizes takes minutes, so a run uses one seed and the guarded sizes by default. `DETECTION_BENCH=all` runs
+every size with two seeds.
 */
 import process from 'node:process';
 import * as bounds from './bounds.ts';
 import * as detection from './detection.ts';
 
 const SECONDS_DIGITS = 2;
-const WHOLE_SEEDS: readonly number[] = [1, 2];
+const ALL_SIZES_SEEDS: readonly number[] = [1, 2];
 
 /**
 Runs the bench.
@@ -19,10 +19,10 @@
 	readonly rows: ReadonlyArray<Record<string, string | number>>;
 	readonly broken: readonly string[];
 }> {
-	const isWhole = process.env.DETECTION_BENCH === 'all';
-	const rows = detection.runDetectionBench(isWhole ? {seeds: WHOLE_SEEDS, sizes: detection.SIZES} : {});
+	const hasAllSizes = process.env.DETECTION_BENCH === 'all';
+	const rows = detection.runDetectionBench(hasAllSizes ? {seeds: ALL_SIZES_SEEDS, sizes: detection.SIZES} : {});
 	return {
-		title: `Detection of gray failures, ${isWhole ? 'all sizes' : 'guarded sizes'}`,
+		title: `Detection of gray failures, ${hasAllSizes ? 'all sizes' : 'guarded sizes'}`,
 		rows: rows.map(row => formatRow(row)),
 		broken: bounds.getBrokenBounds(rows),
 	};
--- a/packages/wagtailroute-detection/src/bench/detection.ts
+++ b/packages/wagtailroute-detection/src/bench/detection.ts
@@ -1,6 +1,6 @@
 /**
-Bench of detection: detection time, false ejections and requests harmed for each kind of fault, on the users' sizes,
-against two baselines. Deterministic: seeded, in simulated time.
+Bench of detection: detection time, false ejections and harmed requests for each kind of fault, at the sizes of the users'
+services, compared with two baseline policies. Deterministic: seeded, in simulated time.
 */
 import * as simulation from './simulation.ts';
 import * as policies from './policies.ts';
@@ -13,8 +13,8 @@
 	readonly scenario: string;
 	readonly policy: policies.PolicyName;
 	/**
-	Mean milliseconds from the onset until nine in ten of the hosts concerned no longer send to the sick upstream; null
-	when some run never got there, or the scenario has nothing to detect.
+	Mean milliseconds from the onset until nine tenths of the hosts concerned no longer send to the sick upstream; null when
+	some run did not get that far, or the scenario has nothing to detect.
 	*/
 	readonly detectionMilliseconds: number | null;
 	readonly missed: number;
@@ -24,7 +24,7 @@
 	*/
 	readonly falsePerHour: number;
 	/**
-	Mean requests per run that the fault made fail or slow.
+	Mean number of requests per run that the fault made fail or slow down.
 	*/
 	readonly harmed: number;
 };
@@ -40,7 +40,7 @@
 	*/
 	readonly duration: number;
 	/**
-	Whether the run goes on after detection, to see what becomes of the upstream later.
+	Whether the run continues after detection, to observe what happens to the upstream later.
 	*/
 	readonly isRunToEnd?: boolean;
 };
@@ -64,8 +64,8 @@
 	return ({upstream, sinceOnset}) => upstream === SICK_UPSTREAM && sinceOnset >= 0 ? {kind: 'served', factor} : SERVED_NORMALLY;
 }
 
-// Healthy upstreams now and then pause, as for a collection of garbage, or reset all that they run, as at the restart of a
-// worker: neither is a reason to take them out.
+// Healthy upstreams pause now and then, as for a garbage collection, or reset all of their requests, as at the restart of a
+// worker. Neither is a reason to eject them.
 const createHiccup: simulation.Fault = ({upstream, sinceOnset}) => {
 	const time = sinceOnset + ONSET_MILLISECONDS + (upstream * 7919);
 	const phase = time % 60_000;
@@ -148,7 +148,7 @@
 ]);
 
 /**
-The users' sizes.
+Sizes of the users' services.
 */
 export const SIZES: readonly simulation.ServiceSize[] = [
 	createSize({
@@ -170,7 +170,7 @@
 }
 
 /**
-Sizes of the run that guards against regressions; the whole table takes minutes.
+Sizes of the run that guards against regressions; the full table takes minutes.
 */
 export const GUARDED_SIZES: readonly simulation.ServiceSize[] = SIZES.filter(({name}) => GUARDED_NAMES.has(name));
 
@@ -220,7 +220,7 @@
 					return false;
 				}
 
-				// Falsely out already when it falls sick: no detection.
+				// An upstream that is avoided before its fault begins is a false ejection and not a detection.
 				wasAvoidedAtOnset ||= now === ONSET_MILLISECONDS && GOALS[scenario.goal](size, subject, now);
 				if (!wasAvoidedAtOnset && GOALS[scenario.goal](size, subject, now)) {
 					detectionMilliseconds = now - ONSET_MILLISECONDS;
@@ -243,19 +243,19 @@
 
 const GOALS: Readonly<Record<Goal, (size: simulation.ServiceSize, subject: policies.PolicyUnderTest, now: number) => boolean>> = {
 	upstream(size, {policy}, now) {
-		let stopped = 0;
+		let avoidingHosts = 0;
 		for (let host = 0; host < size.hosts; host++) {
-			stopped += policy.getShare(host, SICK_UPSTREAM, now) < 1 ? 1 : 0;
+			avoidingHosts += policy.getTrafficFraction(host, SICK_UPSTREAM, now) < 1 ? 1 : 0;
 		}
 
-		return stopped >= size.hosts * DETECTED_HOSTS_FRACTION;
+		return avoidingHosts >= size.hosts * DETECTED_HOSTS_FRACTION;
 	},
-	path: (_size, {policy}, now) => policy.getShare(HOST_WITH_PATH_FAULT, SICK_UPSTREAM, now) < 1,
+	path: (_size, {policy}, now) => policy.getTrafficFraction(HOST_WITH_PATH_FAULT, SICK_UPSTREAM, now) < 1,
 	self: (_size, subject) => subject.getSelfReports().has(HOST_WITH_PATH_FAULT),
 	none: () => false,
 };
 
-// A local ejection by the host that really can't reach the upstream is right.
+// A local ejection by a host that can't reach the upstream is correct.
 const PATH_GOALS: ReadonlySet<Goal> = new Set(['path', 'self']);
 
 function countFalse({goal}: Scenario, subject: policies.PolicyUnderTest): number {
@@ -263,9 +263,9 @@
 	for (const {upstream, at, weight} of subject.getEjections()) {
 		const isAfterOnset = at >= ONSET_MILLISECONDS;
 		const isSick = upstream === SICK_UPSTREAM && goal === 'upstream';
-		const isRight = isSick && isAfterOnset;
-		const isOwnPath = isAfterOnset && weight < 1 && PATH_GOALS.has(goal);
-		total += isRight || isOwnPath ? 0 : weight;
+		const isCorrect = isSick && isAfterOnset;
+		const isLocalPathFault = isAfterOnset && weight < 1 && PATH_GOALS.has(goal);
+		total += isCorrect || isLocalPathFault ? 0 : weight;
 	}
 
 	return total;
--- a/packages/wagtailroute-detection/src/bench/policies.ts
+++ b/packages/wagtailroute-detection/src/bench/policies.ts
@@ -1,21 +1,22 @@
 /**
-The policies that the bench compares: detection as built here, and two baselines as commonly run on each host alone.
+The policies that the bench compares: detection at its two operating points, and two baselines as commonly run on each host
+alone.
 */
 import * as utils from 'wagtailroute-utils';
 import * as detection from '../index.ts';
 import type * as simulation from './simulation.ts';
 
 /**
-A policy, and what it did.
+A policy with its recorded decisions.
 */
 export type PolicyUnderTest = {
 	readonly policy: simulation.Policy;
 	/**
-	Ejections so far, in upstreams taken out of service for all hosts; one host's local ejection counts by its share.
+	Ejections so far. `weight` is 1 for an ejection by all hosts, and one host's share for a local ejection.
 	*/
 	readonly getEjections: () => ReadonlyArray<{readonly upstream: number; readonly at: number; readonly weight: number}>;
 	/**
-	Hosts that found their own network at fault.
+	Hosts that reported their own network to be at fault.
 	*/
 	readonly getSelfReports: () => ReadonlySet<number>;
 };
@@ -27,19 +28,21 @@
 
 const NO_REPORTS: ReadonlySet<number> = new Set();
 
-// The usual defaults of such detectors: five failures in a row; 30 s out, longer each time; at most half ejected.
+// The usual defaults of such detectors: ejection after five consecutive failures, for 30 s times the number of ejections, of
+// at most half of the upstreams.
 const CONSECUTIVE_FAILURES = 5;
 const LOCAL_EJECTION_MILLISECONDS = 30_000;
 const MAX_LOCAL_EJECTED_FRACTION = 0.5;
 
-// The usual defaults of success-rate outliers, but for the least number of requests: 100 is never reached on these sizes.
+// The usual defaults of success-rate outlier detection, except for the minimum number of requests: the default of 100 is never
+// reached at these sizes.
 const OUTLIER_INTERVAL_MILLISECONDS = 10_000;
 const OUTLIER_DEVIATIONS = 1.9;
 const MIN_OUTLIER_REQUESTS = 20;
 const MIN_OUTLIER_UPSTREAMS = 5;
 
 /**
-Creates a subject by name.
+Functions that create a policy, by name.
 */
 export const POLICIES: Readonly<Record<PolicyName, (size: simulation.ServiceSize, seed: number) => PolicyUnderTest>> = {
 	consecutive: size => createConsecutive(size),
@@ -49,25 +52,25 @@
 };
 
 type LocalTable = {
-	readonly getShare: simulation.Policy['getShare'];
+	readonly getTrafficFraction: simulation.Policy['getTrafficFraction'];
 	readonly eject: (host: number, upstream: number, now: number) => void;
 	readonly getEjections: PolicyUnderTest['getEjections'];
 };
 
 function createLocalTable(size: simulation.ServiceSize): LocalTable {
-	const until = createHostUpstreamTable(size, () => -1);
-	const times = createHostUpstreamTable(size, () => 0);
+	const ejectedUntil = createHostUpstreamTable(size, () => -1);
+	const ejectionCounts = createHostUpstreamTable(size, () => 0);
 	const ejections: Array<{upstream: number; at: number; weight: number}> = [];
 	return {
-		getShare: (host, upstream, now) => now < until[host]![upstream]! ? 0 : 1,
+		getTrafficFraction: (host, upstream, now) => now < ejectedUntil[host]![upstream]! ? 0 : 1,
 		eject(host, upstream, now) {
-			const ejected = until[host]!.filter(time => now < time).length;
-			if (now < until[host]![upstream]! || ejected + 1 > size.upstreams * MAX_LOCAL_EJECTED_FRACTION) {
+			const ejected = ejectedUntil[host]!.filter(time => now < time).length;
+			if (now < ejectedUntil[host]![upstream]! || ejected + 1 > size.upstreams * MAX_LOCAL_EJECTED_FRACTION) {
 				return;
 			}
 
-			times[host]![upstream]!++;
-			until[host]![upstream] = now + (LOCAL_EJECTION_MILLISECONDS * times[host]![upstream]!);
+			ejectionCounts[host]![upstream]!++;
+			ejectedUntil[host]![upstream] = now + (LOCAL_EJECTION_MILLISECONDS * ejectionCounts[host]![upstream]!);
 			ejections.push({upstream, at: now, weight: 1 / size.hosts});
 		},
 		getEjections: () => ejections,
@@ -76,22 +79,22 @@
 
 function createConsecutive(size: simulation.ServiceSize): PolicyUnderTest {
 	const local = createLocalTable(size);
-	const inRow = createHostUpstreamTable(size, () => 0);
+	const consecutiveFailures = createHostUpstreamTable(size, () => 0);
 	return {
 		policy: {
-			getShare: local.getShare,
+			getTrafficFraction: local.getTrafficFraction,
 			begin: () => undefined,
 			end(_handle, {host, upstream, result, now}) {
-				inRow[host]![upstream] = result === 'success' ? 0 : inRow[host]![upstream]! + 1;
-				if (!(inRow[host]![upstream] >= CONSECUTIVE_FAILURES)) {
+				consecutiveFailures[host]![upstream] = result === 'success' ? 0 : consecutiveFailures[host]![upstream]! + 1;
+				if (!(consecutiveFailures[host]![upstream] >= CONSECUTIVE_FAILURES)) {
 					return;
 				}
 
-				inRow[host]![upstream] = 0;
+				consecutiveFailures[host]![upstream] = 0;
 				local.eject(host, upstream, now);
 			},
 			step() {
-				// Decides at each answer.
+				// This policy decides at the end of each request.
 			},
 		},
 		getEjections: local.getEjections,
@@ -101,14 +104,14 @@
 
 function createOutliers(size: simulation.ServiceSize): PolicyUnderTest {
 	const local = createLocalTable(size);
-	const good = createHostUpstreamTable(size, () => 0);
-	const all = createHostUpstreamTable(size, () => 0);
+	const successes = createHostUpstreamTable(size, () => 0);
+	const requests = createHostUpstreamTable(size, () => 0);
 	const ejectOutliers = (host: number, now: number): void => {
-		const rates = all[host]!
-			.map((count, upstream) => ({upstream, count, rate: good[host]![upstream]! / count}))
+		const rates = requests[host]!
+			.map((count, upstream) => ({upstream, count, rate: successes[host]![upstream]! / count}))
 			.filter(({count}) => count >= MIN_OUTLIER_REQUESTS);
-		all[host]!.fill(0);
-		good[host]!.fill(0);
+		requests[host]!.fill(0);
+		successes[host]!.fill(0);
 		if (rates.length < MIN_OUTLIER_UPSTREAMS) {
 			return;
 		}
@@ -124,15 +127,15 @@
 
 	return {
 		policy: {
-			getShare: local.getShare,
+			getTrafficFraction: local.getTrafficFraction,
 			begin: () => undefined,
 			end(_handle, {host, upstream, result}) {
-				all[host]![upstream]!++;
-				good[host]![upstream]! += result === 'success' ? 1 : 0;
+				requests[host]![upstream]!++;
+				successes[host]![upstream]! += result === 'success' ? 1 : 0;
 			},
 			step(now) {
 				for (let host = 0; host < size.hosts; host++) {
-					// Hosts started at different times.
+					// Hosts started at different times, so their intervals are offset.
 					const offset = (host * OUTLIER_INTERVAL_MILLISECONDS) / size.hosts;
 					const phase = Math.round((now + offset) / 5) * 5;
 					if (phase % OUTLIER_INTERVAL_MILLISECONDS === 0) {
@@ -146,14 +149,14 @@
 	};
 }
 
-// Hosts that run the decision. All hosts would come to the same one from the same summaries; a few show as much and keep
-// the bench short. Host 0 is the one with path faults.
+// Number of hosts that run detection. All hosts would reach the same decisions from the same summaries; a few show as much and
+// keep the bench short. Host 0 is the one with path faults.
 const DETECTING_HOSTS = 3;
 const MESSAGE_DELAY_MILLISECONDS = 2;
 const GRANT_DELAY_MILLISECONDS = 10;
 const TRIAL_TRAFFIC_FRACTION = 0.1;
 
-// Preference against an upstream: it still gets work when the others are full, which this fleet rarely is.
+// A host that steers away from an upstream still uses it when the others are full, which is rare in this simulation.
 const STEERED_TRAFFIC_FRACTION = 0;
 
 function createPooledDetection(size: simulation.ServiceSize, seed: number, operatingPoint: detection.OperatingPointName): PolicyUnderTest {
@@ -175,9 +178,9 @@
 	const ejections: Array<{upstream: number; at: number; weight: number}> = [];
 	const selfReports = new Set<number>();
 	let messages: Array<{at: number; to: number; event: detection.Event}> = [];
-	// Hosts started at different times: each has a clock of its own.
-	const getClock = (host: number, now: number): number => now + ((host * detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS) / size.hosts);
-	const tickedAt = Array.from({length: states.length}, () => -Infinity);
+	// Hosts started at different times, so their clocks are offset.
+	const getHostTime = (host: number, now: number): number => now + ((host * detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS) / size.hosts);
+	const lastTickAt = Array.from({length: states.length}, () => -Infinity);
 
 	const sendToAll = (at: number, event: detection.Event): void => {
 		for (const to of states.keys()) {
@@ -227,7 +230,7 @@
 				steered[host]![Number(upstream)] = until;
 			},
 			'report-shared'() {
-				// For operators only.
+				// This effect is only for operators.
 			},
 			'report-self'() {
 				selfReports.add(host);
@@ -236,7 +239,7 @@
 		(handlers[effect.kind] as (effect: detection.Effect) => void)(effect);
 	};
 
-	const tell = (host: number, event: detection.Event, now: number): void => {
+	const step = (host: number, event: detection.Event, now: number): void => {
 		const {state, effects} = detection.stepDetection(states[host]!, event, {now, random});
 		states[host] = state;
 		for (const effect of effects) {
@@ -245,12 +248,12 @@
 	};
 
 	for (const host of states.keys()) {
-		tell(host, {kind: 'upstreams-changed', upstreams}, 0);
+		step(host, {kind: 'upstreams-changed', upstreams}, 0);
 	}
 
 	return {
 		policy: {
-			getShare(host, upstream, now) {
+			getTrafficFraction(host, upstream, now) {
 				const id = String(upstream);
 				if (ejected.has(id)) {
 					return trials.has(id) ? TRIAL_TRAFFIC_FRACTION : 0;
@@ -258,39 +261,39 @@
 
 				return now < steered[host]![upstream]! ? STEERED_TRAFFIC_FRACTION : 1;
 			},
-			begin: (host, upstream, now) => evidence[host]!.begin(String(upstream), getClock(host, now)),
+			begin: (host, upstream, now) => evidence[host]!.begin(String(upstream), getHostTime(host, now)),
 			end(handle, {host, result, now}) {
-				evidence[host]!.end(handle as detection.InFlightRequest, result, getClock(host, now));
+				evidence[host]!.end(handle as detection.InFlightRequest, result, getHostTime(host, now));
 			},
 			step(now) {
 				const due = messages.filter(({at}) => at <= now);
 				messages = messages.filter(({at}) => at > now);
 				for (const {to, event} of due) {
-					tell(to, event, now);
+					step(to, event, now);
 				}
 
 				for (let host = 0; host < size.hosts; host++) {
-					const summary = evidence[host]!.collectDueSummary(getClock(host, now), detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS);
+					const summary = evidence[host]!.collectDueSummary(getHostTime(host, now), detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS);
 					if (summary === undefined) {
 						continue;
 					}
 
 					sendToAll(now + MESSAGE_DELAY_MILLISECONDS, {kind: 'summary', summary});
-					for (const [other, own] of evidence.entries()) {
+					for (const [other, collector] of evidence.entries()) {
 						if (other !== host) {
-							own.applySummary(summary, getClock(other, now));
+							collector.applySummary(summary, getHostTime(other, now));
 						}
 					}
 				}
 
 				for (const host of states.keys()) {
-					const isOn = now % detection.TICK_INTERVAL_MILLISECONDS === (host * 25) % detection.TICK_INTERVAL_MILLISECONDS;
-					if (!(isOn && now - tickedAt[host]! >= detection.getTickIntervalMilliseconds(states[host]!))) {
+					const isTickSlot = now % detection.TICK_INTERVAL_MILLISECONDS === (host * 25) % detection.TICK_INTERVAL_MILLISECONDS;
+					if (!(isTickSlot && now - lastTickAt[host]! >= detection.getTickIntervalMilliseconds(states[host]!))) {
 						continue;
 					}
 
-					tickedAt[host] = now;
-					tell(host, {kind: 'tick'}, now);
+					lastTickAt[host] = now;
+					step(host, {kind: 'tick'}, now);
 				}
 			},
 		},
--- a/packages/wagtailroute-detection/src/bench/simulation.ts
+++ b/packages/wagtailroute-detection/src/bench/simulation.ts
@@ -1,12 +1,13 @@
 /**
-A service in simulated time: hosts that don't talk about single requests send to upstreams with a few slots and a queue.
-Only what detection needs is modelled; every policy sees the same arrivals, service times and faults for the same seed.
+Simulation of a service for the detection bench: hosts that don't coordinate single requests send to upstreams with a few
+slots and a queue. Only what detection needs is modelled. For the same seed, every policy gets the same arrivals, service times
+and faults.
 */
 import * as utils from 'wagtailroute-utils';
 import type * as detection from '../index.ts';
 
 /**
-Sizes and traffic of a service.
+Size and traffic of a service.
 */
 export type ServiceSize = {
 	readonly name: string;
@@ -16,13 +17,13 @@
 	readonly slots: number;
 	readonly medianMilliseconds: number;
 	/**
-	Share of the slots that the traffic keeps busy.
+	Fraction of the slots that the traffic occupies.
 	*/
 	readonly load: number;
 };
 
 /**
-What becomes of one request at an upstream.
+What happens to one request at an upstream.
 */
 export type FaultOutcome =
 	| {readonly kind: 'served'; readonly factor: number; readonly delayMilliseconds?: number}
@@ -32,12 +33,12 @@
 	*/
 	| {readonly kind: 'hung'}
 	/**
-	Runs as usual, but its answer doesn't reach the host.
+	Runs normally, but its answer doesn't reach the host.
 	*/
 	| {readonly kind: 'lost'};
 
 /**
-Treats a request that starts at an upstream.
+Determines what happens to a request that is sent to an upstream.
 */
 export type Fault = (request: {
 	readonly host: number;
@@ -50,13 +51,13 @@
 }) => FaultOutcome;
 
 /**
-Decides where hosts may send.
+Decides which upstreams a host may send to.
 */
 export type Policy = {
 	/**
-	Share of its normal traffic that the host may send to the upstream now, in [0, 1].
+	Fraction of its normal traffic that the host may send to the upstream now, from 0 to 1.
 	*/
-	readonly getShare: (host: number, upstream: number, now: number) => number;
+	readonly getTrafficFraction: (host: number, upstream: number, now: number) => number;
 	readonly begin: (host: number, upstream: number, now: number) => unknown;
 	readonly end: (handle: unknown, ending: {
 		readonly host: number;
@@ -65,24 +66,24 @@
 		readonly now: number;
 	}) => void;
 	/**
-	Called each `STEP_MILLISECONDS`.
+	Called every `STEP_MILLISECONDS`.
 	*/
 	readonly step: (now: number) => void;
 };
 
 /**
-What the simulation tells its observer.
+Callbacks of the simulation.
 */
 export type Observer = {
 	readonly onSent: (host: number, upstream: number, now: number, isHarmed: boolean) => void;
 	/**
-	Called at each step; returns true to stop.
+	Called at each step; returns whether to stop.
 	*/
 	readonly onStep: (now: number) => boolean;
 };
 
 /**
-Step of the simulated clock in milliseconds.
+Step of the simulated time, in milliseconds.
 */
 export const STEP_MILLISECONDS = 5;
 
@@ -105,7 +106,7 @@
 	readonly handle: unknown;
 	readonly result: detection.RequestResult;
 	/**
-	Time in the slot.
+	Time that the request occupies a slot.
 	*/
 	readonly milliseconds: number;
 	readonly isAnswered: boolean;
@@ -188,8 +189,8 @@
 	};
 
 	const send = (host: number): void => {
-		const upstream = choose(host);
-		const treatment = fault({
+		const upstream = chooseUpstream(host);
+		const outcome = fault({
 			host,
 			upstream,
 			sinceOnset: now - onset,
@@ -197,7 +198,7 @@
 		});
 		const drawn = size.medianMilliseconds * Math.exp(LATENCY_SIGMA * drawNormal(services));
 		const isUsualFailure = services() < USUAL_ERROR_RATE;
-		const {result, milliseconds, isAnswered} = applyFaultOutcome(treatment, drawn, isUsualFailure);
+		const {result, milliseconds, isAnswered} = applyFaultOutcome(outcome, drawn, isUsualFailure);
 		outstanding[host]![upstream]!++;
 		const job: SimulatedRequest = {
 			host,
@@ -209,7 +210,7 @@
 			isAnswered,
 			isDone: false,
 		};
-		observer.onSent(host, upstream, now, treatment.kind !== 'served' || treatment.factor > 1);
+		observer.onSent(host, upstream, now, outcome.kind !== 'served' || outcome.factor > 1);
 		const isStarted = busy[upstream]! < size.slots;
 		if (isStarted) {
 			start(job);
@@ -224,10 +225,10 @@
 		}
 	};
 
-	const choose = (host: number): number => {
+	const chooseUpstream = (host: number): number => {
 		const usable: number[] = [];
 		for (let upstream = 0; upstream < size.upstreams; upstream++) {
-			const share = policy.getShare(host, upstream, now);
+			const share = policy.getTrafficFraction(host, upstream, now);
 			if (share >= 1 || (share > 0 && choices() < share)) {
 				usable.push(upstream);
 			}
@@ -266,7 +267,7 @@
 
 type Treatments = {
 	readonly [Kind in FaultOutcome['kind']]: (
-		treatment: Extract<FaultOutcome, {kind: Kind}>,
+		outcome: Extract<FaultOutcome, {kind: Kind}>,
 		drawn: number,
 		usual: detection.RequestResult,
 	) => ServedRequest;
@@ -283,13 +284,13 @@
 	lost: (_treatment, drawn) => ({result: 'timeout', milliseconds: drawn, isAnswered: false}),
 };
 
-function applyFaultOutcome(treatment: FaultOutcome, drawn: number, isUsualFailure: boolean): ServedRequest {
-	const handler = FAULT_OUTCOMES[treatment.kind] as (
-		treatment: FaultOutcome,
+function applyFaultOutcome(outcome: FaultOutcome, drawn: number, isUsualFailure: boolean): ServedRequest {
+	const handler = FAULT_OUTCOMES[outcome.kind] as (
+		outcome: FaultOutcome,
 		drawn: number,
 		usual: detection.RequestResult,
 	) => ServedRequest;
-	return handler(treatment, drawn, isUsualFailure ? 'status' : 'success');
+	return handler(outcome, drawn, isUsualFailure ? 'status' : 'success');
 }
 
 function drawNormal(random: utils.Random): number {
--- a/packages/wagtailroute-detection/src/codec.ts
+++ b/packages/wagtailroute-detection/src/codec.ts
@@ -1,14 +1,20 @@
 /**
-Compact text for what a host saw of upstreams, to be sent to the other carriers: bytes in base64.
-
-An upstream is named by three bytes of a hash of its name, since both ends know the names. Two upstreams of one service may
-have the same hash; evidence about either would count for the wrong one. The reader notices, since it hashes all names that
-it knows, and drops the evidence about both; the salt, the sender's epoch, makes it likely that other hosts' is unharmed.
-
-For each upstream: hash; twice the number of pairs, plus one when there is nothing but a latency for each success; else the
-successes, a byte that says which kinds of failure and whether sheds follow, and these counts; the pairs. A pair is a byte
-with the step from the last bucket in the upper half and the count in the lower one; a half that is all ones says that the
-number follows.
+Compact text encoding of the upstream summaries that a host sends to the other carriers of a service: bytes in base64.
+
+An upstream is identified by three bytes of a hash of its id, since both ends know the ids. Two upstreams of one service may
+have the same hash, and evidence about one would count for the other. The decoder detects this, since it hashes all ids that
+it knows, and drops the evidence about both. The salt is the sender's epoch, so that the same two ids probably don't collide
+in other hosts' summaries.
+
+Encoding of an upstream, in this order:
+- the hash;
+- a header number: twice the number of latency pairs, plus a flag of one when there are only successes, each with its
+  latency;
+- without this flag: the successes, a number with a flag for each failure kind and for sheds, and the counts of those
+  flagged;
+- the latency pairs: a byte with the difference from the last bucket in the upper half and the count in the lower one. A half
+  with all bits set means that the value follows as a number of its own.
+Numbers are encoded as in `varints.ts`.
 */
 import {Buffer} from 'node:buffer';
 import type * as core from 'wagtailroute-core';
@@ -27,7 +33,7 @@
 const SHEDS_FLAG = 2 ** summaries.FAILURE_KINDS.length;
 
 /**
-Writes what was seen of upstreams. Use the same salt to read it.
+Encodes upstream summaries. They must be decoded with the same salt.
 */
 export function encodeUpstreamSummaries(upstreams: readonly summaries.UpstreamSummary[], salt: number): string {
 	const writer = createByteWriter();
@@ -39,8 +45,7 @@
 }
 
 /**
-Reads what was seen of the given upstreams, and passes over the others; undefined when the text is none of
-`encodeUpstreams`.
+Decodes the summaries of the given upstreams, and ignores the others. Returns undefined when the text is malformed.
 */
 export function decodeUpstreamSummaries(
 	text: string,
@@ -57,14 +62,14 @@
 	const upstreams: summaries.UpstreamSummary[] = [];
 	while (!reader.isAtEnd()) {
 		const hash = reader.readFixed(HASH_BYTES);
-		const seen = readUpstream(reader);
+		const decoded = readUpstream(reader);
 		if (reader.isMalformed()) {
 			return undefined;
 		}
 
 		const id = byHash.get(hash);
 		if (id !== undefined) {
-			upstreams.push({id, ...seen});
+			upstreams.push({id, ...decoded});
 		}
 	}
 
@@ -73,17 +78,17 @@
 
 function writeUpstream(writer: ByteWriter, upstream: summaries.UpstreamSummary, salt: number): void {
 	const pairs = sortByBucket(upstream.latencies);
-	const isPlain = hasOnlySuccesses(upstream, pairs);
+	const hasSuccessesOnly = hasOnlySuccesses(upstream, pairs);
 	writer.writeFixed(getHash(upstream.id, salt), HASH_BYTES);
-	writer.writeNumber((pairs.length * 2) + (isPlain ? 1 : 0));
-	if (!isPlain) {
+	writer.writeNumber((pairs.length * 2) + (hasSuccessesOnly ? 1 : 0));
+	if (!hasSuccessesOnly) {
 		writeCounts(writer, upstream);
 	}
 
-	let before = 0;
+	let previousBucket = 0;
 	for (const [bucket, count] of pairs) {
-		writePair(writer, bucket - before, count);
-		before = bucket;
+		writePair(writer, bucket - previousBucket, count);
+		previousBucket = bucket;
 	}
 }
 
@@ -108,12 +113,12 @@
 	}
 }
 
-function writePair(writer: ByteWriter, step: number, count: number): void {
-	const upper = Math.min(step, NIBBLE_ESCAPE);
+function writePair(writer: ByteWriter, bucketDifference: number, count: number): void {
+	const upper = Math.min(bucketDifference, NIBBLE_ESCAPE);
 	const lower = Math.min(count, NIBBLE_ESCAPE);
 	writer.writeFixed((upper * NIBBLE_RANGE) + lower, 1);
 	if (upper === NIBBLE_ESCAPE) {
-		writer.writeNumber(step);
+		writer.writeNumber(bucketDifference);
 	}
 
 	if (lower === NIBBLE_ESCAPE) {
@@ -122,16 +127,16 @@
 }
 
 function readUpstream(reader: ByteReader): Omit<summaries.UpstreamSummary, 'id'> {
-	const head = reader.readNumber();
-	const isPlain = head % 2 === 1;
-	const counts = isPlain ? undefined : readCounts(reader);
+	const header = reader.readNumber();
+	const hasSuccessesOnly = header % 2 === 1;
+	const counts = hasSuccessesOnly ? undefined : readCounts(reader);
 	const latencies: number[] = [];
 	let samples = 0;
 	let bucket = 0;
-	for (let left = Math.floor(head / 2); left > 0 && !reader.isMalformed(); left--) {
-		const both = reader.readFixed(1);
-		const upper = Math.floor(both / NIBBLE_RANGE);
-		const lower = both % NIBBLE_RANGE;
+	for (let remaining = Math.floor(header / 2); remaining > 0 && !reader.isMalformed(); remaining--) {
+		const byte = reader.readFixed(1);
+		const upper = Math.floor(byte / NIBBLE_RANGE);
+		const lower = byte % NIBBLE_RANGE;
 		bucket += upper === NIBBLE_ESCAPE ? reader.readNumber() : upper;
 		const count = lower === NIBBLE_ESCAPE ? reader.readNumber() : lower;
 		latencies.push(bucket, count);
@@ -165,7 +170,7 @@
 	return pairs.toSorted(([left], [right]) => left - right);
 }
 
-// FNV-1a over the name, begun with the salt.
+// FNV-1a over the id, with the salt added to the initial value.
 function getHash(id: core.UpstreamId, salt: number): number {
 	let hash = 2_166_136_261 + salt;
 	for (let index = 0; index < id.length; index++) {
@@ -173,6 +178,6 @@
 		hash = Math.imul(hash ^ id.codePointAt(index)!, 16_777_619);
 	}
 
-	// eslint-disable-next-line no-bitwise -- The lowest bits of such a hash are its weakest: the upper ones are folded in.
+	// eslint-disable-next-line no-bitwise -- The lowest bits of this hash are the least random, so the upper ones are folded in.
 	return ((hash ^ (hash >>> 15)) >>> 0) % HASH_RANGE;
 }
--- a/packages/wagtailroute-detection/src/detection.ts
+++ b/packages/wagtailroute-detection/src/detection.ts
@@ -1,9 +1,9 @@
 /**
-Detection of sick upstreams of one service, on each host that carries it: a pure state machine.
+Detection of sick upstreams of one service: a pure state machine on each host that carries the service.
 
-Every host gets the summaries of all, so all come to about the same conclusion; each may ask the grantor, which grants an
-ejection once and keeps the floor for the service as a whole. Without a grantor nothing is ejected: the hosts only prefer
-other upstreams.
+Every host receives the summaries of all, so all hosts reach about the same conclusions. Each may request an ejection from
+the grantor, which grants it once and enforces the floor for the service as a whole. Without a grantor no upstream is
+ejected: the hosts only prefer other upstreams.
 */
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
@@ -28,7 +28,8 @@
 const HANDLERS: Handlers = {
 	summary(state, {summary}) {
 		const before = state.pending.findLast(({host}) => host === summary.host) ?? state.lastSummaries.get(summary.host);
-		// A summary that comes again, or late, would count its requests twice.
+		// A summary that arrives twice must not count its requests twice. One that a later summary of the host has overtaken is
+		// dropped with it.
 		const isKnown = before?.epoch === summary.epoch && before.sequence >= summary.sequence;
 		return createTransition(isKnown ? state : {...state, pending: [...state.pending, summary]});
 	},
@@ -58,7 +59,7 @@
 };
 
 /**
-Advances detection by one event.
+Applies one event to the state of detection.
 */
 export const stepDetection: core.Step<states.DetectionState, events.Event, events.Effect> = (state, event, circumstances) => {
 	const handler = HANDLERS[event.kind] as (
@@ -92,7 +93,7 @@
 	const withHosts = recordReceivedSummaries(state, now);
 	const measurement = measurements.measure(withHosts, now);
 	const suspects = getSuspects(measurement, point);
-	const isSharedCause = suspects.length > getSharedLimit(measurement.upstreams);
+	const isSharedCause = suspects.length > getMaxSuspects(measurement.upstreams);
 	const effects: events.Effect[] = isSharedCause ? [{kind: 'report-shared', suspects}] : [];
 	const upstreams = new Map<core.UpstreamId, states.TrackedUpstream>();
 	for (const [id, before] of measurement.upstreams) {
@@ -126,12 +127,12 @@
 	};
 }
 
-// Reports go to operators: one when it begins, not one for each tick.
+// A condition is reported to operators when it begins, not at each tick.
 function dropRepeatedReports(
 	effects: readonly events.Effect[],
-	{isSharedCause: isShared, isSelfFault: isSelf}: states.DetectionState['reported'],
+	{isSharedCause, isSelfFault}: states.DetectionState['reported'],
 ): readonly events.Effect[] {
-	return effects.filter(({kind}) => !(kind === 'report-shared' && isShared) && !(kind === 'report-self' && isSelf));
+	return effects.filter(({kind}) => !(kind === 'report-shared' && isSharedCause) && !(kind === 'report-self' && isSelfFault));
 }
 
 function getSuspects(
@@ -144,13 +145,13 @@
 		.toArray();
 }
 
-function getSharedLimit(upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>): number {
+function getMaxSuspects(upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>): number {
 	const serving = upstreams.values().filter(({upstream}) => upstream.state === 'serving').toArray();
 	return Math.max(1, Math.floor(serving.length * constants.SHARED_CAUSE_FRACTION));
 }
 
-// When the floor leaves room for some of the requests only, those with the most evidence should come first, and among
-// equals those whose health endpoint agrees.
+// When the floor allows only some of the requested ejections, those with the most evidence should come first, and among
+// equals those whose health endpoint reports a fault.
 function orderEffects(
 	effects: readonly events.Effect[],
 	upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>,
@@ -171,8 +172,8 @@
 	});
 }
 
-// Notes the hosts of the pending summaries, and forgets those that are silent: a host that left must not stay in the
-// groups, it would make a group look as if it had hosts outside. Groups are formed anew only when the hosts change.
+// Records the hosts of the pending summaries, and drops the silent ones: with a host that left, a group might seem to have
+// hosts outside it. Groups are computed anew only when the hosts change.
 function recordReceivedSummaries(state: states.DetectionState, now: number): states.DetectionState {
 	const lastSummaries = new Map(state.lastSummaries);
 	let isChanged = false;
--- a/packages/wagtailroute-detection/src/events.ts
+++ b/packages/wagtailroute-detection/src/events.ts
@@ -8,9 +8,10 @@
 import type * as symptoms from './symptoms.ts';
 
 /**
-What detection is told. `ejected` and `readmitted` are the grantor's decisions, in its order; `refused` answers a request
-of this host. An upstream that is new in `upstreams-changed` counts as in service: tell `ejected` again for those that the
-grantor holds ejected, such as one whose lease ran out and came back.
+Input of detection. `ejected` and `readmitted` are the grantor's decisions, in its order; `refused` answers a request of
+this host. `discount` withdraws failures that a request caused and not the upstream. An upstream that is new in
+`upstreams-changed` counts as in service: send `ejected` again for each one that the grantor keeps ejected, such as one
+whose lease ran out and came back.
 */
 export type Event =
 	| {readonly kind: 'summary'; readonly summary: summaries.Summary}
@@ -28,22 +29,22 @@
 	| {readonly kind: 'configured'; readonly operatingPoint: operatingPoints.OperatingPointName};
 
 /**
-Why an ejection is asked for, for operators and logs.
+Reason of an ejection request, for operators and logs.
 */
 export type Finding = {
 	readonly symptom: symptoms.Symptom;
 	/**
-	Evidence and what it had to reach, in nats.
+	Evidence against the upstream and the threshold that it reached, in nats.
 	*/
 	readonly evidence: number;
 	readonly threshold: number;
 	/**
-	Rate of the symptom over about the last second, and the rate that counted as normal.
+	Fraction of requests with the symptom over about the last second, and the fraction that counted as normal.
 	*/
 	readonly rate: number;
 	readonly normalRate: number;
 	/**
-	Hosts that sent it requests lately.
+	Number of hosts that recently sent requests to the upstream.
 	*/
 	readonly hosts: number;
 	/**
@@ -54,9 +55,9 @@
 };
 
 /**
-What is to be done. `request-ejection` and `request-readmission` go to the grantor. `steer-away` is a preference of this
-host until the given time: the upstream still takes work when no other has room. `report-shared` and `report-self` tell
-operators that many upstreams look sick together, or that this host's own network is at fault.
+Output of detection. `request-ejection` and `request-readmission` go to the grantor. `steer-away` is a preference of this
+host until the given time: the upstream still gets work when no other has room. `report-shared` and `report-self` inform
+operators that many upstreams look sick at once, or that this host's own network is at fault.
 */
 export type Effect =
 	| {readonly kind: 'request-ejection'; readonly upstream: core.UpstreamId; readonly finding: Finding}
@@ -73,6 +74,6 @@
 	| {readonly kind: 'report-self'; readonly unreachable: readonly core.UpstreamId[]};
 
 /**
-Transition of detection.
+State after an event, and the effects to carry out.
 */
 export type Transition = core.Transition<states.DetectionState, Effect>;
--- a/packages/wagtailroute-detection/src/evidence-collector.ts
+++ b/packages/wagtailroute-detection/src/evidence-collector.ts
@@ -1,10 +1,10 @@
 /**
-Collects evidence from the requests that this host sends. Runs for every request, so it counts in mutable tables held in
-a closure; it stays deterministic, since times are passed in.
+Collection of evidence from the requests that this host sends. It runs for every request, so it counts in mutable tables
+held in a closure. It is deterministic, since times are passed in.
 
-A request in flight counts too: an upstream that hangs answers nothing, and waiting for the timeouts would let it keep
-all its slots for seconds. So a request that is already much older than requests of the service usually get is reported
-as it stands.
+Requests in flight count too: a hanging upstream answers nothing, and waiting for the timeouts would let it keep all its
+slots for seconds. A request that is already much older than usual is therefore reported as overdue, with its present age
+as its latency.
 */
 import type * as core from 'wagtailroute-core';
 import {createAlerts} from './alerts.ts';
@@ -15,55 +15,54 @@
 import {createUsualLatency} from './usual-latency.ts';
 
 /**
-A request in flight. Only `evidence` reads it.
+A request in flight, as a handle for the caller; only the collector reads its properties.
 */
 export type InFlightRequest = {
 	readonly upstream: core.UpstreamId;
 	readonly startedAt: number;
 	/**
-	How many overdue ages were reported.
+	How many of the `OVERDUE_RATIOS` were reported.
 	*/
 	overdueReports: number;
 };
 
 /**
-Evidence of one host about the upstreams of one service.
+Collector of one host's evidence about the upstreams of one service.
 */
 export type EvidenceCollector = {
 	/**
-	Starts to watch a request.
+	Records the start of a request.
 	*/
 	readonly begin: (upstream: core.UpstreamId, now: number) => InFlightRequest;
 	/**
-	Records how a request ended. Call it once for each request.
+	Records the result of a request. Call it once for each handle.
 	*/
 	readonly end: (request: InFlightRequest, result: summaries.RequestResult, now: number) => void;
 	/**
-	Records a request that was not watched.
+	Records a completed request whose start was not recorded.
 	*/
 	readonly record: (upstream: core.UpstreamId, result: summaries.RequestResult, latencyMilliseconds: number) => void;
 	/**
-	Whether the next summary should not wait for its period.
+	Returns whether there is evidence that should not wait for the next regular summary.
 	*/
 	readonly hasUrgentEvidence: (now: number) => boolean;
 	/**
-	Returns what was seen since the last summary and starts over; undefined when nothing was.
+	Returns a summary of all upstreams since their last one, and resets the counts; undefined without requests.
 	*/
 	readonly collectSummary: (now: number) => summaries.Summary | undefined;
 	/**
-	Returns what should be told now: all that was seen, at each multiple of `quietMilliseconds`;
-	before that the upstreams with urgent evidence, and the alerted ones each `SUMMARY_MILLISECONDS`. Undefined when nothing
-	is due.
+	Returns the summary that is due now: of all upstreams, at each multiple of `quietMilliseconds`; in between, of those with
+	urgent evidence, and of the alerted ones every `ALERTED_SUMMARY_INTERVAL_MILLISECONDS`. Undefined when none is due.
 	*/
 	readonly collectDueSummary: (now: number, quietMilliseconds: number) => summaries.Summary | undefined;
 	/**
-	Takes what another host told, to be alerted by it.
+	Applies a summary of another host, which may alert this host to upstreams.
 	*/
 	readonly applySummary: (summary: summaries.Summary, now: number) => void;
 };
 
 /**
-Creates the evidence of a host. `epoch` must differ from that of the host's earlier lives.
+Creates the collector of a host. `epoch` must differ from those of the host's earlier starts.
 */
 export function createEvidenceCollector({host, failureDomain, epoch}: {
 	readonly host: core.HostId;
@@ -78,28 +77,28 @@
 	let lastFullSummaryAt = -Infinity;
 	let overdueBucket = Infinity;
 	const alerts = createAlerts();
-	let overdueMilliseconds = Infinity;
+	let usualMilliseconds = Infinity;
 
 	const getOrCreateCounts = (upstream: core.UpstreamId): requestCounts.RequestCounts => {
-		const present = counts.get(upstream) ?? requestCounts.createRequestCounts();
-		counts.set(upstream, present);
-		return present;
+		const upstreamCounts = counts.get(upstream) ?? requestCounts.createRequestCounts();
+		counts.set(upstream, upstreamCounts);
+		return upstreamCounts;
 	};
 
-	const record = (upstream: core.UpstreamId, result: summaries.RequestResult, reported: number, milliseconds: number): void => {
+	const record = (upstream: core.UpstreamId, result: summaries.RequestResult, overdueReports: number, milliseconds: number): void => {
 		if (result === 'cancelled') {
 			return;
 		}
 
-		const present = getOrCreateCounts(upstream);
-		requestCounts.countResult(present, result, !alerts.isAlerted(upstream, lastSummaryAt));
+		const upstreamCounts = getOrCreateCounts(upstream);
+		requestCounts.countResult(upstreamCounts, result, !alerts.isAlerted(upstream, lastSummaryAt));
 		if (result !== 'success') {
 			return;
 		}
 
 		usualLatency.add(milliseconds);
-		if (reported === 0) {
-			requestCounts.countLatency(present, latencies.getBucket(milliseconds));
+		if (overdueReports === 0) {
+			requestCounts.countLatency(upstreamCounts, latencies.getBucket(milliseconds));
 		}
 	};
 
@@ -107,18 +106,18 @@
 		for (const request of inFlightRequests) {
 			const ratio = constants.OVERDUE_RATIOS[request.overdueReports];
 			const age = now - request.startedAt;
-			if (ratio === undefined || age <= overdueMilliseconds * ratio) {
+			if (ratio === undefined || age <= usualMilliseconds * ratio) {
 				continue;
 			}
 
 			request.overdueReports++;
-			const present = getOrCreateCounts(request.upstream);
-			requestCounts.countLatency(present, latencies.getBucket(age));
-			present.urgentEvents++;
+			const upstreamCounts = getOrCreateCounts(request.upstream);
+			requestCounts.countLatency(upstreamCounts, latencies.getBucket(age));
+			upstreamCounts.urgentEvents++;
 		}
 	};
 
-	const isUrgent = (now: number): boolean => {
+	const hasUrgentEvidence = (now: number): boolean => {
 		if (now - lastSummaryAt < constants.MIN_SUMMARY_INTERVAL_MILLISECONDS) {
 			return false;
 		}
@@ -131,9 +130,9 @@
 		alerts.applySummary(summary, bucket => bucket > overdueBucket, now);
 	};
 
-	const collect = (now: number, isSelected: (upstream: core.UpstreamId, seen: requestCounts.RequestCounts) => boolean): summaries.Summary | undefined => {
+	const collect = (now: number, isSelected: (upstream: core.UpstreamId, upstreamCounts: requestCounts.RequestCounts) => boolean): summaries.Summary | undefined => {
 		lastSummaryAt = now;
-		const selected = [...counts].filter(([id, seen]) => isSelected(id, seen));
+		const selected = [...counts].filter(([id, upstreamCounts]) => isSelected(id, upstreamCounts));
 		if (selected.length === 0) {
 			return undefined;
 		}
@@ -148,7 +147,7 @@
 			failureDomain,
 			epoch,
 			sequence,
-			upstreams: selected.map(([id, seen]) => requestCounts.createUpstreamSummary(id, seen)),
+			upstreams: selected.map(([id, upstreamCounts]) => requestCounts.createUpstreamSummary(id, upstreamCounts)),
 		};
 		applySummary(summary, now);
 		return summary;
@@ -157,8 +156,8 @@
 	const collectFullSummary = (now: number): summaries.Summary | undefined => {
 		reportOverdue(now);
 		lastFullSummaryAt = now;
-		overdueMilliseconds = usualLatency.getQuantileAndDecay(now);
-		overdueBucket = overdueMilliseconds === Infinity ? Infinity : latencies.getBucket(overdueMilliseconds * constants.OVERDUE_RATIOS[0]);
+		usualMilliseconds = usualLatency.getQuantileAndDecay(now);
+		overdueBucket = usualMilliseconds === Infinity ? Infinity : latencies.getBucket(usualMilliseconds * constants.OVERDUE_RATIOS[0]);
 		return collect(now, () => true);
 	};
 
@@ -178,17 +177,17 @@
 		record(upstream, result, latencyMilliseconds) {
 			record(upstream, result, 0, latencyMilliseconds);
 		},
-		hasUrgentEvidence: isUrgent,
+		hasUrgentEvidence,
 		applySummary,
 		collectSummary: collectFullSummary,
 		collectDueSummary(now, quietMilliseconds) {
-			// All services of a host become due together, so that one message can tell of them.
+			// All services of a host become due together, so that one message can hold their summaries.
 			if (Math.floor(now / quietMilliseconds) !== Math.floor(lastFullSummaryAt / quietMilliseconds)) {
 				return collectFullSummary(now);
 			}
 
 			const isPartialSummaryDue = alerts.hasAlerts(now) && now - lastSummaryAt >= constants.ALERTED_SUMMARY_INTERVAL_MILLISECONDS;
-			return isPartialSummaryDue || isUrgent(now) ? collectPartialSummary(now) : undefined;
+			return isPartialSummaryDue || hasUrgentEvidence(now) ? collectPartialSummary(now) : undefined;
 		},
 	};
 }
--- a/packages/wagtailroute-detection/src/evidence-update.ts
+++ b/packages/wagtailroute-detection/src/evidence-update.ts
@@ -1,6 +1,6 @@
 /**
-Weighs each upstream against its peers: adds the samples of a tick to the evidence of all hosts, of this host alone, and
-of the hosts outside each group.
+Update of the evidence: compares each upstream with its peers, and adds the samples of a tick to the evidence pooled over
+all hosts, that of this host alone, and that of the hosts outside each group.
 */
 import type * as core from 'wagtailroute-core';
 import * as baselines from './baselines.ts';
@@ -11,12 +11,12 @@
 import * as symptoms from './symptoms.ts';
 
 /**
-Samples of one upstream by the host that saw them.
+Samples of one upstream by the host that reported them.
 */
 export type SamplesByHost = ReadonlyMap<core.HostId, symptoms.Samples>;
 
 /**
-What the weighing may know besides the upstreams.
+Input of the update besides the upstreams.
 */
 export type UpdateContext = {
 	readonly host: core.HostId;
@@ -60,17 +60,17 @@
 	readonly outsideGroups: readonly groups.HostGroup[];
 };
 
-function addToEvidence(tracked: states.TrackedUpstream, byHost: SamplesByHost, weights: UpdateOptions): states.UpstreamEvidence {
-	const {context, outsideGroups} = weights;
+function addToEvidence(tracked: states.TrackedUpstream, byHost: SamplesByHost, options: UpdateOptions): states.UpstreamEvidence {
+	const {context, outsideGroups} = options;
 	const {pooled, own, outside} = tracked.evidence;
 	const isCold = states.isRamping(tracked, context.now);
-	const add = (statistics: symptoms.EvidenceBySymptom, added: symptoms.Samples): symptoms.EvidenceBySymptom =>
-		addSamples(statistics, added, weights, isCold);
+	const add = (evidence: symptoms.EvidenceBySymptom, added: symptoms.Samples): symptoms.EvidenceBySymptom =>
+		addSamples(evidence, added, options, isCold);
 	const all = symptoms.sumSamples(byHost.values());
 	const nextPooled = add(pooled, all);
 	const nextOwn = add(own, byHost.get(context.host) ?? symptoms.EMPTY_SAMPLES);
-	// Most steps of most upstreams: nothing speaks against it. Without evidence of all hosts together, that of a part of them
-	// asks for nothing, and it gathers anew with that of all.
+	// The usual case: no evidence against the upstream. Without pooled evidence, that of some of the hosts has no
+	// consequence, so it is dropped and accumulates anew together with the pooled evidence.
 	if (symptoms.isEmpty(nextPooled)) {
 		return symptoms.isEmpty(nextOwn) ? states.EMPTY_UPSTREAM_EVIDENCE : {...states.EMPTY_UPSTREAM_EVIDENCE, own: nextOwn};
 	}
@@ -99,22 +99,22 @@
 	return sums;
 }
 
-function addSamples(statistics: symptoms.EvidenceBySymptom, added: symptoms.Samples, weights: UpdateOptions, isCold: boolean): symptoms.EvidenceBySymptom {
-	const errors = addSymptom(statistics, added, 'errors', {weights, isCold});
-	const slowness = addSymptom(statistics, added, 'slowness', {weights, isCold});
-	const stalls = addSymptom(statistics, added, 'stalls', {weights, isCold});
-	const isSame = errors === statistics.errors && slowness === statistics.slowness && stalls === statistics.stalls;
-	return isSame ? statistics : {errors, slowness, stalls};
+function addSamples(evidence: symptoms.EvidenceBySymptom, added: symptoms.Samples, options: UpdateOptions, isCold: boolean): symptoms.EvidenceBySymptom {
+	const errors = addSymptom(evidence, added, 'errors', {options, isCold});
+	const slowness = addSymptom(evidence, added, 'slowness', {options, isCold});
+	const stalls = addSymptom(evidence, added, 'stalls', {options, isCold});
+	const isSame = errors === evidence.errors && slowness === evidence.slowness && stalls === evidence.stalls;
+	return isSame ? evidence : {errors, slowness, stalls};
 }
 
 function addSymptom(
-	statistics: symptoms.EvidenceBySymptom,
+	evidence: symptoms.EvidenceBySymptom,
 	added: symptoms.Samples,
 	symptom: symptoms.Symptom,
-	{weights, isCold}: {readonly weights: UpdateOptions; readonly isCold: boolean},
+	{options, isCold}: {readonly options: UpdateOptions; readonly isCold: boolean},
 ): symptoms.SymptomEvidence {
-	const {context: {point}, normalRates} = weights;
-	const next = symptoms.addSample(statistics[symptom], symptom, {
+	const {context: {point}, normalRates} = options;
+	const next = symptoms.addSample(evidence[symptom], symptom, {
 		sample: added[symptom],
 		normalRate: normalRates[symptom],
 		maxGain: point.threshold * point.maxGainFraction,
--- a/packages/wagtailroute-detection/src/findings.ts
+++ b/packages/wagtailroute-detection/src/findings.ts
@@ -1,5 +1,5 @@
 /**
-What the evidence says about one upstream.
+Conclusions from the evidence about one upstream: suspects, findings and path faults.
 */
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
@@ -12,8 +12,8 @@
 import * as symptoms from './symptoms.ts';
 
 /**
-Evidence in nats that an upstream is sick for hosts of any group: the pooled evidence, bounded by what the hosts outside
-each group see. A group is passed over while the others send too few requests to tell.
+Returns the evidence in nats that an upstream is sick for hosts of all groups: the pooled evidence, bounded by that of the
+hosts outside each group. A group is ignored while the hosts outside it send too few requests.
 */
 export function getConfirmedEvidence(
 	{evidence, windows}: states.TrackedUpstream,
@@ -36,21 +36,21 @@
 }
 
 /**
-Whether the upstream has half the evidence of an ejection.
+Returns whether there is enough evidence for the upstream to count as a suspect, half that of an ejection.
 */
 export function isSuspect(
 	tracked: states.TrackedUpstream,
 	point: operatingPoints.OperatingPoint,
 	membership: groups.GroupMembership,
 ): boolean {
-	const least = point.threshold * constants.SUSPECT_EVIDENCE_FRACTION;
+	const minEvidence = point.threshold * constants.SUSPECT_EVIDENCE_FRACTION;
 	return symptoms.SYMPTOMS.some(symptom =>
-		symptoms.getStrongestEvidence(tracked.evidence.pooled[symptom]) >= least
-		&& getConfirmedEvidence(tracked, symptom, membership) >= least);
+		symptoms.getStrongestEvidence(tracked.evidence.pooled[symptom]) >= minEvidence
+		&& getConfirmedEvidence(tracked, symptom, membership) >= minEvidence);
 }
 
 /**
-Returns the finding that calls for an ejection, if any symptom does.
+Returns the finding that justifies an ejection, if any symptom does.
 */
 export function getFinding(
 	tracked: states.TrackedUpstream,
@@ -65,25 +65,25 @@
 	return symptom === undefined ? undefined : createFinding(tracked, symptom, point, measurement);
 }
 
-// Slowness of the path is left to the choice of upstreams, which weighs this host's own latencies.
+// A slow path is left to the selection of upstreams, which takes this host's own latencies into account.
 const PATH_SYMPTOMS: readonly symptoms.Symptom[] = ['errors', 'stalls'];
 
 /**
-Whether the symptom still shows in the latest requests. A healthy server that paused leaves evidence of slowness behind
-for about a second, and would be ejected after it recovered.
+Returns whether the latest requests still show the symptom. Evidence of slowness outlasts the pause of a healthy server by
+about a second, and without this check the server would be ejected after its recovery.
 */
 export function isInstantRateElevated({windows, normalRates}: states.TrackedUpstream, symptom: symptoms.Symptom): boolean {
 	if (symptom === 'errors') {
 		return true;
 	}
 
-	const least = Math.min(constants.MAX_REQUIRED_INSTANT_RATE, normalRates[symptom] * constants.INSTANT_RATE_RATIO);
+	const minRate = Math.min(constants.MAX_REQUIRED_INSTANT_RATE, normalRates[symptom] * constants.INSTANT_RATE_RATIO);
 	const {count, bad} = windows.instant[symptom];
-	return bad >= count * least;
+	return bad >= count * minRate;
 }
 
 /**
-Whether this host alone can't reach the upstream while the others do.
+Returns whether this host alone can't reach the upstream while the others do.
 */
 export function isPathFault(
 	{evidence, windows}: states.TrackedUpstream,
@@ -92,17 +92,17 @@
 	membership: groups.GroupMembership,
 ): boolean {
 	return PATH_SYMPTOMS.some(symptom => {
-		// A broken path fails nearly all requests. Against a milder alternative, each host would steer away from a sick
-		// upstream by itself, and leave no evidence to eject it.
+		// A broken path fails nearly all requests, so only the last alternative counts. With a milder one, each host would
+		// steer away from a sick upstream by itself, and no evidence would be left to eject it.
 		if (evidence.own[symptom].at(-1)! < point.steeringThreshold) {
 			return false;
 		}
 
-		const others = countRequests(windows.requests, other => other !== host);
+		const otherRequests = countRequests(windows.requests, other => other !== host);
 		const outside = membership.groups
 			.filter(group => !groups.isOutside(membership, host, group))
 			.map(group => symptoms.getStrongestEvidence((evidence.outside.get(group) ?? symptoms.EMPTY_EVIDENCE)[symptom]));
-		return others >= constants.MIN_OUTSIDE_REQUESTS
+		return otherRequests >= constants.MIN_OUTSIDE_REQUESTS
 			&& Math.min(...outside) < point.threshold * constants.MAX_HEALTHY_OUTSIDE_FRACTION;
 	});
 }
@@ -111,7 +111,8 @@
 	return symptoms.getRate(windows.short.samples[symptom]) >= normalRates[symptom] * constants.SHORT_RATE_RATIO;
 }
 
-// Slowness must also be a matter of size: many slightly slow requests are evidence, but no reason to eject.
+// The median must also exceed the peers' by a minimum ratio: many slightly slow requests are evidence, but no reason to
+// eject.
 function isLargeEnough(
 	tracked: states.TrackedUpstream,
 	symptom: symptoms.Symptom,
--- a/packages/wagtailroute-detection/src/floor.ts
+++ b/packages/wagtailroute-detection/src/floor.ts
@@ -1,5 +1,5 @@
 /**
-The floor that bounds ejections: the rule of the core, as detection and its benches ask for it.
+The floor that limits ejections: the rule of `wagtailroute-core`, exported for the users of detection and its benches.
 */
 import * as core from 'wagtailroute-core';
 
@@ -11,7 +11,7 @@
 } from 'wagtailroute-core';
 
 /**
-Says whether one more ejection may be granted.
+Returns whether one more ejection may be granted.
 */
 export function isEjectionAllowed(counts: core.UpstreamCounts): boolean {
 	return core.getEjectionAllowance(counts) >= 1;
--- a/packages/wagtailroute-detection/src/grants.ts
+++ b/packages/wagtailroute-detection/src/grants.ts
@@ -1,5 +1,5 @@
 /**
-What the grantor's decisions, and evidence withdrawn later, do to the record of an upstream.
+Effects of the grantor's decisions, and of withdrawn failures, on the record of an upstream.
 */
 import * as constants from './constants.ts';
 import * as phases from './phases.ts';
@@ -8,7 +8,7 @@
 import * as windows from './windows.ts';
 
 /**
-Takes an ejection that was granted, to this host or another.
+Applies an ejection that was granted to this or another host.
 */
 export function applyEjection(
 	tracked: states.TrackedUpstream,
@@ -25,7 +25,7 @@
 }
 
 /**
-Takes a re-admission.
+Applies a re-admission.
 */
 export function applyReadmission(tracked: states.TrackedUpstream, now: number): phases.PhaseChange {
 	if (tracked.phase.kind === 'serving' || tracked.phase.kind === 'requested') {
@@ -39,7 +39,8 @@
 }
 
 /**
-Takes the refusal of an ejection: this host prefers other upstreams for a while, and asks again after it.
+Applies the refusal of an ejection: this host prefers other upstreams until the given time, and then may request the
+ejection again.
 */
 export function applyRefusal(tracked: states.TrackedUpstream, until: number): phases.PhaseChange {
 	if (tracked.phase.kind !== 'requested') {
@@ -58,12 +59,12 @@
 }
 
 /**
-Withdraws failures that a request caused and not the upstream.
+Withdraws failures that were caused by a request and not by the upstream, from the windows and the evidence.
 */
 export function withdrawUpstreamFailures(tracked: states.TrackedUpstream, count: number): states.TrackedUpstream {
-	const withdraw = (statistics: symptoms.EvidenceBySymptom): symptoms.EvidenceBySymptom => ({
-		...statistics,
-		errors: symptoms.withdrawFailures(statistics.errors, 'errors', count, tracked.normalRates.errors),
+	const withdraw = (evidence: symptoms.EvidenceBySymptom): symptoms.EvidenceBySymptom => ({
+		...evidence,
+		errors: symptoms.withdrawFailures(evidence.errors, 'errors', count, tracked.normalRates.errors),
 	});
 	const {pooled, own, outside} = tracked.evidence;
 	return {
@@ -72,7 +73,7 @@
 		evidence: {
 			pooled: withdraw(pooled),
 			own: withdraw(own),
-			outside: new Map(outside.entries().map(([group, statistics]) => [group, withdraw(statistics)])),
+			outside: new Map(outside.entries().map(([group, evidence]) => [group, withdraw(evidence)])),
 		},
 	};
 }
--- a/packages/wagtailroute-detection/src/groups.ts
+++ b/packages/wagtailroute-detection/src/groups.ts
@@ -1,40 +1,40 @@
 /**
-Groups of hosts that a path fault may take as one: a failure domain, or a quarter of the hosts.
+Groups of hosts that one network path fault may affect together: a failure domain, or a quarter of the hosts.
 
-An upstream that fails for the hosts of a single group only is not sick: something between them is. So next to the
-evidence of all hosts there is, for each group, the evidence of the hosts outside it; an ejection needs all of these.
+An upstream that fails only for the hosts of a single group is not sick: the path between them is faulty. Besides the
+pooled evidence, detection keeps the evidence of the hosts outside each group; an ejection requires all of them.
 */
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
 
 /**
-Name of a group.
+Name of a group, unique in a service.
 */
 export type HostGroup = string;
 
 /**
-Failure domains of the hosts that send summaries.
+Failure domain of each host that sends summaries.
 */
 export type FailureDomains = ReadonlyMap<core.HostId, core.FailureDomain>;
 
 /**
-Groups of each host.
+Assignment of hosts to groups.
 */
 export type GroupMembership = {
 	readonly byHost: ReadonlyMap<core.HostId, readonly HostGroup[]>;
 	/**
-	Groups that leave other hosts outside. A group of all hosts says nothing.
+	Groups with hosts outside them. A group of all hosts allows no comparison.
 	*/
 	readonly groups: readonly HostGroup[];
 };
 
 /**
-Membership without hosts.
+Assignment without hosts.
 */
 export const EMPTY_MEMBERSHIP: GroupMembership = {byHost: new Map(), groups: []};
 
 /**
-Returns the groups of each host.
+Assigns each host to its failure domain, and to one of `HOST_PARTITIONS` parts by the order of the host ids.
 */
 export function createMembership(hosts: FailureDomains): GroupMembership {
 	const ordered = [...hosts].toSorted(([left], [right]) => compareNames(left, right));
@@ -57,7 +57,7 @@
 }
 
 /**
-Whether the host is outside the group.
+Returns whether the host is outside the group. Unknown hosts are outside every group.
 */
 export function isOutside(membership: GroupMembership, host: core.HostId, group: HostGroup): boolean {
 	return membership.byHost.get(host)?.includes(group) !== true;
--- a/packages/wagtailroute-detection/src/index.ts
+++ b/packages/wagtailroute-detection/src/index.ts
@@ -1,5 +1,5 @@
 /**
-Detection of sick upstreams from the traffic of all hosts that carry a service, and the floor that bounds ejections.
+Detection of sick upstreams from the traffic of all hosts that carry a service, and the floor that limits ejections.
 */
 export {
 	createDetectionState,
--- a/packages/wagtailroute-detection/src/latencies.ts
+++ b/packages/wagtailroute-detection/src/latencies.ts
@@ -1,6 +1,6 @@
 /**
-Latencies as counts in logarithmic buckets: small, mergeable by addition, and exact enough (about 19% a bucket) to tell
-a server that is twice as slow as its peers.
+Histograms of latencies with logarithmic buckets: small, mergeable by addition, and precise enough (a bucket spans about
+19%) to detect a server that is twice as slow as its peers.
 */
 
 /**
@@ -9,17 +9,17 @@
 const BUCKETS_PER_OCTAVE = 4;
 
 /**
-Upper end of the first bucket, in milliseconds.
+Upper bound of the first bucket, in milliseconds.
 */
 const FIRST_BUCKET_MILLISECONDS = 0.5;
 
 /**
-Number of buckets: the last one takes all above about 100 seconds.
+Number of buckets. The last one holds all latencies above about 100 seconds.
 */
 export const BUCKET_COUNT = 72;
 
 /**
-Counts by bucket, `BUCKET_COUNT` long.
+Sample counts by bucket; `BUCKET_COUNT` long.
 */
 export type Histogram = readonly number[];
 
@@ -29,12 +29,12 @@
 export const EMPTY_HISTOGRAM: Histogram = createEmptyHistogram();
 
 /**
-Counts by bucket without the empty ones: pairs of bucket and count, flattened. A bucket may come several times.
+Sample counts without the empty buckets: pairs of bucket and count, flattened. A bucket may occur several times.
 */
 export type SparseHistogram = readonly number[];
 
 /**
-Bucket of a latency.
+Returns the bucket of a latency.
 */
 export function getBucket(milliseconds: number): number {
 	if (!(milliseconds > FIRST_BUCKET_MILLISECONDS)) {
@@ -46,14 +46,14 @@
 }
 
 /**
-Upper end of a bucket in milliseconds.
+Returns the upper bound of a bucket in milliseconds.
 */
 export function getBucketUpperBound(bucket: number): number {
 	return FIRST_BUCKET_MILLISECONDS * (2 ** (bucket / BUCKETS_PER_OCTAVE));
 }
 
 /**
-Scales a histogram and adds pairs to it.
+Multiplies the counts of a histogram by a factor, and adds a sparse histogram to it.
 */
 export function scaleAndAdd(histogram: Histogram, factor: number, added: SparseHistogram): Histogram {
 	const next = [...histogram];
@@ -63,7 +63,7 @@
 
 	for (let index = 0; index + 1 < added.length; index += 2) {
 		const bucket = added[index]!;
-		// A bucket that doesn't exist comes from a host of another version: dropped, not counted elsewhere.
+		// A bucket that doesn't exist comes from a host of another version. It is dropped, not counted in another bucket.
 		if (next[bucket] !== undefined) {
 			next[bucket] += added[index + 1]!;
 		}
@@ -73,7 +73,7 @@
 }
 
 /**
-Adds up histograms.
+Adds up histograms bucket by bucket.
 */
 export function sumHistograms(all: Iterable<Histogram>): Histogram {
 	const sum = [...EMPTY_HISTOGRAM];
@@ -87,7 +87,7 @@
 }
 
 /**
-Takes a histogram out of a sum that it is part of.
+Subtracts a histogram from a sum that includes it.
 */
 export function subtractHistogram(sum: Histogram, part: Histogram): Histogram {
 	const rest = [...sum];
@@ -99,7 +99,7 @@
 }
 
 /**
-Number of samples.
+Returns the number of samples in a histogram.
 */
 export function getSampleCount(histogram: Histogram): number {
 	let total = 0;
@@ -111,14 +111,14 @@
 }
 
 /**
-Bucket that holds the quantile; 0 when there are no samples.
+Returns the bucket that holds the quantile, or 0 when there are no samples.
 */
 export function getQuantileBucket(histogram: Histogram, quantile: number, total = getSampleCount(histogram)): number {
-	const wanted = total * quantile;
-	let seen = 0;
+	const rank = total * quantile;
+	let cumulative = 0;
 	for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
-		seen += histogram[bucket]!;
-		if (seen >= wanted && seen > 0) {
+		cumulative += histogram[bucket]!;
+		if (cumulative >= rank && cumulative > 0) {
 			return bucket;
 		}
 	}
@@ -127,21 +127,21 @@
 }
 
 /**
-Upper end, in milliseconds, of the bucket that holds the quantile.
+Returns the upper bound, in milliseconds, of the bucket that holds the quantile.
 */
 export function getQuantile(histogram: Histogram, quantile: number): number {
 	return getBucketUpperBound(getQuantileBucket(histogram, quantile));
 }
 
 /**
-Bucket that holds the median of two histograms together; 0 when there are no samples.
+Returns the bucket that holds the median of two histograms together, or 0 when there are no samples.
 */
 export function getMergedMedianBucket(left: Histogram, right: Histogram, total = getSampleCount(left) + getSampleCount(right)): number {
-	const wanted = total / 2;
-	let seen = 0;
+	const rank = total / 2;
+	let cumulative = 0;
 	for (let bucket = 0; bucket < BUCKET_COUNT; bucket++) {
-		seen += left[bucket]! + right[bucket]!;
-		if (seen >= wanted && seen > 0) {
+		cumulative += left[bucket]! + right[bucket]!;
+		if (cumulative >= rank && cumulative > 0) {
 			return bucket;
 		}
 	}
@@ -150,7 +150,7 @@
 }
 
 /**
-Number of samples in pairs, and of those in buckets above the given one.
+Counts the samples in a sparse histogram, and those in buckets above the given one.
 */
 export function countSparseSamples(pairs: SparseHistogram, bucket: number): {readonly count: number; readonly above: number} {
 	let count = 0;
@@ -164,8 +164,8 @@
 	return {count, above};
 }
 
-// An array that holds whole numbers only is converted, and copied whole, at the first fraction written to it. Histograms
-// are copied in each step, so the empty one is made an array of fractions from the start.
+// The engine converts and copies an array of integers when the first fraction is written to it. Histograms are copied in
+// each tick, so the empty one is an array of fractions from the start.
 function createEmptyHistogram(): Histogram {
 	const empty = Array.from({length: BUCKET_COUNT}, () => 0.5);
 	return empty.fill(0);
--- a/packages/wagtailroute-detection/src/measurement.ts
+++ b/packages/wagtailroute-detection/src/measurement.ts
@@ -1,5 +1,5 @@
 /**
-First half of a tick: takes the summaries into the windows, and weighs each upstream against its peers.
+First half of a tick: adds the pending summaries to the windows and to the evidence against each upstream.
 */
 import type * as core from 'wagtailroute-core';
 import * as baselines from './baselines.ts';
@@ -13,20 +13,20 @@
 import * as windows from './windows.ts';
 
 /**
-Upstreams after the summaries were taken in, and the peers' median latency in milliseconds for each.
+Result of the first half of a tick: the updated upstreams, and the peers' median latency in milliseconds for each.
 */
 export type Measurement = {
 	readonly upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>;
 	readonly getPeersMedian: (upstream: core.UpstreamId) => number;
 	/**
-	What was seen of the upstream in this tick.
+	Returns the samples of the upstream in this tick, added up over all hosts.
 	*/
 	readonly getSamples: (upstream: core.UpstreamId) => symptoms.Samples;
 	readonly membership: groups.GroupMembership;
 };
 
 /**
-Takes the pending summaries into the record of each upstream.
+Adds the pending summaries to the record of each upstream.
 */
 export function measure(state: states.DetectionState, now: number): Measurement {
 	const elapsed = now - (state.lastTickAt ?? now);
@@ -87,7 +87,7 @@
 	limits: baselines.LatencyLimits | undefined,
 	isDistressed: boolean,
 ): symptoms.Samples {
-	// When the whole service is slow, timeouts come in bursts, here first and there next: they are the load's doing.
+	// When the whole service is slow, timeouts come in bursts at one upstream after the other: the load causes them.
 	const bad = isDistressed ? failures : failures + timeouts;
 	const errors = {count: successes + bad, bad};
 	if (limits === undefined) {
--- a/packages/wagtailroute-detection/src/observations.ts
+++ b/packages/wagtailroute-detection/src/observations.ts
@@ -1,17 +1,17 @@
 /**
-The observations of one tick: summaries of the hosts, added up by upstream and by host.
+Observations of one tick: the summaries of the hosts, added up by upstream and by host.
 */
 import type * as core from 'wagtailroute-core';
 import type * as latencies from './latencies.ts';
 import type * as summaries from './summaries.ts';
 
 /**
-What was seen of one upstream, by one host or by all.
+Requests of one host at one upstream, by result.
 */
 export type Observation = {
 	readonly successes: number;
 	/**
-	Failures but for timeouts.
+	Failures other than timeouts.
 	*/
 	readonly failures: number;
 	readonly timeouts: number;
@@ -19,7 +19,7 @@
 };
 
 /**
-Nothing seen.
+An observation without requests.
 */
 export const EMPTY_OBSERVATION: Observation = {
 	successes: 0,
@@ -34,7 +34,7 @@
 export type Observations = ReadonlyMap<core.UpstreamId, ReadonlyMap<core.HostId, Observation>>;
 
 /**
-Adds up summaries. Sheds are left out: shedding is a healthy server's answer to overload.
+Adds up summaries by upstream and host. Sheds are ignored: shedding is a healthy server's answer to overload.
 */
 export function collectObservations(pending: readonly summaries.Summary[]): Observations {
 	const collected = new Map<core.UpstreamId, Map<core.HostId, Observation>>();
@@ -52,7 +52,7 @@
 }
 
 /**
-Latencies that all hosts saw.
+Returns the latencies that all hosts reported.
 */
 export function mergeLatencies(byHost: ReadonlyMap<core.HostId, Observation> | undefined): latencies.SparseHistogram {
 	const pairs: number[] = [];
--- a/packages/wagtailroute-detection/src/operating-points.ts
+++ b/packages/wagtailroute-detection/src/operating-points.ts
@@ -1,8 +1,8 @@
 /**
-The two operating points of detection: the same tests with other thresholds.
+The two operating points of detection: the same statistical tests with different thresholds.
 
-`fast` asks for less evidence, for services whose callers suffer most from a sick upstream. `careful` asks for more, and
-for a greater difference from the peers, for services that suffer most from an upstream wrongly taken out.
+`fast` requires less evidence, for services whose callers suffer most from a sick upstream. `careful` requires more
+evidence and a greater difference from the peers, for services that suffer most from a false ejection.
 */
 import type * as symptoms from './symptoms.ts';
 
@@ -16,45 +16,45 @@
 */
 export type OperatingPoint = {
 	/**
-	Evidence that asks for an ejection: a log likelihood ratio in nats.
+	Evidence at which an ejection is requested: a log likelihood ratio in nats.
 	*/
 	readonly threshold: number;
 	/**
-	Largest gain of evidence in one tick, as a part of the threshold. One burst, such as all slots reset at once, must not
-	be enough.
+	Largest gain of evidence in one tick, as a fraction of the threshold. One burst, such as the reset of all slots at once,
+	must not be enough.
 	*/
 	readonly maxGainFraction: number;
 	/**
-	Factor on the peers' rate that still counts as normal.
+	Multiple of the peers' rate of a symptom that still counts as normal.
 	*/
 	readonly peerRateFactor: number;
 	/**
-	Rates that count as normal whatever the peers show.
+	Rates of symptoms that count as normal even if the peers show lower ones.
 	*/
 	readonly minNormalRates: Readonly<Record<symptoms.Symptom, number>>;
 	/**
-	Smallest ratio of the median latency to that of the peers for slowness.
+	Smallest ratio of the median latency to the peers' median at which slowness is a finding.
 	*/
 	readonly minSlownessRatio: number;
 	/**
-	How long a finding must last, in milliseconds: longer than a pause of a healthy server.
+	How long a finding must last before an ejection is requested, in milliseconds: longer than a pause of a healthy server.
 	*/
 	readonly minFindingMilliseconds: Readonly<Record<symptoms.Symptom, number>>;
 	/**
-	Evidence of this host alone, for the hardest alternative, that makes it steer away, in nats.
+	Evidence of this host alone, against the strongest alternative, at which it steers away, in nats.
 	*/
 	readonly steeringThreshold: number;
 	/**
-	First wait before a trial, in milliseconds; it doubles with each ejection up to the ceiling.
+	Time from an ejection to its trial, in milliseconds. It doubles with each consecutive ejection, up to the maximum.
 	*/
 	readonly initialEjectionMilliseconds: number;
 	readonly maxEjectionMilliseconds: number;
 	/**
-	Good requests on trial that ask for re-admission.
+	Successful trial requests after which re-admission is requested.
 	*/
 	readonly requiredTrialSuccesses: number;
 	/**
-	Wait after a denied grant before asking again, in milliseconds.
+	Time after a refused ejection before it is requested again, in milliseconds.
 	*/
 	readonly refusalBackoffMilliseconds: number;
 };
--- a/packages/wagtailroute-detection/src/phases.ts
+++ b/packages/wagtailroute-detection/src/phases.ts
@@ -1,5 +1,5 @@
 /**
-What each phase of an upstream does at a tick, and at the grantor's decisions.
+The phases of an upstream: what each does at a tick, and how an ejection starts.
 */
 import * as constants from './constants.ts';
 import * as findings from './findings.ts';
@@ -10,7 +10,7 @@
 import * as symptoms from './symptoms.ts';
 
 /**
-What a phase may know at a tick.
+Input of a phase at a tick.
 */
 export type PhaseContext = {
 	readonly now: number;
@@ -18,13 +18,13 @@
 	readonly point: operatingPoints.OperatingPoint;
 	readonly measurement: measurements.Measurement;
 	/**
-	So many upstreams look sick at once that the cause is shared: nothing is ejected.
+	Whether so many upstreams look sick at once that the cause must be shared. Nothing is ejected then.
 	*/
 	readonly isSharedCause: boolean;
 };
 
 /**
-Next record of an upstream, and what is to be done.
+Next record of an upstream, and the effects to carry out.
 */
 export type PhaseChange = {
 	readonly tracked: states.TrackedUpstream;
@@ -50,15 +50,15 @@
 			return createChange(phase.findingSince === undefined ? tracked : {...tracked, phase: {...phase, findingSince: undefined}});
 		}
 
-		// Evidence gathered while all got worse says nothing about this one: without the reset it would eject a healthy
-		// upstream as soon as the others recover.
+		// Evidence gathered while all upstreams got worse says nothing about this one. Without the reset, it would eject a
+		// healthy upstream as soon as the others recover.
 		if (context.isSharedCause) {
 			return createChange({...tracked, evidence: states.EMPTY_UPSTREAM_EVIDENCE});
 		}
 
 		const findingSince = phase.findingSince ?? context.now;
-		const isLasting = context.now - findingSince >= context.point.minFindingMilliseconds[finding.symptom];
-		if (!isLasting || !findings.isInstantRateElevated(tracked, finding.symptom)) {
+		const hasLasted = context.now - findingSince >= context.point.minFindingMilliseconds[finding.symptom];
+		if (!hasLasted || !findings.isInstantRateElevated(tracked, finding.symptom)) {
 			return createChange({...tracked, phase: {...phase, findingSince}});
 		}
 
@@ -118,7 +118,7 @@
 }
 
 /**
-Takes an upstream out of service until its next trial. The wait doubles with each ejection in a row, so that a flapping
+Takes an upstream out of service until its next trial. The time doubles with each consecutive ejection, so that a flapping
 upstream gets less and less work.
 */
 export function startEjection(
@@ -128,7 +128,7 @@
 ): states.TrackedUpstream {
 	const doubledMilliseconds = point.initialEjectionMilliseconds * (2 ** (ejections - 1));
 	const ejectionMilliseconds = Math.min(point.maxEjectionMilliseconds, doubledMilliseconds);
-	// Spread over 20%, so that the hosts don't start their trials in one burst.
+	// The time is spread over 20%, so that the hosts don't start their trials in one burst.
 	const until = now + (ejectionMilliseconds * (0.9 + (0.2 * random())));
 	return {
 		...tracked,
--- a/packages/wagtailroute-detection/src/request-counts.ts
+++ b/packages/wagtailroute-detection/src/request-counts.ts
@@ -1,11 +1,12 @@
 /**
-What a host counts of one upstream between two summaries.
+Counts of a host's requests at one upstream between two summaries.
 */
 import type * as core from 'wagtailroute-core';
 import * as summaries from './summaries.ts';
 
 /**
-Counts of one upstream. Mutable: they change with each request.
+Counts of one upstream, mutable because each request changes them. `latencies` holds sample counts by bucket; `urgentEvents`
+counts the failures and overdue reports.
 */
 export type RequestCounts = {
 	successes: number;
@@ -16,7 +17,7 @@
 };
 
 /**
-Creates counts of nothing.
+Creates counts without requests.
 */
 export function createRequestCounts(): RequestCounts {
 	return {
@@ -25,7 +26,7 @@
 }
 
 /**
-Counts how a request ended. `isQuiet` says that nothing was lately seen against the upstream.
+Counts the result of a request. `isQuiet`: whether the upstream is not alerted.
 */
 export function countResult(counts: RequestCounts, result: CountedResult, isQuiet: boolean): void {
 	if (isQuiet && FAILURES.has(result)) {
@@ -45,8 +46,9 @@
 
 const FAILURES: ReadonlySet<summaries.RequestResult> = new Set(summaries.FAILURE_KINDS);
 
-// A summary doesn't say what came first. Successes before the first failure of a quiet stretch have no evidence to reduce;
-// told together with it they would take most of it back, and a server that has just failed would be found seconds later.
+// A summary doesn't contain the order of requests. Successes before the first failure of a quiet period have no evidence to
+// reduce. In one summary with the failure, they would cancel most of its evidence, and the failing server would be found
+// seconds later.
 function dropEarlierSuccesses(counts: RequestCounts): void {
 	if (Object.keys(counts.failures).length === 0) {
 		counts.successes = 0;
@@ -59,7 +61,7 @@
 }
 
 /**
-Results that count; a cancelled request says nothing.
+Results that are counted; a cancelled request is no evidence.
 */
 export type CountedResult = Exclude<summaries.RequestResult, 'cancelled'>;
 
@@ -78,7 +80,7 @@
 };
 
 /**
-Tells what was counted.
+Returns the counts in the form that is sent to other hosts.
 */
 export function createUpstreamSummary(id: core.UpstreamId, counts: RequestCounts): summaries.UpstreamSummary {
 	return {
--- a/packages/wagtailroute-detection/src/state.ts
+++ b/packages/wagtailroute-detection/src/state.ts
@@ -1,5 +1,5 @@
 /**
-State, events and effects of detection for one service on one host.
+State of detection for one service on one host.
 */
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
@@ -10,19 +10,20 @@
 import * as windows from './windows.ts';
 
 /**
-An upstream as announced.
+An announced upstream.
 */
 export type Upstream = {
 	readonly id: core.UpstreamId;
 	readonly state: 'serving' | 'draining';
 	/**
-	Monotonic time in milliseconds at which its ramp began; absent when it is warm.
+	Monotonic time in milliseconds at which its ramp-up began; absent for a warm upstream.
 	*/
 	readonly rampStartedAt?: number;
 };
 
 /**
-Where an upstream stands. `requested` and `readmitting` wait for the grantor.
+Phase of an upstream. `requested` and `readmitting` wait for the grantor's decision. `good` is the number of successful trial
+requests, less the penalties for bad ones.
 */
 export type Phase =
 	| ServingPhase
@@ -32,7 +33,7 @@
 	| {readonly kind: 'readmitting'; readonly since: number};
 
 /**
-In service. `foundAt` is set while a finding lasts; nothing is asked for before `heldUntil`.
+In service. `findingSince` is set while a finding lasts; no ejection is requested before `nextRequestAt`.
 */
 export type ServingPhase = {
 	readonly kind: 'serving';
@@ -42,7 +43,7 @@
 };
 
 /**
-Evidence against an upstream: of all hosts, of this host alone, and of the hosts outside each group.
+Evidence against an upstream: pooled over all hosts, of this host alone (`own`), and of the hosts outside each group.
 */
 export type UpstreamEvidence = {
 	readonly pooled: symptoms.EvidenceBySymptom;
@@ -54,7 +55,7 @@
 };
 
 /**
-No evidence.
+No evidence in any scope.
 */
 export const EMPTY_UPSTREAM_EVIDENCE: UpstreamEvidence = {
 	pooled: symptoms.EMPTY_EVIDENCE,
@@ -63,8 +64,8 @@
 };
 
 /**
-Steering of this host alone: since when it looks as if only this host can't reach the upstream, until when it steers
-away, and how often it did in a row.
+Steering of this host away from an upstream: since when only this host seems unable to reach the upstream, until when it
+steers away, and how many consecutive times it did.
 */
 export type Steering = {
 	readonly suspectedAt: number | undefined;
@@ -73,7 +74,7 @@
 };
 
 /**
-What is known of one upstream.
+Everything that detection knows about one upstream.
 */
 export type TrackedUpstream = {
 	readonly upstream: Upstream;
@@ -81,19 +82,16 @@
 	readonly windows: windows.Windows;
 	readonly evidence: UpstreamEvidence;
 	/**
-	Rates that counted as normal in the last tick.
+	Rates of symptoms that counted as normal when evidence was last added.
 	*/
 	readonly normalRates: Readonly<Record<symptoms.Symptom, number>>;
 	/**
-	Ejections in a row: sets the wait before the next trial.
+	Number of consecutive ejections; determines the time before the next trial.
 	*/
 	readonly ejections: number;
-	/**
-	Whether this host steers away by itself.
-	*/
 	readonly steering: Steering;
 	/**
-	What the health endpoint says. It lags or misleads, so it only orders requests that evidence calls for.
+	Latest answer of the health endpoint. It may be late or wrong, so it only orders requests that the evidence calls for.
 	*/
 	readonly isReportedHealthy: boolean;
 };
@@ -110,22 +108,22 @@
 	*/
 	readonly pending: readonly summaries.Summary[];
 	/**
-	Latest summary of each host that a tick took in; those in `pending` are later.
+	Latest summary of each host that a tick processed; those in `pending` are later.
 	*/
 	readonly lastSummaries: ReadonlyMap<core.HostId, ReceivedSummary>;
 	/**
-	Groups of the hosts in `received`.
+	Groups of the hosts in `lastSummaries`.
 	*/
 	readonly membership: groups.GroupMembership;
 	readonly lastTickAt: number | undefined;
 	/**
-	What was reported and still holds: each is reported once.
+	Conditions that were reported and still hold: each is reported once.
 	*/
 	readonly reported: {readonly isSharedCause: boolean; readonly isSelfFault: boolean};
 };
 
 /**
-Latest summary of a host.
+What is kept of the latest summary of a host.
 */
 export type ReceivedSummary = {
 	readonly failureDomain: core.FailureDomain;
@@ -135,7 +133,7 @@
 };
 
 /**
-Creates the state of a host that has seen nothing.
+Creates the state of a host without any upstream or evidence.
 */
 export function createDetectionState({host, operatingPoint}: {
 	readonly host: core.HostId;
@@ -170,7 +168,7 @@
 }
 
 /**
-Whether the upstream is still warming up: its latency is no evidence, and neither are rare errors.
+Returns whether the upstream is still warming up: neither its latency nor rare errors are evidence.
 */
 export function isRamping({upstream}: TrackedUpstream, now: number): boolean {
 	return upstream.rampStartedAt !== undefined && now - upstream.rampStartedAt < constants.RAMP_DURATION_MILLISECONDS;
@@ -187,7 +185,7 @@
 }
 
 /**
-Windows of the upstreams that are in service and warm: those that others are compared with.
+Returns the windows of the upstreams that others are compared with: those in service and warm.
 */
 export function getPeerWindows(upstreams: ReadonlyMap<core.UpstreamId, TrackedUpstream>, now: number): ReadonlyMap<core.UpstreamId, windows.Windows> {
 	const inService = upstreams.values().filter(tracked =>
--- a/packages/wagtailroute-detection/src/steering.ts
+++ b/packages/wagtailroute-detection/src/steering.ts
@@ -1,6 +1,6 @@
 /**
-Steering of one host away from upstreams that it alone can't reach. This is a preference and not an ejection: the other
-hosts still use the upstream, and this one does when no other has room.
+Steering of this host away from upstreams that it alone can't reach. It is a preference and not an ejection: the other hosts
+still use the upstream, and this host does when no other upstream has room.
 */
 import type * as core from 'wagtailroute-core';
 import * as constants from './constants.ts';
@@ -12,19 +12,19 @@
 import * as symptoms from './symptoms.ts';
 
 /**
-Upstreams after this host decided where to steer, and what is to be done.
+Upstreams after the decision where to steer away, and the effects to carry out.
 */
 export type SteeringChange = {
 	readonly upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>;
 	readonly effects: readonly events.Effect[];
 	/**
-	This host hardly reaches any upstream.
+	Whether this host reaches so few upstreams that its own network must be at fault.
 	*/
 	readonly isSelfFault: boolean;
 };
 
 /**
-Decides where this host steers away.
+Decides which upstreams this host steers away from.
 */
 export function updateSteering(
 	upstreams: ReadonlyMap<core.UpstreamId, states.TrackedUpstream>,
@@ -49,8 +49,8 @@
 		}
 	}
 
-	// A host that reaches hardly any upstream has nowhere to steer to: its own network is at fault, and it should leave
-	// the directory. Steering would only push all of its work onto the few that it still reaches.
+	// When the host's own network is at fault, the host should leave the directory. Steering would only send all of its
+	// requests to the few upstreams that it still reaches.
 	const steered = next.values().filter(({steering}) => now < steering.steeringUntil).map(({upstream}) => upstream.id);
 	const avoided = [...new Set([...steered, ...unreachable])];
 	const isSelfFault = avoided.length > 1 && avoided.length > upstreams.size * constants.SELF_FAULT_FRACTION;
--- a/packages/wagtailroute-detection/src/summaries.ts
+++ b/packages/wagtailroute-detection/src/summaries.ts
@@ -1,16 +1,16 @@
 /**
-What hosts tell each other about the upstreams of a service. JSON, with only the upstreams that had traffic.
+Summaries that hosts exchange about the upstreams of a service. They contain only the upstreams that had traffic.
 */
 import type * as core from 'wagtailroute-core';
 
 /**
-How a request failed at an upstream. `timeout` is the service's own deadline; one that the caller chose too short is
-recorded as `cancelled`, since it says nothing about the upstream.
+How a request failed at an upstream. `timeout` refers to the service's own deadline; the expiry of a shorter deadline of
+the caller is recorded as `cancelled`, since it is no evidence about the upstream.
 */
 export type FailureKind = 'connect' | 'reset' | 'status' | 'truncated' | 'timeout';
 
 /**
-How a request ended at an upstream. `shed` is a 503 with the outcome not-run: a healthy server's answer to overload.
+Result of a request at an upstream. `shed` is a 503 with the outcome not-run: a healthy server's answer to overload.
 */
 export type RequestResult = 'success' | FailureKind | 'shed' | 'cancelled';
 
@@ -20,7 +20,7 @@
 export const FAILURE_KINDS: readonly FailureKind[] = ['connect', 'reset', 'status', 'truncated', 'timeout'];
 
 /**
-What one host saw of one upstream since its last summary.
+One host's requests at one upstream since the host's last summary of it.
 */
 export type UpstreamSummary = {
 	readonly id: core.UpstreamId;
@@ -28,23 +28,23 @@
 	readonly failures: Readonly<Partial<Record<FailureKind, number>>>;
 	readonly sheds: number;
 	/**
-	Pairs of bucket and count, flattened.
+	Sample counts by bucket: pairs of bucket and count, flattened. A request reported as overdue counts with its age.
 	*/
 	readonly latencies: readonly number[];
 };
 
 /**
-What one host saw of a service since its last summary.
+One host's requests to a service since its last summary.
 */
 export type Summary = {
 	readonly host: core.HostId;
 	readonly failureDomain: core.FailureDomain;
 	/**
-	Tells apart lives of the host: sequence numbers start over in a new one.
+	Identifies one start of the host: sequence numbers begin anew with each.
 	*/
 	readonly epoch: number;
 	/**
-	Counts up from 1. A summary that comes twice is taken once.
+	Counts up from 1. A summary that arrives twice counts once.
 	*/
 	readonly sequence: number;
 	readonly upstreams: readonly UpstreamSummary[];
--- a/packages/wagtailroute-detection/src/symptoms.ts
+++ b/packages/wagtailroute-detection/src/symptoms.ts
@@ -1,25 +1,24 @@
 /**
-The sequential test behind every decision: a CUSUM of log likelihood ratios, one for each way in which an upstream can
-look sick.
+The sequential test behind every decision: a CUSUM of log likelihood ratios for each symptom of a sick upstream.
 
-Each symptom is a yes-or-no property of a request (it failed, it was slow, it stalled). Normal upstreams show it at about
-the rate of their peers. The test sums, over all requests, how much likelier each is under a sick rate than under the
-normal one, and starts over whenever the sum falls below zero. So evidence gathers at the speed of the traffic: few
-requests are enough for a hard fault, and a mild one is found after more of them, with the same rate of false alarms.
+A symptom is a yes-or-no property of a request (it failed, it was slow, it stalled). Normal upstreams show it at about
+the rate of their peers. The test sums, over all requests, the log of how much likelier each request is under a sick rate
+than under the normal one, and is reset to zero whenever the sum falls below zero. Evidence grows with the traffic: a few
+requests are enough for a severe fault, and a mild one is found after more requests, with the same rate of false alarms.
 */
 
 /**
-A way to look sick.
+A symptom of a sick upstream.
 */
 export type Symptom = 'errors' | 'slowness' | 'stalls';
 
 /**
-All symptoms, hardest first.
+All symptoms, the most severe first. An ejection request names the first one that justifies it.
 */
 export const SYMPTOMS: readonly Symptom[] = ['errors', 'stalls', 'slowness'];
 
 /**
-Requests seen, and how many of them showed the symptom.
+Number of requests, and how many of them (`bad`) showed the symptom.
 */
 export type Sample = {readonly count: number; readonly bad: number};
 
@@ -29,7 +28,7 @@
 export type Samples = Readonly<Record<Symptom, Sample>>;
 
 /**
-Evidence in nats against each alternative of a symptom.
+Evidence in nats for each alternative of a symptom, in the order of `ALTERNATIVES`.
 */
 export type SymptomEvidence = readonly number[];
 
@@ -39,8 +38,8 @@
 export type EvidenceBySymptom = Readonly<Record<Symptom, SymptomEvidence>>;
 
 /**
-Alternatives: extra chance, above the normal rate, that a request of a sick upstream shows the symptom. The lowest ones
-come first; a ramping upstream is only held against the last.
+Alternative hypotheses for each symptom: the additional probability, above the normal rate, that a request at a sick
+upstream shows the symptom. In ascending order; a ramping upstream is only tested against the last one.
 */
 export const ALTERNATIVES: Readonly<Record<Symptom, readonly number[]>> = {
 	errors: [0.04, 0.2, 0.6],
@@ -49,28 +48,29 @@
 };
 
 /**
-No requests seen.
+A sample without requests.
 */
 export const EMPTY_SAMPLE: Sample = {count: 0, bad: 0};
 
 /**
-No requests seen, for all symptoms.
+Samples without requests.
 */
 export const EMPTY_SAMPLES: Samples = {errors: EMPTY_SAMPLE, slowness: EMPTY_SAMPLE, stalls: EMPTY_SAMPLE};
 
 /**
-No evidence.
+No evidence for any symptom.
 */
 export const EMPTY_EVIDENCE: EvidenceBySymptom = {errors: [0, 0, 0], slowness: [0, 0], stalls: [0, 0]};
 
-// Keeps the logarithms finite when the peers nearly all fail.
+// Keeps the logarithms finite when nearly all requests at the peers show the symptom.
 const MAX_RATE = 0.98;
 
-// Keeps the logarithms finite before the first tick set a normal rate.
+// Keeps the logarithms finite before the first tick sets a normal rate.
 const MIN_RATE = 0.001;
 
 /**
-Log likelihood ratio in nats of a sample: sick, with the extra chance, against normal.
+Returns the log likelihood ratio of a sample in nats: of a sick upstream, whose probability of the symptom is raised by
+`extra`, to a normal one.
 */
 export function getLogLikelihoodRatio(sample: Sample, normalRate: number, extra: number): number {
 	const normal = Math.min(normalRate, MAX_RATE);
@@ -80,8 +80,8 @@
 }
 
 /**
-Adds a sample to the evidence: at most `gain` at a time, and never below zero or above `ceiling`, so that a recovered
-upstream isn't held by old evidence for long.
+Adds a sample to the evidence, which grows by at most `maxGain` and stays between zero and `maxEvidence`, so that old
+evidence doesn't count against a recovered upstream for long.
 */
 export function addSample(
 	evidence: SymptomEvidence,
@@ -93,7 +93,7 @@
 		readonly maxEvidence: number;
 	},
 ): SymptomEvidence {
-	// Nearly all samples of a healthy service: no evidence before, and none to add.
+	// The usual case in a healthy service: no evidence before, and none to add.
 	if (sample.bad === 0 && (sample.count === 0 || isZero(evidence))) {
 		return evidence;
 	}
@@ -105,7 +105,7 @@
 }
 
 /**
-Strongest evidence for a symptom.
+Returns the strongest evidence for a symptom over its alternatives.
 */
 export function getStrongestEvidence(evidence: SymptomEvidence): number {
 	return Math.max(...evidence);
@@ -119,7 +119,7 @@
 }
 
 /**
-Takes samples out of a sum that they are part of.
+Subtracts samples from a sum that includes them.
 */
 export function subtractSamples(sum: Samples, part: Samples): Samples {
 	return {
@@ -130,21 +130,21 @@
 }
 
 /**
-Scales a sample, as a decaying window does.
+Multiplies the counts of a sample, as a decaying window does.
 */
 export function scaleSample(sample: Sample, factor: number): Sample {
 	return {count: sample.count * factor, bad: sample.bad * factor};
 }
 
 /**
-Builds a value for each symptom.
+Creates a value for each symptom.
 */
 export function mapSymptoms<Value>(build: (symptom: Symptom) => Value): Readonly<Record<Symptom, Value>> {
 	return {errors: build('errors'), slowness: build('slowness'), stalls: build('stalls')};
 }
 
 /**
-Adds up samples of all symptoms.
+Adds up samples symptom by symptom.
 */
 export function sumSamples(all: Iterable<Samples>): Samples {
 	let sum = EMPTY_SAMPLES;
@@ -156,7 +156,7 @@
 }
 
 /**
-Adds two samples of all symptoms, the first scaled.
+Adds samples symptom by symptom, the first ones multiplied by a factor.
 */
 export function scaleAndAddAll(left: Samples, factor: number, right: Samples): Samples {
 	return {
@@ -167,21 +167,22 @@
 }
 
 /**
-Whether nothing speaks for any alternative.
+Returns whether there is no evidence for any alternative of any symptom.
 */
 export function isEmpty({errors, slowness, stalls}: EvidenceBySymptom): boolean {
 	return isZero(errors) && isZero(slowness) && isZero(stalls);
 }
 
 /**
-Share of requests that showed the symptom. Less than one request, what a decayed window is left with, counts as one.
+Returns the fraction of requests that showed the symptom. Less than one request, as a decayed window may hold, counts as
+one.
 */
 export function getRate(sample: Sample): number {
 	return sample.bad / Math.max(1, sample.count);
 }
 
 /**
-Takes back what failures that are no evidence added.
+Subtracts the evidence that the given number of failures added.
 */
 export function withdrawFailures(evidence: SymptomEvidence, symptom: Symptom, count: number, normalRate: number): SymptomEvidence {
 	return evidence.map((value, index) => {
--- a/packages/wagtailroute-detection/src/tick-interval.ts
+++ b/packages/wagtailroute-detection/src/tick-interval.ts
@@ -1,6 +1,5 @@
 /**
-Whether anything stands out in a service. While nothing does, steps and summaries can come less often: work follows the
-change.
+Interval between ticks. While nothing stands out in a service, ticks are less frequent, which saves processor time.
 */
 import * as constants from './constants.ts';
 import * as operatingPoints from './operating-points.ts';
@@ -8,12 +7,12 @@
 import * as symptoms from './symptoms.ts';
 
 /**
-Returns the recommended time from the last tick to the next one, in milliseconds. The short one when there are failures to
-weigh, evidence has gathered, or a phase waits for requests or answers.
+Returns the recommended time from the last tick to the next one, in milliseconds: the short interval when there are new
+failures or sufficient evidence, or a phase waits for requests or answers.
 */
 export function getTickIntervalMilliseconds(state: states.DetectionState): number {
-	const least = operatingPoints.OPERATING_POINTS[state.operatingPoint].threshold * constants.ACTIVE_EVIDENCE_FRACTION;
-	const isActive = hasFailures(state.pending) || state.upstreams.values().some(tracked => isUpstreamActive(tracked, least));
+	const minEvidence = operatingPoints.OPERATING_POINTS[state.operatingPoint].threshold * constants.ACTIVE_EVIDENCE_FRACTION;
+	const isActive = hasFailures(state.pending) || state.upstreams.values().some(tracked => isUpstreamActive(tracked, minEvidence));
 	return isActive ? constants.TICK_INTERVAL_MILLISECONDS : constants.QUIET_TICK_INTERVAL_MILLISECONDS;
 }
 
@@ -21,10 +20,10 @@
 	return pending.some(({upstreams}) => upstreams.some(({failures}) => Object.keys(failures).length > 0));
 }
 
-function isUpstreamActive({phase, evidence, steering}: states.TrackedUpstream, least: number): boolean {
+function isUpstreamActive({phase, evidence, steering}: states.TrackedUpstream, minEvidence: number): boolean {
 	const isWaiting = phase.kind === 'serving' ? phase.findingSince !== undefined : phase.kind !== 'ejected';
 	return isWaiting
 		|| steering.suspectedAt !== undefined
-		|| symptoms.SYMPTOMS.some(symptom => symptoms.getStrongestEvidence(evidence.pooled[symptom]) >= least
-			|| symptoms.getStrongestEvidence(evidence.own[symptom]) >= least);
+		|| symptoms.SYMPTOMS.some(symptom => symptoms.getStrongestEvidence(evidence.pooled[symptom]) >= minEvidence
+			|| symptoms.getStrongestEvidence(evidence.own[symptom]) >= minEvidence);
 }
--- a/packages/wagtailroute-detection/src/usual-latency.ts
+++ b/packages/wagtailroute-detection/src/usual-latency.ts
@@ -1,16 +1,17 @@
 /**
-The latencies that are usual for a host over all upstreams of a service: how it knows that a request is overdue.
+Usual latencies of a host over all upstreams of a service, from which it determines that a request is overdue.
 */
 import * as constants from './constants.ts';
 import * as latencies from './latencies.ts';
 
 /**
-Usual latencies, decaying with time.
+Histogram of a host's recent latencies, which decays with time.
 */
 export type UsualLatency = {
 	readonly add: (milliseconds: number) => void;
 	/**
-	Returns the 90th percentile in milliseconds, Infinity while there are too few samples, and lets all decay.
+	Returns the 90th percentile in milliseconds, or Infinity while there are too few samples, and applies the decay since the
+	last call.
 	*/
 	readonly getQuantileAndDecay: (now: number) => number;
 };
@@ -18,7 +19,7 @@
 const USUAL_QUANTILE = 0.9;
 
 /**
-Creates the latencies of a host that has seen none.
+Creates usual latencies without samples.
 */
 export function createUsualLatency(): UsualLatency {
 	let histogram = [...latencies.EMPTY_HISTOGRAM];
--- a/packages/wagtailroute-detection/src/varints.ts
+++ b/packages/wagtailroute-detection/src/varints.ts
@@ -1,21 +1,23 @@
 /**
-Whole numbers in bytes: seven bits a byte, lowest first, the eighth bit set while more follow.
+Variable-length encoding of non-negative integers: seven bits in each byte, lowest first, and the eighth bit set while more
+bytes follow.
 */
 
 /**
-Writes numbers.
+Writer of numbers into a growing array of bytes.
 */
 export type ByteWriter = {
 	readonly writeNumber: (value: number) => void;
 	/**
-	Writes so many bytes, lowest first.
+	Writes a number in the given number of bytes, lowest first.
 	*/
 	readonly writeFixed: (value: number, length: number) => void;
 	readonly getBytes: () => readonly number[];
 };
 
 /**
-Reads numbers. A read past the end gives 0 and breaks the reader.
+Reader of numbers. Missing bytes are read as 0. After a read past the end, or of a number that is too long, `isMalformed`
+returns true.
 */
 export type ByteReader = {
 	readonly readNumber: () => number;
@@ -27,11 +29,11 @@
 const BYTE_RANGE = 256;
 const CONTINUATION_BIT = 128;
 
-// A longer number doesn't come from a writer.
+// The writer produces no longer numbers: seven bytes hold 49 bits.
 const MAX_NUMBER_BYTES = 7;
 
 /**
-Creates a writer.
+Creates a writer without bytes.
 */
 export function createByteWriter(): ByteWriter {
 	const bytes: number[] = [];
@@ -56,7 +58,7 @@
 }
 
 /**
-Creates a reader.
+Creates a reader at the first byte.
 */
 export function createByteReader(bytes: Uint8Array): ByteReader {
 	let position = 0;
