--- a/packages/wagtailroute-detection/src/baselines.ts
+++ b/packages/wagtailroute-detection/src/baselines.ts
@@ -117,10 +117,10 @@
 
 function removeWorstPeers(peers: PeerWindows, getBadness: (windows: windows.Windows) => number): PeerWindows {
 	const ranked = [...peers]
-		.map(([id, kept]) => ({id, kept, badness: getBadness(kept)}))
+		.map(([id, peer]) => ({id, peer, badness: getBadness(peer)}))
 		.toSorted((left, right) => right.badness - left.badness);
-	const trimmed = ranked.length < 3 ? 0 : Math.ceil(ranked.length * constants.TRIMMED_FRACTION);
-	return new Map(ranked.slice(trimmed).map(({id, kept}) => [id, kept]));
+	const trimmedCount = ranked.length < 3 ? 0 : Math.ceil(ranked.length * constants.TRIMMED_FRACTION);
+	return new Map(ranked.slice(trimmedCount).map(({id, peer}) => [id, peer]));
 }
 
 function getMedianBucket({short, long}: windows.Windows): number {
@@ -157,9 +157,9 @@
 
 function getLimits({latencies: histogram, latencyCount}: Pool): LatencyLimits {
 	const median = latencies.getQuantileBucket(histogram, MEDIAN, latencyCount);
-	const high = latencies.getQuantileBucket(histogram, SLOW_QUANTILE, latencyCount);
-	const least = latencies.getBucket(latencies.getBucketUpperBound(median) + constants.MIN_SLOW_EXCESS_MILLISECONDS);
-	const slow = Math.max(high, least);
+	const quantile = latencies.getQuantileBucket(histogram, SLOW_QUANTILE, latencyCount);
+	const minSlow = latencies.getBucket(latencies.getBucketUpperBound(median) + constants.MIN_SLOW_EXCESS_MILLISECONDS);
+	const slow = Math.max(quantile, minSlow);
 	return {slow, stalled: latencies.getBucket(latencies.getBucketUpperBound(slow) * constants.STALL_RATIO), median};
 }
 
--- a/packages/wagtailroute-detection/src/bench/detection-cost.bench.ts
+++ b/packages/wagtailroute-detection/src/bench/detection-cost.bench.ts
@@ -173,8 +173,8 @@
 	}
 }
 
-function hasSummary(collected: readonly [number, detection.Summary | undefined]): collected is readonly [number, detection.Summary] {
-	return collected[1] !== undefined;
+function hasSummary(entry: readonly [number, detection.Summary | undefined]): entry is readonly [number, detection.Summary] {
+	return entry[1] !== undefined;
 }
 
 function applyToOthers(evidence: readonly detection.EvidenceCollector[], from: number, {summary, now, getHostTime}: {
--- a/packages/wagtailroute-detection/src/codec.ts
+++ b/packages/wagtailroute-detection/src/codec.ts
@@ -133,7 +133,7 @@
 	const latencies: number[] = [];
 	let samples = 0;
 	let bucket = 0;
-	for (let remaining = Math.floor(header / 2); remaining > 0 && !reader.isMalformed(); remaining--) {
+	for (let remainingPairs = Math.floor(header / 2); remainingPairs > 0 && !reader.isMalformed(); remainingPairs--) {
 		const byte = reader.readFixed(1);
 		const upper = Math.floor(byte / NIBBLE_RANGE);
 		const lower = byte % NIBBLE_RANGE;
--- a/packages/wagtailroute-detection/src/evidence-update.ts
+++ b/packages/wagtailroute-detection/src/evidence-update.ts
@@ -64,8 +64,8 @@
 	const {context, outsideGroups} = options;
 	const {pooled, own, outside} = tracked.evidence;
 	const isCold = states.isRamping(tracked, context.now);
-	const add = (evidence: symptoms.EvidenceBySymptom, added: symptoms.Samples): symptoms.EvidenceBySymptom =>
-		addSamples(evidence, added, options, isCold);
+	const add = (evidenceBySymptom: symptoms.EvidenceBySymptom, added: symptoms.Samples): symptoms.EvidenceBySymptom =>
+		addSamples(evidenceBySymptom, added, options, isCold);
 	const all = symptoms.sumSamples(byHost.values());
 	const nextPooled = add(pooled, all);
 	const nextOwn = add(own, byHost.get(context.host) ?? symptoms.EMPTY_SAMPLES);
@@ -99,22 +99,22 @@
 	return sums;
 }
 
-function addSamples(evidence: symptoms.EvidenceBySymptom, added: symptoms.Samples, options: UpdateOptions, isCold: boolean): symptoms.EvidenceBySymptom {
-	const errors = addSymptom(evidence, added, 'errors', {options, isCold});
-	const slowness = addSymptom(evidence, added, 'slowness', {options, isCold});
-	const stalls = addSymptom(evidence, added, 'stalls', {options, isCold});
-	const isSame = errors === evidence.errors && slowness === evidence.slowness && stalls === evidence.stalls;
-	return isSame ? evidence : {errors, slowness, stalls};
+function addSamples(evidenceBySymptom: symptoms.EvidenceBySymptom, added: symptoms.Samples, options: UpdateOptions, isCold: boolean): symptoms.EvidenceBySymptom {
+	const errors = addSymptom(evidenceBySymptom, added, 'errors', {options, isCold});
+	const slowness = addSymptom(evidenceBySymptom, added, 'slowness', {options, isCold});
+	const stalls = addSymptom(evidenceBySymptom, added, 'stalls', {options, isCold});
+	const isSame = errors === evidenceBySymptom.errors && slowness === evidenceBySymptom.slowness && stalls === evidenceBySymptom.stalls;
+	return isSame ? evidenceBySymptom : {errors, slowness, stalls};
 }
 
 function addSymptom(
-	evidence: symptoms.EvidenceBySymptom,
+	evidenceBySymptom: symptoms.EvidenceBySymptom,
 	added: symptoms.Samples,
 	symptom: symptoms.Symptom,
 	{options, isCold}: {readonly options: UpdateOptions; readonly isCold: boolean},
 ): symptoms.SymptomEvidence {
 	const {context: {point}, normalRates} = options;
-	const next = symptoms.addSample(evidence[symptom], symptom, {
+	const next = symptoms.addSample(evidenceBySymptom[symptom], symptom, {
 		sample: added[symptom],
 		normalRate: normalRates[symptom],
 		maxGain: point.threshold * point.maxGainFraction,
--- a/packages/wagtailroute-detection/src/findings.ts
+++ b/packages/wagtailroute-detection/src/findings.ts
@@ -61,7 +61,7 @@
 		symptoms.getStrongestEvidence(tracked.evidence.pooled[candidate]) >= point.threshold
 		&& getConfirmedEvidence(tracked, candidate, measurement.membership) >= point.threshold
 		&& isShortRateElevated(tracked, candidate)
-		&& isLargeEnough(tracked, candidate, point, measurement));
+		&& isSlowdownLargeEnough(tracked, candidate, point, measurement));
 	return symptom === undefined ? undefined : createFinding(tracked, symptom, point, measurement);
 }
 
@@ -113,7 +113,7 @@
 
 // The median must also exceed the peers' by a minimum ratio: many slightly slow requests are evidence, but no reason to
 // eject.
-function isLargeEnough(
+function isSlowdownLargeEnough(
 	tracked: states.TrackedUpstream,
 	symptom: symptoms.Symptom,
 	point: operatingPoints.OperatingPoint,
--- a/packages/wagtailroute-detection/src/grants.ts
+++ b/packages/wagtailroute-detection/src/grants.ts
@@ -62,9 +62,9 @@
 Withdraws failures that were caused by a request and not by the upstream, from the windows and the evidence.
 */
 export function withdrawUpstreamFailures(tracked: states.TrackedUpstream, count: number): states.TrackedUpstream {
-	const withdraw = (evidence: symptoms.EvidenceBySymptom): symptoms.EvidenceBySymptom => ({
-		...evidence,
-		errors: symptoms.withdrawFailures(evidence.errors, 'errors', count, tracked.normalRates.errors),
+	const withdraw = (evidenceBySymptom: symptoms.EvidenceBySymptom): symptoms.EvidenceBySymptom => ({
+		...evidenceBySymptom,
+		errors: symptoms.withdrawFailures(evidenceBySymptom.errors, 'errors', count, tracked.normalRates.errors),
 	});
 	const {pooled, own, outside} = tracked.evidence;
 	return {
@@ -73,7 +73,7 @@
 		evidence: {
 			pooled: withdraw(pooled),
 			own: withdraw(own),
-			outside: new Map(outside.entries().map(([group, evidence]) => [group, withdraw(evidence)])),
+			outside: new Map(outside.entries().map(([group, evidenceBySymptom]) => [group, withdraw(evidenceBySymptom)])),
 		},
 	};
 }
--- a/packages/wagtailroute-detection/src/latencies.ts
+++ b/packages/wagtailroute-detection/src/latencies.ts
@@ -152,13 +152,13 @@
 /**
 Counts the samples in a sparse histogram, and those in buckets above the given one.
 */
-export function countSparseSamples(pairs: SparseHistogram, bucket: number): {readonly count: number; readonly above: number} {
+export function countSparseSamples(histogram: SparseHistogram, bucket: number): {readonly count: number; readonly above: number} {
 	let count = 0;
 	let above = 0;
-	for (let index = 0; index + 1 < pairs.length; index += 2) {
-		const samples = pairs[index]! < BUCKET_COUNT ? pairs[index + 1]! : 0;
+	for (let index = 0; index + 1 < histogram.length; index += 2) {
+		const samples = histogram[index]! < BUCKET_COUNT ? histogram[index + 1]! : 0;
 		count += samples;
-		above += pairs[index]! > bucket ? samples : 0;
+		above += histogram[index]! > bucket ? samples : 0;
 	}
 
 	return {count, above};
--- a/packages/wagtailroute-detection/src/measurement.ts
+++ b/packages/wagtailroute-detection/src/measurement.ts
@@ -29,7 +29,7 @@
 Adds the pending summaries to the record of each upstream.
 */
 export function measure(state: states.DetectionState, now: number): Measurement {
-	const elapsed = now - (state.lastTickAt ?? now);
+	const elapsedMilliseconds = now - (state.lastTickAt ?? now);
 	const observed = observations.collectObservations(state.pending);
 	const withLatencies = states.mapUpstreams(state.upstreams, tracked => ({
 		...tracked,
@@ -38,7 +38,7 @@
 			states.isRamping(tracked, now)
 				? []
 				: observations.mergeLatencies(observed.get(tracked.upstream.id)),
-			elapsed,
+			elapsedMilliseconds,
 		),
 	}));
 	const baseline = baselines.createLatencyBaseline(states.getPeerWindows(withLatencies, now));
@@ -50,7 +50,7 @@
 	}));
 	const withSamples = states.mapUpstreams(withLatencies, tracked => ({
 		...tracked,
-		windows: windows.addSamples(tracked.windows, samples.get(tracked.upstream.id)!, elapsed),
+		windows: windows.addSamples(tracked.windows, samples.get(tracked.upstream.id)!, elapsedMilliseconds),
 	}));
 	const {membership} = state;
 	return {
@@ -72,32 +72,32 @@
 function classify(
 	byHost: ReadonlyMap<core.HostId, observations.Observation>,
 	limits: baselines.LatencyLimits | undefined,
-	isDistressed: boolean,
+	isServiceSlow: boolean,
 ): evidenceUpdates.SamplesByHost {
 	const samples = new Map<core.HostId, symptoms.Samples>();
 	for (const [host, observation] of byHost) {
-		samples.set(host, classifyObservation(observation, limits, isDistressed));
+		samples.set(host, classifyObservation(observation, limits, isServiceSlow));
 	}
 
 	return samples;
 }
 
 function classifyObservation(
-	{successes, failures, timeouts, latencies: pairs}: observations.Observation,
+	{successes, failures, timeouts, latencies: histogram}: observations.Observation,
 	limits: baselines.LatencyLimits | undefined,
-	isDistressed: boolean,
+	isServiceSlow: boolean,
 ): symptoms.Samples {
 	// When the whole service is slow, timeouts come in bursts at one upstream after the other: the load causes them.
-	const bad = isDistressed ? failures : failures + timeouts;
+	const bad = isServiceSlow ? failures : failures + timeouts;
 	const errors = {count: successes + bad, bad};
 	if (limits === undefined) {
 		return {...symptoms.EMPTY_SAMPLES, errors};
 	}
 
-	const {count, above} = latencies.countSparseSamples(pairs, limits.slow);
+	const {count, above} = latencies.countSparseSamples(histogram, limits.slow);
 	return {
 		errors,
 		slowness: {count, bad: above},
-		stalls: {count, bad: above === 0 ? 0 : latencies.countSparseSamples(pairs, limits.stalled).above},
+		stalls: {count, bad: above === 0 ? 0 : latencies.countSparseSamples(histogram, limits.stalled).above},
 	};
 }
--- a/packages/wagtailroute-detection/src/phases.ts
+++ b/packages/wagtailroute-detection/src/phases.ts
@@ -159,6 +159,6 @@
 	return Math.max(0, before + good - (bad * constants.TRIAL_FAILURE_PENALTY));
 }
 
-function getStrongestOfAllSymptoms(statistics: symptoms.EvidenceBySymptom): number {
-	return Math.max(...symptoms.SYMPTOMS.map(symptom => symptoms.getStrongestEvidence(statistics[symptom])));
+function getStrongestOfAllSymptoms(evidenceBySymptom: symptoms.EvidenceBySymptom): number {
+	return Math.max(...symptoms.SYMPTOMS.map(symptom => symptoms.getStrongestEvidence(evidenceBySymptom[symptom])));
 }
