--- a/packages/wagtailroute-detection/src/bench/detection-cost.bench.ts
+++ b/packages/wagtailroute-detection/src/bench/detection-cost.bench.ts
@@ -30,7 +30,7 @@
 };
 
 type Strategy = {
-	readonly collect: (evidence: detection.EvidenceCollector, now: number) => detection.Summary | undefined;
+	readonly collect: (collector: detection.EvidenceCollector, now: number) => detection.Summary | undefined;
 	readonly getStepIntervalMilliseconds: (state: detection.DetectionState) => number;
 };
 
@@ -47,11 +47,11 @@
 
 const STRATEGIES: Readonly<Record<'steady' | 'following', Strategy>> = {
 	steady: {
-		collect: (evidence, now) => now % detection.ALERTED_SUMMARY_INTERVAL_MILLISECONDS < LOOP_STEP_MILLISECONDS ? evidence.collectSummary(now) : undefined,
+		collect: (collector, now) => now % detection.ALERTED_SUMMARY_INTERVAL_MILLISECONDS < LOOP_STEP_MILLISECONDS ? collector.collectSummary(now) : undefined,
 		getStepIntervalMilliseconds: () => detection.TICK_INTERVAL_MILLISECONDS,
 	},
 	following: {
-		collect: (evidence, now) => evidence.collectDueSummary(now, detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS),
+		collect: (collector, now) => collector.collectDueSummary(now, detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS),
 		getStepIntervalMilliseconds: detection.getTickIntervalMilliseconds,
 	},
 };
@@ -116,7 +116,7 @@
 function measure({upstreams, hosts}: Size, strategy: Strategy): Cost {
 	const random = utils.createRandom(1);
 	const ids = Array.from({length: upstreams}, (_, index) => `quoting-${24_500 + index}`);
-	const evidence = Array.from({length: hosts}, (_, host) => detection.createEvidenceCollector({
+	const collectors = Array.from({length: hosts}, (_, host) => detection.createEvidenceCollector({
 		host: `entry-${host}`,
 		failureDomain: `domain-${host % 3}`,
 		epoch: host,
@@ -138,15 +138,15 @@
 	let steppedAt = 0;
 	for (let loop = 1; loop <= LOOPS; loop++) {
 		const now = loop * LOOP_STEP_MILLISECONDS;
-		simulateRequests(ids, evidence, random);
-		const collected = evidence.map((collector, host) => [host, strategy.collect(collector, getHostTime(host, now))] as const);
+		simulateRequests(ids, collectors, random);
+		const collected = collectors.map((collector, host) => [host, strategy.collect(collector, getHostTime(host, now))] as const);
 		const sent = collected.filter(hasSummary);
 		for (const [host, summary] of sent) {
 			cost.summaries++;
 			cost.jsonBytes += JSON.stringify({service: 'quoting', summary}).length;
 			cost.textBytes += JSON.stringify(['quoting', summary.sequence, detection.encodeUpstreamSummaries(summary.upstreams, host)]).length;
 			step({kind: 'summary', summary}, now);
-			applyToOthers(evidence, host, {summary, now, getHostTime});
+			applyToOthers(collectors, host, {summary, now, getHostTime});
 		}
 
 		if (now - steppedAt < strategy.getStepIntervalMilliseconds(state)) {
@@ -162,14 +162,14 @@
 	return cost;
 }
 
-function simulateRequests(ids: readonly string[], evidence: readonly detection.EvidenceCollector[], random: utils.Random): void {
+function simulateRequests(ids: readonly string[], collectors: readonly detection.EvidenceCollector[], random: utils.Random): void {
 	const requests = Math.round(REQUESTS_PER_UPSTREAM_SECOND * ids.length * LOOP_STEP_MILLISECONDS / 1000);
 	for (let request = 0; request < requests; request++) {
 		const normal = Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
 		const result = random() < USUAL_ERROR_RATE ? 'status' : 'success';
-		const host = utils.pickIndex(random, evidence.length);
+		const host = utils.pickIndex(random, collectors.length);
 		const id = ids[utils.pickIndex(random, ids.length)]!;
-		evidence[host]!.record(id, result, MEDIAN_MILLISECONDS * Math.exp(LATENCY_SIGMA * normal));
+		collectors[host]!.record(id, result, MEDIAN_MILLISECONDS * Math.exp(LATENCY_SIGMA * normal));
 	}
 }
 
@@ -177,12 +177,12 @@
 	return entry[1] !== undefined;
 }
 
-function applyToOthers(evidence: readonly detection.EvidenceCollector[], from: number, {summary, now, getHostTime}: {
+function applyToOthers(collectors: readonly detection.EvidenceCollector[], from: number, {summary, now, getHostTime}: {
 	readonly summary: detection.Summary;
 	readonly now: number;
 	readonly getHostTime: (host: number, now: number) => number;
 }): void {
-	const others = evidence.entries().filter(([host]) => host !== from);
+	const others = collectors.entries().filter(([host]) => host !== from);
 	for (const [host, other] of others) {
 		other.applySummary(summary, getHostTime(host, now));
 	}
--- a/packages/wagtailroute-detection/src/bench/policies.ts
+++ b/packages/wagtailroute-detection/src/bench/policies.ts
@@ -161,7 +161,7 @@
 
 function createPooledDetection(size: simulation.ServiceSize, seed: number, operatingPoint: detection.OperatingPointName): PolicyUnderTest {
 	const random = utils.createRandom(seed + 3);
-	const evidence = Array.from({length: size.hosts}, (_, host) => detection.createEvidenceCollector({
+	const collectors = Array.from({length: size.hosts}, (_, host) => detection.createEvidenceCollector({
 		host: `host ${host}`,
 		failureDomain: `domain ${host % size.failureDomains}`,
 		epoch: 1,
@@ -261,9 +261,9 @@
 
 				return now < steered[host]![upstream]! ? STEERED_TRAFFIC_FRACTION : 1;
 			},
-			begin: (host, upstream, now) => evidence[host]!.begin(String(upstream), getHostTime(host, now)),
+			begin: (host, upstream, now) => collectors[host]!.begin(String(upstream), getHostTime(host, now)),
 			end(handle, {host, result, now}) {
-				evidence[host]!.end(handle as detection.InFlightRequest, result, getHostTime(host, now));
+				collectors[host]!.end(handle as detection.InFlightRequest, result, getHostTime(host, now));
 			},
 			step(now) {
 				const due = messages.filter(({at}) => at <= now);
@@ -273,13 +273,13 @@
 				}
 
 				for (let host = 0; host < size.hosts; host++) {
-					const summary = evidence[host]!.collectDueSummary(getHostTime(host, now), detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS);
+					const summary = collectors[host]!.collectDueSummary(getHostTime(host, now), detection.QUIET_SUMMARY_INTERVAL_MILLISECONDS);
 					if (summary === undefined) {
 						continue;
 					}
 
 					sendToAll(now + MESSAGE_DELAY_MILLISECONDS, {kind: 'summary', summary});
-					for (const [other, collector] of evidence.entries()) {
+					for (const [other, collector] of collectors.entries()) {
 						if (other !== host) {
 							collector.applySummary(summary, getHostTime(other, now));
 						}
--- a/packages/wagtailroute-detection/src/bench/simulation.ts
+++ b/packages/wagtailroute-detection/src/bench/simulation.ts
@@ -125,65 +125,65 @@
 	readonly duration: number;
 	readonly observer: Observer;
 }): void {
-	const arrivals = utils.createRandom(seed);
-	const services = utils.createRandom(seed + 1);
-	const choices = utils.createRandom(seed + 2);
+	const arrivalRandom = utils.createRandom(seed);
+	const serviceRandom = utils.createRandom(seed + 1);
+	const choiceRandom = utils.createRandom(seed + 2);
 	const outstanding = Array.from({length: size.hosts}, () => Array.from({length: size.upstreams}, () => 0));
-	const busy = Array.from({length: size.upstreams}, () => 0);
+	const busySlots = Array.from({length: size.upstreams}, () => 0);
 	const queues: SimulatedRequest[][] = Array.from({length: size.upstreams}, () => []);
-	const agenda = new Map<number, Array<() => void>>();
+	const scheduledRuns = new Map<number, Array<() => void>>();
 	const meanMilliseconds = size.medianMilliseconds * Math.exp((LATENCY_SIGMA ** 2) / 2);
-	const perMillisecond = (size.load * size.upstreams * size.slots) / meanMilliseconds;
+	const arrivalsPerMillisecond = (size.load * size.upstreams * size.slots) / meanMilliseconds;
 	let now = 0;
 
 	const schedule = (at: number, run: () => void): void => {
 		const step = Math.max(Math.ceil(at / STEP_MILLISECONDS), Math.floor(now / STEP_MILLISECONDS) + 1);
-		const runs = agenda.get(step);
+		const runs = scheduledRuns.get(step);
 		if (runs === undefined) {
-			agenda.set(step, [run]);
+			scheduledRuns.set(step, [run]);
 		} else {
 			runs.push(run);
 		}
 	};
 
-	const finish = (job: SimulatedRequest, result: detection.RequestResult): void => {
-		if (job.isDone) {
+	const finish = (request: SimulatedRequest, result: detection.RequestResult): void => {
+		if (request.isDone) {
 			return;
 		}
 
-		job.isDone = true;
-		outstanding[job.host]![job.upstream]!--;
-		policy.end(job.handle, {
-			host: job.host,
-			upstream: job.upstream,
+		request.isDone = true;
+		outstanding[request.host]![request.upstream]!--;
+		policy.end(request.handle, {
+			host: request.host,
+			upstream: request.upstream,
 			result,
 			now,
 		});
 	};
 
 	const release = (upstream: number): void => {
-		busy[upstream]!--;
+		busySlots[upstream]!--;
 		startNext(upstream);
 	};
 
-	const start = (job: SimulatedRequest): void => {
-		busy[job.upstream]!++;
-		const end = Math.min(now + job.milliseconds, Math.max(now, job.deadline));
+	const start = (request: SimulatedRequest): void => {
+		busySlots[request.upstream]!++;
+		const end = Math.min(now + request.milliseconds, Math.max(now, request.deadline));
 		schedule(end, () => {
-			if (job.isAnswered || now >= job.deadline) {
-				finish(job, now >= job.deadline ? 'timeout' : job.result);
+			if (request.isAnswered || now >= request.deadline) {
+				finish(request, now >= request.deadline ? 'timeout' : request.result);
 			}
 
-			release(job.upstream);
+			release(request.upstream);
 		});
 	};
 
 	const startNext = (upstream: number): void => {
 		const queue = queues[upstream]!;
-		while (queue.length > 0 && busy[upstream]! < size.slots) {
-			const job = queue.shift()!;
-			if (!job.isDone) {
-				start(job);
+		while (queue.length > 0 && busySlots[upstream]! < size.slots) {
+			const request = queue.shift()!;
+			if (!request.isDone) {
+				start(request);
 			}
 		}
 	};
@@ -194,13 +194,13 @@
 			host,
 			upstream,
 			sinceOnset: now - onset,
-			random: services,
+			random: serviceRandom,
 		});
-		const drawn = size.medianMilliseconds * Math.exp(LATENCY_SIGMA * drawNormal(services));
-		const isUsualFailure = services() < USUAL_ERROR_RATE;
-		const {result, milliseconds, isAnswered} = applyFaultOutcome(outcome, drawn, isUsualFailure);
+		const drawnMilliseconds = size.medianMilliseconds * Math.exp(LATENCY_SIGMA * drawNormal(serviceRandom));
+		const isUsualFailure = serviceRandom() < USUAL_ERROR_RATE;
+		const {result, milliseconds, isAnswered} = applyFaultOutcome(outcome, drawnMilliseconds, isUsualFailure);
 		outstanding[host]![upstream]!++;
-		const job: SimulatedRequest = {
+		const request: SimulatedRequest = {
 			host,
 			upstream,
 			deadline: now + TIMEOUT_MILLISECONDS,
@@ -211,16 +211,16 @@
 			isDone: false,
 		};
 		observer.onSent(host, upstream, now, outcome.kind !== 'served' || outcome.factor > 1);
-		const isStarted = busy[upstream]! < size.slots;
+		const isStarted = busySlots[upstream]! < size.slots;
 		if (isStarted) {
-			start(job);
+			start(request);
 		} else {
-			queues[upstream]!.push(job);
+			queues[upstream]!.push(request);
 		}
 
 		if (!isStarted || !isAnswered) {
-			schedule(job.deadline, () => {
-				finish(job, 'timeout');
+			schedule(request.deadline, () => {
+				finish(request, 'timeout');
 			});
 		}
 	};
@@ -228,32 +228,32 @@
 	const chooseUpstream = (host: number): number => {
 		const usable: number[] = [];
 		for (let upstream = 0; upstream < size.upstreams; upstream++) {
-			const share = policy.getTrafficFraction(host, upstream, now);
-			if (share >= 1 || (share > 0 && choices() < share)) {
+			const fraction = policy.getTrafficFraction(host, upstream, now);
+			if (fraction >= 1 || (fraction > 0 && choiceRandom() < fraction)) {
 				usable.push(upstream);
 			}
 		}
 
 		if (usable.length === 0) {
-			return utils.pickIndex(choices, size.upstreams);
+			return utils.pickIndex(choiceRandom, size.upstreams);
 		}
 
-		const left = usable[utils.pickIndex(choices, usable.length)]!;
-		const right = usable[utils.pickIndex(choices, usable.length)]!;
+		const left = usable[utils.pickIndex(choiceRandom, usable.length)]!;
+		const right = usable[utils.pickIndex(choiceRandom, usable.length)]!;
 		return outstanding[host]![right]! < outstanding[host]![left]! ? right : left;
 	};
 
 	let nextArrival = 0;
 	for (let step = 0; now < duration; step++) {
 		now = step * STEP_MILLISECONDS;
-		for (const run of agenda.get(step) ?? []) {
+		for (const run of scheduledRuns.get(step) ?? []) {
 			run();
 		}
 
-		agenda.delete(step);
+		scheduledRuns.delete(step);
 		while (nextArrival <= now) {
-			send(utils.pickIndex(arrivals, size.hosts));
-			nextArrival -= Math.log(1 - arrivals()) / perMillisecond;
+			send(utils.pickIndex(arrivalRandom, size.hosts));
+			nextArrival -= Math.log(1 - arrivalRandom()) / arrivalsPerMillisecond;
 		}
 
 		policy.step(now);
@@ -265,32 +265,32 @@
 
 type ServedRequest = Pick<SimulatedRequest, 'result' | 'milliseconds' | 'isAnswered'>;
 
-type Treatments = {
+type FaultOutcomes = {
 	readonly [Kind in FaultOutcome['kind']]: (
 		outcome: Extract<FaultOutcome, {kind: Kind}>,
-		drawn: number,
-		usual: detection.RequestResult,
+		drawnMilliseconds: number,
+		usualResult: detection.RequestResult,
 	) => ServedRequest;
 };
 
-const FAULT_OUTCOMES: Treatments = {
-	served: ({factor, delayMilliseconds = 0}, drawn, usual) => ({
-		result: usual,
-		milliseconds: (drawn * factor) + delayMilliseconds,
+const FAULT_OUTCOMES: FaultOutcomes = {
+	served: ({factor, delayMilliseconds = 0}, drawnMilliseconds, usualResult) => ({
+		result: usualResult,
+		milliseconds: (drawnMilliseconds * factor) + delayMilliseconds,
 		isAnswered: true,
 	}),
 	failed: ({result, milliseconds}) => ({result, milliseconds, isAnswered: true}),
 	hung: () => ({result: 'timeout', milliseconds: Infinity, isAnswered: false}),
-	lost: (_treatment, drawn) => ({result: 'timeout', milliseconds: drawn, isAnswered: false}),
+	lost: (_outcome, drawnMilliseconds) => ({result: 'timeout', milliseconds: drawnMilliseconds, isAnswered: false}),
 };
 
-function applyFaultOutcome(outcome: FaultOutcome, drawn: number, isUsualFailure: boolean): ServedRequest {
+function applyFaultOutcome(outcome: FaultOutcome, drawnMilliseconds: number, isUsualFailure: boolean): ServedRequest {
 	const handler = FAULT_OUTCOMES[outcome.kind] as (
 		outcome: FaultOutcome,
-		drawn: number,
-		usual: detection.RequestResult,
+		drawnMilliseconds: number,
+		usualResult: detection.RequestResult,
 	) => ServedRequest;
-	return handler(outcome, drawn, isUsualFailure ? 'status' : 'success');
+	return handler(outcome, drawnMilliseconds, isUsualFailure ? 'status' : 'success');
 }
 
 function drawNormal(random: utils.Random): number {
--- a/packages/wagtailroute-detection/src/codec.ts
+++ b/packages/wagtailroute-detection/src/codec.ts
@@ -8,9 +8,9 @@
 
 Encoding of an upstream, in this order:
 - the hash;
-- a header number: twice the number of latency pairs, plus a flag of one when there are only successes, each with its
-  latency;
-- without this flag: the successes, a number with a flag for each failure kind and for sheds, and the counts of those
+- a header number: twice the number of latency pairs, plus one for the short form, which is used when there are only
+  successes, each with its latency;
+- except in the short form: the successes, a number with a flag for each failure kind and for sheds, and the counts of those
   flagged;
 - the latency pairs: a byte with the difference from the last bucket in the upper half and the count in the lower one. A half
   with all bits set means that the value follows as a number of its own.
@@ -78,10 +78,10 @@
 
 function writeUpstream(writer: ByteWriter, upstream: summaries.UpstreamSummary, salt: number): void {
 	const pairs = sortByBucket(upstream.latencies);
-	const hasSuccessesOnly = hasOnlySuccesses(upstream, pairs);
+	const isShortForm = hasOnlySuccesses(upstream, pairs);
 	writer.writeFixed(getHash(upstream.id, salt), HASH_BYTES);
-	writer.writeNumber((pairs.length * 2) + (hasSuccessesOnly ? 1 : 0));
-	if (!hasSuccessesOnly) {
+	writer.writeNumber((pairs.length * 2) + (isShortForm ? 1 : 0));
+	if (!isShortForm) {
 		writeCounts(writer, upstream);
 	}
 
@@ -128,8 +128,8 @@
 
 function readUpstream(reader: ByteReader): Omit<summaries.UpstreamSummary, 'id'> {
 	const header = reader.readNumber();
-	const hasSuccessesOnly = header % 2 === 1;
-	const counts = hasSuccessesOnly ? undefined : readCounts(reader);
+	const isShortForm = header % 2 === 1;
+	const counts = isShortForm ? undefined : readCounts(reader);
 	const latencies: number[] = [];
 	let samples = 0;
 	let bucket = 0;
--- a/packages/wagtailroute-detection/src/state.ts
+++ b/packages/wagtailroute-detection/src/state.ts
@@ -69,7 +69,7 @@
 */
 export type Steering = {
 	readonly suspectedAt: number | undefined;
-	readonly steeringUntil: number;
+	readonly until: number;
 	readonly consecutiveCount: number;
 };
 
@@ -91,7 +91,7 @@
 	readonly ejections: number;
 	readonly steering: Steering;
 	/**
-	Latest answer of the health endpoint. It may be late or wrong, so it only orders requests that the evidence calls for.
+	Latest answer of the health endpoint. It may be late or wrong, so it only affects the order of ejection requests.
 	*/
 	readonly isReportedHealthy: boolean;
 };
@@ -162,7 +162,7 @@
 		evidence: EMPTY_UPSTREAM_EVIDENCE,
 		normalRates: {errors: 0, slowness: 0, stalls: 0},
 		ejections: 0,
-		steering: {suspectedAt: undefined, steeringUntil: now, consecutiveCount: 0},
+		steering: {suspectedAt: undefined, until: now, consecutiveCount: 0},
 		isReportedHealthy: true,
 	};
 }
--- a/packages/wagtailroute-detection/src/steering.ts
+++ b/packages/wagtailroute-detection/src/steering.ts
@@ -51,7 +51,7 @@
 
 	// When the host's own network is at fault, the host should leave the directory. Steering would only send all of its
 	// requests to the few upstreams that it still reaches.
-	const steered = next.values().filter(({steering}) => now < steering.steeringUntil).map(({upstream}) => upstream.id);
+	const steered = next.values().filter(({steering}) => now < steering.until).map(({upstream}) => upstream.id);
 	const avoided = [...new Set([...steered, ...unreachable])];
 	const isSelfFault = avoided.length > 1 && avoided.length > upstreams.size * constants.SELF_FAULT_FRACTION;
 	const effects: events.Effect[] = isSelfFault
@@ -67,14 +67,14 @@
 ): events.Effect {
 	const tracked = upstreams.get(id)!;
 	const {steering} = tracked;
-	const isConsecutive = now - steering.steeringUntil < constants.MAX_STEERING_MILLISECONDS;
+	const isConsecutive = now - steering.until < constants.MAX_STEERING_MILLISECONDS;
 	const consecutiveCount = isConsecutive ? steering.consecutiveCount + 1 : 1;
 	const durationMilliseconds = Math.min(constants.MAX_STEERING_MILLISECONDS, constants.INITIAL_STEERING_MILLISECONDS * (2 ** (consecutiveCount - 1)));
 	const until = now + durationMilliseconds;
 	upstreams.set(id, {
 		...tracked,
 		evidence: {...tracked.evidence, own: symptoms.EMPTY_EVIDENCE},
-		steering: {suspectedAt: undefined, steeringUntil: until, consecutiveCount},
+		steering: {suspectedAt: undefined, until, consecutiveCount},
 	});
 	return {
 		kind: 'steer-away',
