--- a/packages/wagtailroute-catalogue/src/bench/catalogue.bench.ts
+++ b/packages/wagtailroute-catalogue/src/bench/catalogue.bench.ts
@@ -13,12 +13,12 @@
 /**
 A look-up may cost this many times as much at the largest size as at the smallest: a map outgrows the caches.
 */
-const LOOKUP_BOUND = 12;
+const MAX_LOOKUP_RATIO = 12;
 
 /**
 A change may cost at most this much more than in proportion to the entries.
 */
-const CHANGE_BOUND = 2;
+const MAX_CHANGE_RATIO = 2;
 
 type Row = {
 	readonly entries: number;
@@ -44,18 +44,18 @@
 	const last = rows.at(-1)!;
 	const proportional = first.hostMicroseconds * last.entries / first.entries;
 	return [
-		...last.lookupNanoseconds > first.lookupNanoseconds * LOOKUP_BOUND
-			? [`a route look-up grows more than ${LOOKUP_BOUND} times from ${first.entries} to ${last.entries} entries`]
+		...last.lookupNanoseconds > first.lookupNanoseconds * MAX_LOOKUP_RATIO
+			? [`a route look-up grows more than ${MAX_LOOKUP_RATIO} times from ${first.entries} to ${last.entries} entries`]
 			: [],
-		...last.hostMicroseconds > proportional * CHANGE_BOUND
-			? [`a change costs a host more than ${CHANGE_BOUND} times its proportional share`]
+		...last.hostMicroseconds > proportional * MAX_CHANGE_RATIO
+			? [`a change costs a host more than ${MAX_CHANGE_RATIO} times its proportional share`]
 			: [],
 	];
 }
 
-function createFollowing(view: catalogue.View): catalogue.RouteIndex {
+function createIndex(view: catalogue.View): catalogue.RouteIndex {
 	const routes = catalogue.createRouteIndex();
-	routes.follow(catalogue.EMPTY_VIEW, view);
+	routes.applyViewChange(catalogue.EMPTY_VIEW, view);
 	return routes;
 }
 
@@ -104,12 +104,12 @@
 	const delta = catalogue.getDelta(replicated.getView(), replicated.getView().revision - 1);
 	const whole = catalogue.getDelta(replicated.getView(), -1);
 	const view = catalogue.applyDelta(start, catalogue.getDelta(replicated.getView(), start.revision));
-	const routes = createFollowing(view);
+	const routes = createIndex(view);
 	const behind = {...view, revision: view.revision - 1};
 	const host = time(() => {
 		for (let round = 0; round < HOST_ROUNDS; round++) {
 			const next = catalogue.applyDelta(behind, delta);
-			routes.follow({...next, entries: new Map(next.entries).set(delta.entries[0]!.entry.name, {...delta.entries[0]!})}, next);
+			routes.applyViewChange({...next, entries: new Map(next.entries).set(delta.entries[0]!.entry.name, {...delta.entries[0]!})}, next);
 		}
 	}) / HOST_ROUNDS;
 	const lookup = time(() => {
--- a/packages/wagtailroute-catalogue/src/bench/memory.bench.ts
+++ b/packages/wagtailroute-catalogue/src/bench/memory.bench.ts
@@ -7,15 +7,15 @@
 import * as vm from 'node:vm';
 import * as catalogue from '../index.ts';
 
-const SIZES = [700, 1700, 3400, 6900] as const;
-const ANSWERS = [2500, 5000, 10_000, 20_000] as const;
-const ANSWER_ENTRIES = 100;
+const ENTRY_COUNTS = [700, 1700, 3400, 6900] as const;
+const ANSWER_COUNTS = [2500, 5000, 10_000, 20_000] as const;
+const ANSWER_ENTRY_COUNT = 100;
 const ROUTES_PER_ENTRY = 7;
 
 /**
 Memory of an entry at the largest size over that at the smallest: it must grow in proportion.
 */
-const GROWTH_BOUND = 1.5;
+const MAX_GROWTH_RATIO = 1.5;
 
 type Row = {
 	readonly measure: 'entries' | 'answers';
@@ -30,26 +30,26 @@
 Measures all sizes.
 */
 export async function run(): Promise<{title: string; rows: readonly Row[]; broken: readonly string[]}> {
-	const rows = [...SIZES.map(size => measureEntries(size)), ...ANSWERS.map(count => measureAnswers(count))];
+	const rows = [...ENTRY_COUNTS.map(size => measureEntries(size)), ...ANSWER_COUNTS.map(count => measureAnswers(count))];
 	const [first] = rows;
-	const last = rows[SIZES.length - 1]!;
+	const last = rows[ENTRY_COUNTS.length - 1]!;
 	const ratio = (last.hostBytes / last.count) / (first!.hostBytes / first!.count);
 	return {
 		title: 'Catalogue: memory kept alive',
 		rows,
-		broken: ratio > GROWTH_BOUND ? [`an entry takes ${ratio.toFixed(2)} times the memory at the largest size`] : [],
+		broken: ratio > MAX_GROWTH_RATIO ? [`an entry takes ${ratio.toFixed(2)} times the memory at the largest size`] : [],
 	};
 }
 
 function measureEntries(count: number): Row {
-	const control = measureHeap(() => fill(count, count));
+	const control = measureHeap(() => createFilledCatalogue(count, count));
 	const text = JSON.stringify(catalogue.getDelta(control.kept.getView(), -1));
 	// Read once before the measurement, which would else count what reading it for the first time frees.
 	JSON.parse(text);
 	const host = measureHeap(() => {
 		const view = catalogue.applyDelta(catalogue.EMPTY_VIEW, JSON.parse(text) as catalogue.Delta);
 		const routes = catalogue.createRouteIndex();
-		routes.follow(catalogue.EMPTY_VIEW, view);
+		routes.applyViewChange(catalogue.EMPTY_VIEW, view);
 		return {view, routes, text};
 	});
 	return {
@@ -58,7 +58,7 @@
 }
 
 function measureAnswers(count: number): Row {
-	const control = measureHeap(() => fill(ANSWER_ENTRIES, count));
+	const control = measureHeap(() => createFilledCatalogue(ANSWER_ENTRY_COUNT, count));
 	return {
 		measure: 'answers', count, hostBytes: 0, controlBytes: control.bytes, ...measureSnapshot(control.kept),
 	};
@@ -73,7 +73,7 @@
 /**
 Makes so many changes over so many entries, each of them parsed from text like one that came over the network.
 */
-function fill(entries: number, changes: number): catalogue.ReplicatedCatalogue {
+function createFilledCatalogue(entries: number, changes: number): catalogue.ReplicatedCatalogue {
 	const control = catalogue.createReplicatedCatalogue();
 	for (let change = 0; change < changes; change++) {
 		const name = `service-${change % entries}`;
--- a/packages/wagtailroute-catalogue/src/constants.ts
+++ b/packages/wagtailroute-catalogue/src/constants.ts
@@ -5,39 +5,39 @@
 /**
 Longest name of a service or an owner, in characters.
 */
-export const MAXIMUM_NAME_LENGTH = 128;
+export const MAX_NAME_LENGTH = 128;
 
 /**
 Most routes of one entry.
 */
-export const MAXIMUM_ROUTES_PER_ENTRY = 200;
+export const MAX_ROUTES_PER_ENTRY = 200;
 
 /**
 Longest path prefix, in characters.
 */
-export const MAXIMUM_PREFIX_LENGTH = 512;
+export const MAX_PREFIX_LENGTH = 512;
 
 /**
 Most entries of the catalogue. The design size is 6,900 services.
 */
-export const MAXIMUM_ENTRIES = 20_000;
+export const MAX_ENTRIES = 20_000;
 
 /**
 Largest entry as text, in bytes.
 */
-export const MAXIMUM_ENTRY_BYTES = 131_072;
+export const MAX_ENTRY_BYTES = 131_072;
 
 /**
 Answers kept for a resend with the same Change-Id: at 15,000 changes a day, more than a day's.
 */
-export const CHANGES_KEPT = 20_000;
+export const MAX_STORED_ANSWERS = 20_000;
 
 /**
 Changes kept in the history of one entry.
 */
-export const HISTORY_KEPT = 20;
+export const MAX_HISTORY_ITEMS = 20;
 
 /**
 Removals kept for deltas; a host that is further behind gets the whole catalogue.
 */
-export const REMOVALS_KEPT = 1000;
+export const MAX_REMOVALS = 1000;
--- a/packages/wagtailroute-catalogue/src/entry.ts
+++ b/packages/wagtailroute-catalogue/src/entry.ts
@@ -8,10 +8,10 @@
 import * as yaml from 'yaml';
 import * as zod from 'zod';
 import {
-	MAXIMUM_ENTRY_BYTES,
-	MAXIMUM_NAME_LENGTH,
-	MAXIMUM_PREFIX_LENGTH,
-	MAXIMUM_ROUTES_PER_ENTRY,
+	MAX_ENTRY_BYTES,
+	MAX_NAME_LENGTH,
+	MAX_PREFIX_LENGTH,
+	MAX_ROUTES_PER_ENTRY,
 } from './constants.ts';
 
 const NAME_PATTERN = /^[\da-z](?:[\d\-.a-z]*[\da-z])?$/v;
@@ -20,10 +20,10 @@
 const PERCENT_PATTERN = /^(?:\d{1,2}|100)%$/v;
 const RESERVED_PREFIX = '/.wagtailroute';
 
-const nameSchema = zod.string().max(MAXIMUM_NAME_LENGTH).regex(NAME_PATTERN, 'must be lower-case letters, digits, dots and dashes');
+const nameSchema = zod.string().max(MAX_NAME_LENGTH).regex(NAME_PATTERN, 'must be lower-case letters, digits, dots and dashes');
 
 const prefixSchema = zod.string()
-	.max(MAXIMUM_PREFIX_LENGTH)
+	.max(MAX_PREFIX_LENGTH)
 	.startsWith('/')
 	.refine(prefix => !prefix.startsWith(RESERVED_PREFIX), `must not begin with ${RESERVED_PREFIX}`)
 	.refine(prefix => !/[\s#%?]|\/\/|\/\.{1,2}(?:\/|$)/v.test(prefix), 'must be a plain path without query, escapes, empty or dot segments');
@@ -61,8 +61,8 @@
 
 const entrySchema = zod.strictObject({
 	name: nameSchema,
-	owner: zod.string().min(1).max(MAXIMUM_NAME_LENGTH),
-	routes: zod.array(routeSchema).min(1).max(MAXIMUM_ROUTES_PER_ENTRY),
+	owner: zod.string().min(1).max(MAX_NAME_LENGTH),
+	routes: zod.array(routeSchema).min(1).max(MAX_ROUTES_PER_ENTRY),
 	limits: limitsSchema.prefault({}),
 	healthyFloor: floorSchema.default('70%'),
 	detection: zod.enum(['fast', 'careful']).default('careful'),
@@ -92,9 +92,9 @@
 /**
 The media types an entry may arrive in.
 */
-export type EntryMedia = 'json' | 'yaml';
+export type EntryFormat = 'json' | 'yaml';
 
-const PARSERS: Readonly<Record<EntryMedia, (text: string) => unknown>> = {
+const PARSERS: Readonly<Record<EntryFormat, (text: string) => unknown>> = {
 	json: text => JSON.parse(text) as unknown,
 	// Aliases are off: a small document could otherwise expand without bound.
 	yaml: text => yaml.parse(text, {maxAliasCount: 0, logLevel: 'error'}) as unknown,
@@ -104,21 +104,21 @@
 Checks a value that claims to be an entry.
 */
 export function parseEntry(value: unknown): results.Result<Entry, EntryFailure> {
-	const parsed = entrySchema.safeParse(spreadClass(value));
+	const parsed = entrySchema.safeParse(applyRouteDefaults(value));
 	if (parsed.success) {
 		return results.Ok(parsed.data);
 	}
 
 	const issue = parsed.error.issues[0];
-	const place = issue?.path.join('.') ?? '';
-	const message = `${place === '' ? 'The entry' : place}: ${issue?.message ?? 'is not valid'}.`;
+	const path = issue?.path.join('.') ?? '';
+	const message = `${path === '' ? 'The entry' : path}: ${issue?.message ?? 'is not valid'}.`;
 	return results.Err(core.createFailure('entry-invalid', message));
 }
 
 /**
 An entry may name the class, and whether a key is required, once for all its routes: routes that say nothing get it.
 */
-function spreadClass(value: unknown): unknown {
+function applyRouteDefaults(value: unknown): unknown {
 	if (!isRecord(value) || !Array.isArray(value.routes)) {
 		return value;
 	}
@@ -141,11 +141,11 @@
 /**
 Reads an entry from its text.
 */
-export function parseEntryText(text: string, media: EntryMedia): results.Result<Entry, EntryFailure> {
-	if (buffer.Buffer.byteLength(text) > MAXIMUM_ENTRY_BYTES) {
-		return results.Err(core.createFailure('entry-too-large', `The entry is larger than ${MAXIMUM_ENTRY_BYTES} bytes.`));
+export function parseEntryText(text: string, format: EntryFormat): results.Result<Entry, EntryFailure> {
+	if (buffer.Buffer.byteLength(text) > MAX_ENTRY_BYTES) {
+		return results.Err(core.createFailure('entry-too-large', `The entry is larger than ${MAX_ENTRY_BYTES} bytes.`));
 	}
 
-	const document = results.Result.wrap(() => PARSERS[media](text));
-	return document.isErr() ? results.Err(core.createFailure('entry-malformed', `The entry is not well-formed ${media.toUpperCase()}.`)) : parseEntry(document.value);
+	const document = results.Result.wrap(() => PARSERS[format](text));
+	return document.isErr() ? results.Err(core.createFailure('entry-malformed', `The entry is not well-formed ${format.toUpperCase()}.`)) : parseEntry(document.value);
 }
--- a/packages/wagtailroute-catalogue/src/index.ts
+++ b/packages/wagtailroute-catalogue/src/index.ts
@@ -5,7 +5,7 @@
 export {
 	type Entry,
 	type EntryFailure,
-	type EntryMedia,
+	type EntryFormat,
 	type Limits,
 	parseEntry,
 	parseEntryText,
--- a/packages/wagtailroute-catalogue/src/replicated.ts
+++ b/packages/wagtailroute-catalogue/src/replicated.ts
@@ -11,9 +11,9 @@
 import * as core from 'wagtailroute-core';
 import * as results from 'ts-results-es';
 import {
-	CHANGES_KEPT,
-	HISTORY_KEPT,
-	MAXIMUM_ENTRIES,
+	MAX_STORED_ANSWERS,
+	MAX_HISTORY_ITEMS,
+	MAX_ENTRIES,
 } from './constants.ts';
 import type {Entry} from './entry.ts';
 import {createRouteIndex, type RouteIndex} from './route-index.ts';
@@ -72,7 +72,7 @@
 	readonly action: 'created' | 'changed' | 'removed';
 };
 
-type KeptAnswer = {
+type StoredAnswer = {
 	readonly fingerprint: string;
 	readonly answer: ChangeAnswer;
 };
@@ -85,7 +85,7 @@
 	readonly entries: readonly VersionedEntry[];
 	readonly removals: readonly Removal[];
 	readonly removalsFrom: Revision;
-	readonly answers: ReadonlyArray<readonly [string, KeptAnswer]>;
+	readonly answers: ReadonlyArray<readonly [string, StoredAnswer]>;
 	readonly history: ReadonlyArray<readonly [core.ServiceName, readonly HistoryItem[]]>;
 };
 
@@ -103,7 +103,7 @@
 type Tables = {
 	view: View;
 	routes: RouteIndex;
-	answers: Map<string, KeptAnswer>;
+	answers: Map<string, StoredAnswer>;
 	history: Map<core.ServiceName, readonly HistoryItem[]>;
 };
 
@@ -130,13 +130,13 @@
 
 function applyChange(tables: Tables, change: Change): ChangeAnswer {
 	const fingerprint = createFingerprint(change);
-	const kept = tables.answers.get(change.changeId);
-	if (kept !== undefined) {
-		return kept.fingerprint === fingerprint ? kept.answer : refuse(tables, change, 'change-id-reused');
+	const stored = tables.answers.get(change.changeId);
+	if (stored !== undefined) {
+		return stored.fingerprint === fingerprint ? stored.answer : refuse(tables, change, 'change-id-reused');
 	}
 
-	const answer = decide(tables, change);
-	keepAnswer(tables, change.changeId, {fingerprint, answer});
+	const answer = executeChange(tables, change);
+	storeAnswer(tables, change.changeId, {fingerprint, answer});
 	return answer;
 }
 
@@ -148,7 +148,7 @@
 	return crypto.createHash('sha256').update(text).digest('base64url');
 }
 
-function decide(tables: Tables, change: Change): ChangeAnswer {
+function executeChange(tables: Tables, change: Change): ChangeAnswer {
 	const refusal = findRefusal(tables, change);
 	if (refusal !== undefined) {
 		return refusal;
@@ -177,7 +177,7 @@
 		return refuse(tables, change, 'revision-conflict');
 	}
 
-	if (present === undefined && tables.view.entries.size >= MAXIMUM_ENTRIES) {
+	if (present === undefined && tables.view.entries.size >= MAX_ENTRIES) {
 		return refuse(tables, change, 'catalogue-full');
 	}
 
@@ -186,18 +186,18 @@
 		: undefined;
 }
 
-const REFUSALS: Readonly<Record<ChangeFailure['kind'], (change: Change, revision: Revision) => string>> = {
+const REFUSAL_MESSAGES: Readonly<Record<ChangeFailure['kind'], (change: Change, revision: Revision) => string>> = {
 	'revision-conflict': (change, revision) =>
 		`The entry ${change.name} is at revision ${revision}, the change was made from ${change.expected}.`,
 	'entry-unknown': change => `There is no entry ${change.name}.`,
 	'route-conflict': change => `Another service already has a route of ${change.name}.`,
 	'change-id-reused': change => `The Change-Id ${change.changeId} was used for another change.`,
-	'catalogue-full': () => `The catalogue holds ${MAXIMUM_ENTRIES} entries already.`,
+	'catalogue-full': () => `The catalogue holds ${MAX_ENTRIES} entries already.`,
 };
 
 function refuse(tables: Tables, change: Change, kind: ChangeFailure['kind']): ChangeAnswer {
 	const revision = tables.view.entries.get(change.name)?.revision ?? 0;
-	const failure = {...core.createFailure(kind, REFUSALS[kind](change, revision)), revision};
+	const failure = {...core.createFailure(kind, REFUSAL_MESSAGES[kind](change, revision)), revision};
 	return {accepted: false, failure};
 }
 
@@ -213,9 +213,9 @@
 	return {revision, entries, ...addRemovals(view, [{name, revision}])};
 }
 
-function keepAnswer(tables: Tables, changeId: string, kept: KeptAnswer): void {
-	tables.answers.set(changeId, kept);
-	if (tables.answers.size <= CHANGES_KEPT) {
+function storeAnswer(tables: Tables, changeId: string, stored: StoredAnswer): void {
+	tables.answers.set(changeId, stored);
+	if (tables.answers.size <= MAX_STORED_ANSWERS) {
 		return;
 	}
 
@@ -234,7 +234,7 @@
 		action: change.entry === undefined ? 'removed' : changedAction,
 	};
 	const items = [...tables.history.get(change.name) ?? [], item];
-	tables.history.set(change.name, items.slice(-HISTORY_KEPT));
+	tables.history.set(change.name, items.slice(-MAX_HISTORY_ITEMS));
 }
 
 function takeSnapshot(tables: Tables): CatalogueSnapshot {
@@ -257,7 +257,7 @@
 		removalsFrom: snapshot.removalsFrom,
 	};
 	tables.routes = createRouteIndex();
-	tables.routes.follow(EMPTY_VIEW, tables.view);
+	tables.routes.applyViewChange(EMPTY_VIEW, tables.view);
 	tables.answers = new Map(snapshot.answers);
 	tables.history = new Map(snapshot.history);
 }
--- a/packages/wagtailroute-catalogue/src/route-index.ts
+++ b/packages/wagtailroute-catalogue/src/route-index.ts
@@ -30,7 +30,7 @@
 	/**
 	Follows a view to a later one.
 	*/
-	readonly follow: (previous: View, next: View) => void;
+	readonly applyViewChange: (previous: View, next: View) => void;
 	/**
 	Finds the route of a request, see `matchRoute`.
 	*/
@@ -69,7 +69,7 @@
 	return {
 		setEntry,
 		removeEntry,
-		follow(previous, next) {
+		applyViewChange(previous, next) {
 			for (const name of previous.entries.keys()) {
 				if (!next.entries.has(name)) {
 					removeEntry(name);
--- a/packages/wagtailroute-catalogue/src/view.ts
+++ b/packages/wagtailroute-catalogue/src/view.ts
@@ -5,7 +5,7 @@
 nothing. So a host that hears from a lagging peer, also right after its own restart, never goes back.
 */
 import type * as core from 'wagtailroute-core';
-import {REMOVALS_KEPT} from './constants.ts';
+import {MAX_REMOVALS} from './constants.ts';
 import type {Entry} from './entry.ts';
 
 /**
@@ -85,8 +85,8 @@
 Returns the view after a delta, or the same view when the delta brings nothing new or leaves a gap.
 */
 export function applyDelta(view: View, delta: Delta): View {
-	const isNews = delta.to > view.revision && (delta.scope === 'whole' || delta.from <= view.revision);
-	if (!isNews) {
+	const isApplicable = delta.to > view.revision && (delta.scope === 'whole' || delta.from <= view.revision);
+	if (!isApplicable) {
 		return view;
 	}
 
@@ -118,9 +118,9 @@
 ): Pick<View, 'removals' | 'removalsFrom'> {
 	const known = new Set(view.removals.map(removal => removal.revision));
 	const all = [...view.removals, ...removals.filter(removal => !known.has(removal.revision))];
-	const dropped = all.slice(0, -REMOVALS_KEPT);
+	const dropped = all.slice(0, -MAX_REMOVALS);
 	return {
-		removals: all.slice(-REMOVALS_KEPT),
+		removals: all.slice(-MAX_REMOVALS),
 		removalsFrom: dropped.at(-1)?.revision ?? view.removalsFrom,
 	};
 }
--- a/packages/wagtailroute-fleet/src/advertisements.ts
+++ b/packages/wagtailroute-fleet/src/advertisements.ts
@@ -96,7 +96,7 @@
 			backoffs.set(upstream, {service, until: Math.max(backoffs.get(upstream)?.until ?? 0, now() + milliseconds)});
 		},
 		draining(service, upstream) {
-			utils.setBounded(draining, upstream, service, generations.RETIREMENTS_KEPT);
+			utils.setBounded(draining, upstream, service, generations.MAX_RETIREMENTS);
 		},
 	};
 
--- a/packages/wagtailroute-fleet/src/fleet-view.ts
+++ b/packages/wagtailroute-fleet/src/fleet-view.ts
@@ -26,7 +26,7 @@
 export type FleetView = {
 	readonly getGeneration: () => generations.Generation | undefined;
 	readonly findRoute: generations.RouteFinder;
-	readonly findOrganisation: generations.KeyFinder;
+	readonly findOrganisation: generations.OrganisationFinder;
 	readonly findService: (name: core.ServiceName) => generations.GenerationService | undefined;
 	readonly listCandidates: (service: core.ServiceName) => readonly dispatch.Candidate[];
 	readonly isRetired: (upstream: core.UpstreamId) => boolean;
@@ -66,7 +66,7 @@
 type State = {
 	generation: generations.Generation | undefined;
 	findRoute: generations.RouteFinder;
-	findOrganisation: generations.KeyFinder;
+	findOrganisation: generations.OrganisationFinder;
 	services: ReadonlyMap<core.ServiceName, generations.GenerationService>;
 	/**
 	Highest version that a control host reported, and the control hosts that reported it.
@@ -108,7 +108,7 @@
 
 		state.generation = generation;
 		state.findRoute = generations.createRouteFinder(generation);
-		state.findOrganisation = generations.createKeyFinder(generation);
+		state.findOrganisation = generations.createOrganisationFinder(generation);
 		state.services = new Map(generation.services.map(service => [service.name, service]));
 		log.info('A catalogue generation is now in force.', {version: generation.version, routes: generation.routes.length});
 		options.onGeneration(generation);
@@ -146,7 +146,7 @@
 	const applyRetirements = (retirements: readonly generations.Retirement[]) => {
 		for (const {upstream, state: retirement} of retirements) {
 			const service = instanceTable.get(upstream)?.service;
-			utils.setBounded(retired, upstream, retirement, generations.RETIREMENTS_KEPT);
+			utils.setBounded(retired, upstream, retirement, generations.MAX_RETIREMENTS);
 			const hasChanged = instanceTable.retire(upstream, retirement);
 			if (service === undefined || !hasChanged) {
 				continue;
@@ -161,14 +161,14 @@
 		applyRetirements(retirements);
 		const changed = new Set<core.ServiceName>();
 		for (const {ageMilliseconds, ...heartbeat} of heard) {
-			if (instanceTable.take(heartbeat, now() - ageMilliseconds) === 'news') {
+			if (instanceTable.applyHeartbeat(heartbeat, now() - ageMilliseconds) === 'news') {
 				changed.add(heartbeat.service);
 			}
 		}
 
 		for (const upstream of forgotten) {
 			const service = instanceTable.get(upstream)?.service;
-			instanceTable.forget(upstream);
+			instanceTable.remove(upstream);
 			if (service !== undefined) {
 				changed.add(service);
 			}
--- a/packages/wagtailroute-fleet/src/registry.ts
+++ b/packages/wagtailroute-fleet/src/registry.ts
@@ -34,7 +34,7 @@
 	/**
 	Handles a heartbeat that its sender sent to this host, and relays it unless it is stale.
 	*/
-	readonly receiveHeartbeat: (heartbeat: instances.Heartbeat) => instances.Reception;
+	readonly receiveHeartbeat: (heartbeat: instances.Heartbeat) => instances.HeartbeatOutcome;
 	/**
 	Applies heartbeats that another control host received.
 	*/
@@ -130,7 +130,7 @@
 	/**
 	Relays a heartbeat: at once if it changes something, otherwise in a batch, since most heartbeats change nothing.
 	*/
-	const relay = (heartbeat: instances.Heartbeat, reception: instances.Reception) => {
+	const relay = (heartbeat: instances.Heartbeat, reception: instances.HeartbeatOutcome) => {
 		if (reception === 'news') {
 			pendingBatch = {...pendingBatch, news: [...pendingBatch.news, {...heartbeat, ageMilliseconds: 0}]};
 			flushBatch();
@@ -142,7 +142,7 @@
 	};
 
 	const applyHeartbeat = (heartbeat: instances.Heartbeat, receivedAt: number) => {
-		const reception = table.take(heartbeat, receivedAt);
+		const reception = table.applyHeartbeat(heartbeat, receivedAt);
 		const wasSilent = reception !== 'stale' && silentUpstreams.delete(heartbeat.upstream);
 		if (reception === 'news') {
 			const {upstream, service, address, slots, sequence, failureDomain} = heartbeat;
@@ -170,7 +170,7 @@
 	Removes instances after a long silence. A shorter one removes no upstream from dispatch: it only ends the trials of an upstream that has failed as well.
 	*/
 	const checkSilence = () => {
-		const forgotten = table.forgetSilent(now());
+		const forgotten = table.expireSilent(now());
 		if (forgotten.length > 0) {
 			log.info('Upstream instances were removed after a long silence.', {upstreams: forgotten});
 			notifyFollowers({heard: [], forgotten, retirements: []});
@@ -227,7 +227,7 @@
 		},
 		retire({upstream, state}) {
 			const service = table.get(upstream)?.service;
-			utils.setBounded(retirements, upstream, state, generations.RETIREMENTS_KEPT);
+			utils.setBounded(retirements, upstream, state, generations.MAX_RETIREMENTS);
 			const isChanged = table.retire(upstream, state);
 			if (service === undefined || !isChanged) {
 				return;
@@ -252,8 +252,8 @@
 		countInstances: () => table.listAll().length,
 		loaded,
 		findLatestStart(server) {
-			const newest = table.findNewest(server);
-			return newest === undefined ? 0 : instances.getLifetime(newest.upstream).startedAt;
+			const newest = table.findLatest(server);
+			return newest === undefined ? 0 : instances.parseUpstreamId(newest.upstream).startedAt;
 		},
 		teardown: stopChecking,
 	};
--- a/packages/wagtailroute-fleet/src/routing.ts
+++ b/packages/wagtailroute-fleet/src/routing.ts
@@ -55,7 +55,7 @@
 */
 export function createRouter(context: FleetContext, options: RouterOptions): Router {
 	const {fleetView} = options;
-	const chooseShare = generations.createShareChooser(context.random);
+	const chooseShare = generations.createServiceChooser(context.random);
 	const usualTimes = createUsualTimes();
 	const callerDeadlines = createCallerDeadlines();
 
--- a/packages/wagtailroute-generations/src/__tests__/unit/generations.test.ts
+++ b/packages/wagtailroute-generations/src/__tests__/unit/generations.test.ts
@@ -98,13 +98,13 @@
 
 for (const {key, found} of KEYS) {
 	test(`the key '${key}' belongs to ${String(found)}`, t => {
-		const find = generations.createKeyFinder({organisations: [ORGANISATION, {...ORGANISATION, name: 'archive friends', keys: ['other']}]});
+		const find = generations.createOrganisationFinder({organisations: [ORGANISATION, {...ORGANISATION, name: 'archive friends', keys: ['other']}]});
 		t.is(find(key)?.name, found);
 	});
 }
 
 test('a generation without organisations holds no key', t => {
-	t.is(generations.createKeyFinder({})('k1'), undefined);
+	t.is(generations.createOrganisationFinder({})('k1'), undefined);
 });
 
 test('a snapshot of the version before organisations is taken up', t => {
@@ -153,7 +153,7 @@
 test('splits requests by weight on each host, to within one request a share', t => {
 	const route = {...ROUTE, shares: [{service: 'archive', weight: 90}, {service: 'media', weight: 10}]};
 	fc.assert(fc.property(fc.integer(), fc.integer({min: 1, max: 500}), (seed, requests) => {
-		const choose = generations.createShareChooser(utils.createRandom(seed));
+		const choose = generations.createServiceChooser(utils.createRandom(seed));
 		const media = Array.from({length: requests}, () => choose(route)).filter(service => service === 'media').length;
 		t.true(Math.abs(media - (requests / 10)) <= 1);
 	}));
@@ -161,7 +161,7 @@
 
 test('never chooses a share of weight 0', t => {
 	const route = {...ROUTE, shares: [{service: 'archive', weight: 0}, {service: 'media', weight: 1}]};
-	const choose = generations.createShareChooser(() => 0);
+	const choose = generations.createServiceChooser(() => 0);
 	t.deepEqual(new Set(Array.from({length: 20}, () => choose(route))), new Set(['media']));
 });
 
--- a/packages/wagtailroute-generations/src/bench/keys.bench.ts
+++ b/packages/wagtailroute-generations/src/bench/keys.bench.ts
@@ -9,7 +9,7 @@
 /**
 Times as long as with the fewest keys that a look-up may take with the most: what does not fit into a processor's caches is a few times slower.
 */
-const RATIO_MOST = 3;
+const MAX_LOOK_UP_RATIO = 3;
 const NANOSECONDS_PER_MILLISECOND = 1_000_000;
 
 type Row = {
@@ -30,7 +30,7 @@
 	return {
 		title: 'Organisations by their keys',
 		rows,
-		broken: ratio > RATIO_MOST ? [`A look-up among ${COUNTS.at(-1)} keys takes ${ratio.toFixed(1)} times as long as among ${COUNTS[0]}.`] : [],
+		broken: ratio > MAX_LOOK_UP_RATIO ? [`A look-up among ${COUNTS.at(-1)} keys takes ${ratio.toFixed(1)} times as long as among ${COUNTS[0]}.`] : [],
 	};
 }
 
@@ -40,7 +40,7 @@
 	}));
 	const before = getHeap();
 	const startedAt = performance.now();
-	const find = generations.createKeyFinder({organisations});
+	const find = generations.createOrganisationFinder({organisations});
 	const millisecondsToBuild = performance.now() - startedAt;
 	const bytesPerKey = (getHeap() - before) / count;
 	const lookedUpAt = performance.now();
--- a/packages/wagtailroute-generations/src/generation.ts
+++ b/packages/wagtailroute-generations/src/generation.ts
@@ -130,7 +130,7 @@
 		return results.Err(core.createFailure('generation-malformed', `${issue.path.join('.')}: ${issue.message}`));
 	}
 
-	const failure = findUnknownService(parsed.data) ?? findEmptyWeights(parsed.data) ?? findConflict(parsed.data) ?? findSharedKey(parsed.data);
+	const failure = findUnknownService(parsed.data) ?? findEmptyWeights(parsed.data) ?? findRouteConflict(parsed.data) ?? findOrganisationConflict(parsed.data);
 	return failure === undefined ? results.Ok(parsed.data) : results.Err(failure);
 }
 
@@ -151,15 +151,15 @@
 	return empty && core.createFailure('weights-empty', `The weights of the route ${empty.name} add up to 0.`);
 }
 
-function findConflict({routes}: Generation): GenerationFailure | undefined {
-	const places = new Set<string>();
+function findRouteConflict({routes}: Generation): GenerationFailure | undefined {
+	const routeKeys = new Set<string>();
 	for (const route of routes) {
-		const place = `${route.host.toLowerCase()} ${route.pathPrefix}`;
-		if (places.has(place)) {
-			return core.createFailure('route-conflict', `Two routes have host and prefix ${place}.`);
+		const routeKey = `${route.host.toLowerCase()} ${route.pathPrefix}`;
+		if (routeKeys.has(routeKey)) {
+			return core.createFailure('route-conflict', `Two routes have host and prefix ${routeKey}.`);
 		}
 
-		places.add(place);
+		routeKeys.add(routeKey);
 	}
 
 	return undefined;
@@ -168,7 +168,7 @@
 /**
 A key that two organisations hold would let one act as the other. The failure does not tell the key.
 */
-function findSharedKey({organisations = []}: Generation): GenerationFailure | undefined {
+function findOrganisationConflict({organisations = []}: Generation): GenerationFailure | undefined {
 	const names = new Set<string>();
 	const holders = new Map<string, string>();
 	for (const {name, keys} of organisations) {
--- a/packages/wagtailroute-generations/src/index.ts
+++ b/packages/wagtailroute-generations/src/index.ts
@@ -11,10 +11,10 @@
 	parseGeneration,
 	type Share,
 } from './generation.ts';
-export {RETIREMENTS_KEPT} from './constants.ts';
-export {createKeyFinder, type KeyFinder} from './key-finder.ts';
+export {MAX_RETIREMENTS} from './constants.ts';
+export {createOrganisationFinder, type OrganisationFinder} from './organisation-finder.ts';
 export {createRouteFinder, type RouteFinder} from './route-finder.ts';
-export {createShareChooser, type ShareChooser} from './shares.ts';
+export {createServiceChooser, type ServiceChooser} from './service-chooser.ts';
 export {
 	createReplicatedGenerations,
 	type GenerationAnswer,
--- a/packages/wagtailroute-generations/src/key-finder.ts
+++ b/packages/wagtailroute-generations/src/organisation-finder.ts
@@ -10,12 +10,12 @@
 /**
 Finds organisations by keys.
 */
-export type KeyFinder = (key: string) => GenerationOrganisation | undefined;
+export type OrganisationFinder = (key: string) => GenerationOrganisation | undefined;
 
 /**
 Creates the finder of a generation.
 */
-export function createKeyFinder({organisations = []}: Pick<Generation, 'organisations'>): KeyFinder {
+export function createOrganisationFinder({organisations = []}: Pick<Generation, 'organisations'>): OrganisationFinder {
 	const holders = new Map<string, GenerationOrganisation>();
 	for (const organisation of organisations) {
 		for (const key of organisation.keys) {
--- a/packages/wagtailroute-generations/src/replicated.ts
+++ b/packages/wagtailroute-generations/src/replicated.ts
@@ -11,7 +11,7 @@
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
-import {RETIREMENTS_KEPT} from './constants.ts';
+import {MAX_RETIREMENTS} from './constants.ts';
 import type {Generation} from './generation.ts';
 
 /**
@@ -109,6 +109,6 @@
 	},
 	retire(tables, {retirement: {upstream, state}}) {
 		const isGone = tables.retirements.get(upstream) === 'gone';
-		utils.setBounded(tables.retirements, upstream, isGone ? 'gone' : state, RETIREMENTS_KEPT);
+		utils.setBounded(tables.retirements, upstream, isGone ? 'gone' : state, MAX_RETIREMENTS);
 	},
 };
--- a/packages/wagtailroute-generations/src/route-finder.ts
+++ b/packages/wagtailroute-generations/src/route-finder.ts
@@ -16,11 +16,11 @@
 export type RouteFinder = (host: string, path: string) => GenerationRoute | undefined;
 
 type HostRoutes = {
-	readonly whole: Map<string, GenerationRoute>;
+	readonly segmentRoutes: Map<string, GenerationRoute>;
 	/**
 	Routes whose prefix ends within a segment.
 	*/
-	readonly partial: GenerationRoute[];
+	readonly partialSegmentRoutes: GenerationRoute[];
 };
 
 /**
@@ -34,24 +34,24 @@
 
 	return (host, path) => {
 		const found = hosts.get(host);
-		return found && getLonger(findWhole(found, path), findPartial(found, path));
+		return found && getMoreSpecificRoute(findSegmentRoute(found, path), findPartialSegmentRoute(found, path));
 	};
 }
 
 function addRoute(hosts: Map<string, HostRoutes>, route: GenerationRoute): void {
 	const host = route.host.toLowerCase();
-	const present: HostRoutes = hosts.get(host) ?? {whole: new Map(), partial: []};
+	const present: HostRoutes = hosts.get(host) ?? {segmentRoutes: new Map(), partialSegmentRoutes: []};
 	hosts.set(host, present);
 	if (route.pathPrefix.endsWith('/')) {
-		present.whole.set(route.pathPrefix, route);
+		present.segmentRoutes.set(route.pathPrefix, route);
 	} else {
-		present.partial.push(route);
+		present.partialSegmentRoutes.push(route);
 	}
 }
 
-function findWhole({whole}: HostRoutes, path: string): GenerationRoute | undefined {
+function findSegmentRoute({segmentRoutes}: HostRoutes, path: string): GenerationRoute | undefined {
 	for (let end = path.lastIndexOf('/'); end !== -1; end = end === 0 ? -1 : path.lastIndexOf('/', end - 1)) {
-		const route = whole.get(path.slice(0, end + 1));
+		const route = segmentRoutes.get(path.slice(0, end + 1));
 		if (route !== undefined) {
 			return route;
 		}
@@ -60,16 +60,16 @@
 	return undefined;
 }
 
-function findPartial({partial}: HostRoutes, path: string): GenerationRoute | undefined {
+function findPartialSegmentRoute({partialSegmentRoutes}: HostRoutes, path: string): GenerationRoute | undefined {
 	let longest: GenerationRoute | undefined;
-	for (const route of partial) {
-		longest = path.startsWith(route.pathPrefix) ? getLonger(longest, route) : longest;
+	for (const route of partialSegmentRoutes) {
+		longest = path.startsWith(route.pathPrefix) ? getMoreSpecificRoute(longest, route) : longest;
 	}
 
 	return longest;
 }
 
-function getLonger(left: GenerationRoute | undefined, right: GenerationRoute | undefined): GenerationRoute | undefined {
+function getMoreSpecificRoute(left: GenerationRoute | undefined, right: GenerationRoute | undefined): GenerationRoute | undefined {
 	if (left === undefined || right === undefined) {
 		return left ?? right;
 	}
--- a/packages/wagtailroute-generations/src/shares.ts
+++ b/packages/wagtailroute-generations/src/service-chooser.ts
@@ -9,7 +9,7 @@
 /**
 Chooses the service of each next request of a route.
 */
-export type ShareChooser = (route: GenerationRoute) => string;
+export type ServiceChooser = (route: GenerationRoute) => string;
 
 /**
 Creates a chooser with fresh counts (smooth weighted round-robin). The counts go with the route's object.
@@ -17,7 +17,7 @@
 @param random Uniform in [0, 1): where a host begins, so that hosts that carry few requests do not all begin with the same
 share.
 */
-export function createShareChooser(random: () => number): ShareChooser {
+export function createServiceChooser(random: () => number): ServiceChooser {
 	const credits = new WeakMap<GenerationRoute, number[]>();
 	return route => {
 		const {shares} = route;
@@ -26,26 +26,26 @@
 		}
 
 		const total = shares.reduce((sum, share) => sum + share.weight, 0);
-		const credit = credits.get(route) ?? createCredits(route, total, random);
-		credits.set(route, credit);
+		const routeCredits = credits.get(route) ?? createInitialCredits(route, total, random);
+		credits.set(route, routeCredits);
 		let best = 0;
 		for (const [index, share] of shares.entries()) {
-			credit[index]! += share.weight;
-			best = credit[index]! > credit[best]! ? index : best;
+			routeCredits[index]! += share.weight;
+			best = routeCredits[index]! > routeCredits[best]! ? index : best;
 		}
 
-		credit[best]! -= total;
+		routeCredits[best]! -= total;
 		return shares[best]!.service;
 	};
 }
 
-function createCredits({shares}: GenerationRoute, total: number, random: () => number): number[] {
+function createInitialCredits({shares}: GenerationRoute, total: number, random: () => number): number[] {
 	const start = random() * total;
-	let passed = 0;
+	let cumulativeWeight = 0;
 	let first = 0;
 	for (const [index, share] of shares.entries()) {
-		first = passed <= start && share.weight > 0 ? index : first;
-		passed += share.weight;
+		first = cumulativeWeight <= start && share.weight > 0 ? index : first;
+		cumulativeWeight += share.weight;
 	}
 
 	return shares.map((_share, index) => index === first ? total / 2 : 0);
--- a/packages/wagtailroute-host/src/catalogue-routes.ts
+++ b/packages/wagtailroute-host/src/catalogue-routes.ts
@@ -13,7 +13,7 @@
 import {findInForce} from './in-force.ts';
 import {answerProblem, answerUnknownEntry} from './problems.ts';
 
-const MEDIA: ReadonlyMap<string, catalogue.EntryMedia> = new Map([
+const MEDIA: ReadonlyMap<string, catalogue.EntryFormat> = new Map([
 	['application/json', 'json'],
 	['application/yaml', 'yaml'],
 ]);
--- a/packages/wagtailroute-host/src/distribution.ts
+++ b/packages/wagtailroute-host/src/distribution.ts
@@ -115,7 +115,7 @@
 				return;
 			}
 
-			context.routes.follow(previous.view, state.view);
+			context.routes.applyViewChange(previous.view, state.view);
 			log.info('Catalogue in force.', {revision: state.view.revision});
 			tellOthers();
 		}),
--- a/packages/wagtailroute-instances/src/__tests__/unit/instances.test.ts
+++ b/packages/wagtailroute-instances/src/__tests__/unit/instances.test.ts
@@ -17,7 +17,7 @@
 });
 
 type Step =
-	| {readonly take: Partial<instances.Heartbeat>; readonly comes: instances.Reception}
+	| {readonly take: Partial<instances.Heartbeat>; readonly comes: instances.HeartbeatOutcome}
 	| {readonly retire: 'draining' | 'gone'; readonly of?: string};
 
 type Case = {
@@ -83,8 +83,8 @@
 	},
 ];
 
-const FIRST_START = instances.nameInstance({server: 's', startedAt: 1_764_720_000_000});
-const SECOND_START = instances.nameInstance({server: 's', startedAt: 1_764_720_060_000});
+const FIRST_START = instances.createUpstreamId({server: 's', startedAt: 1_764_720_000_000});
+const SECOND_START = instances.createUpstreamId({server: 's', startedAt: 1_764_720_060_000});
 
 const RESTART_CASES: readonly Case[] = [
 	{
@@ -135,17 +135,17 @@
 		name: 'a late heartbeat takes no address from an instance that started later',
 		steps: [
 			{take: {upstream: FIRST_START}, comes: 'news'},
-			{take: {upstream: instances.nameInstance({server: 'other', startedAt: 1_764_720_030_000})}, comes: 'news'},
+			{take: {upstream: instances.createUpstreamId({server: 'other', startedAt: 1_764_720_030_000})}, comes: 'news'},
 			{take: {upstream: FIRST_START, sequence: 2}, comes: 'refreshed'},
 		],
-		listed: {[instances.nameInstance({server: 'other', startedAt: 1_764_720_030_000})]: 'serving'},
+		listed: {[instances.createUpstreamId({server: 'other', startedAt: 1_764_720_030_000})]: 'serving'},
 	},
 ];
 
 for (const {name, steps, listed} of [...CASES, ...RESTART_CASES]) {
 	test(name, t => {
 		const table = instances.createInstanceTable();
-		const receptions = steps.map(step => 'retire' in step ? table.retire(step.of ?? 'a', step.retire) : table.take(createHeartbeat(step.take), 0));
+		const receptions = steps.map(step => 'retire' in step ? table.retire(step.of ?? 'a', step.retire) : table.applyHeartbeat(createHeartbeat(step.take), 0));
 		t.deepEqual(receptions, steps.map(step => 'retire' in step ? true : step.comes));
 
 		t.deepEqual(Object.fromEntries(table.list('archive').map(({upstream, state}) => [upstream, state])), listed);
@@ -154,34 +154,34 @@
 
 test('an instance that moves to another service leaves the first one', t => {
 	const table = instances.createInstanceTable();
-	table.take(createHeartbeat(), 0);
-	table.take(createHeartbeat({service: 'media', sequence: 2}), 0);
+	table.applyHeartbeat(createHeartbeat(), 0);
+	table.applyHeartbeat(createHeartbeat({service: 'media', sequence: 2}), 0);
 	t.is(table.list('archive').length, 0);
 	t.is(table.list('media').length, 1);
 });
 
 test('silence ends an instance only after a minute', t => {
 	const table = instances.createInstanceTable();
-	table.take(createHeartbeat(), 0);
-	t.deepEqual(table.forgetSilent(60_000), []);
-	t.deepEqual(table.forgetSilent(60_001), ['a']);
+	table.applyHeartbeat(createHeartbeat(), 0);
+	t.deepEqual(table.expireSilent(60_000), []);
+	t.deepEqual(table.expireSilent(60_001), ['a']);
 	t.deepEqual(table.listAll(), []);
 });
 
 test('an address comes back to the instance that is heard when the later one is silent', t => {
 	const table = instances.createInstanceTable();
-	table.take(createHeartbeat({upstream: SECOND_START}), 0);
-	table.take(createHeartbeat({upstream: 'other'}), 5000);
+	table.applyHeartbeat(createHeartbeat({upstream: SECOND_START}), 0);
+	table.applyHeartbeat(createHeartbeat({upstream: 'other'}), 5000);
 	t.deepEqual(table.list('archive').map(({upstream}) => upstream), [SECOND_START]);
-	table.take(createHeartbeat({upstream: 'other', sequence: 2}), 5001);
+	table.applyHeartbeat(createHeartbeat({upstream: 'other', sequence: 2}), 5001);
 	t.deepEqual(table.list('archive').map(({upstream}) => upstream), ['other']);
 });
 
 test('the name of an instance tells its server and its start', t => {
 	fc.assert(fc.property(fc.string({minLength: 1}), fc.maxSafeNat(), (server, startedAt) => {
-		t.deepEqual(instances.getLifetime(instances.nameInstance({server, startedAt})), {server, startedAt});
+		t.deepEqual(instances.parseUpstreamId(instances.createUpstreamId({server, startedAt})), {server, startedAt});
 	}));
-	t.deepEqual(instances.getLifetime('i-7f3a'), {server: 'i-7f3a', startedAt: 0});
+	t.deepEqual(instances.parseUpstreamId('i-7f3a'), {server: 'i-7f3a', startedAt: 0});
 });
 
 test('of the heartbeats of all starts of a server, in any order, the newest start and its last word stay', t => {
@@ -190,7 +190,7 @@
 	fc.assert(fc.property(fc.shuffledSubarray(heartbeats, {minLength: 1}), order => {
 		const table = instances.createInstanceTable();
 		for (const heartbeat of order) {
-			table.take(heartbeat, 0);
+			table.applyHeartbeat(heartbeat, 0);
 		}
 
 		t.deepEqual(table.list('archive').map(({slots}) => slots), [Math.max(...order.map(({slots}) => slots))]);
@@ -202,7 +202,7 @@
 	fc.assert(fc.property(fc.shuffledSubarray(heartbeats, {minLength: 1}), order => {
 		const table = instances.createInstanceTable();
 		for (const heartbeat of order) {
-			table.take(heartbeat, 0);
+			table.applyHeartbeat(heartbeat, 0);
 		}
 
 		t.is(table.get('a')?.slots, Math.max(...order.map(({sequence}) => sequence)));
--- a/packages/wagtailroute-instances/src/index.ts
+++ b/packages/wagtailroute-instances/src/index.ts
@@ -7,6 +7,6 @@
 	type Instance,
 	type InstanceState,
 	type InstanceTable,
-	type Reception,
+	type HeartbeatOutcome,
 } from './instances.ts';
-export {getLifetime, type Lifetime, nameInstance} from './lifetimes.ts';
+export {parseUpstreamId, type ServerStart, createUpstreamId} from './upstream-ids.ts';
--- a/packages/wagtailroute-instances/src/instances.ts
+++ b/packages/wagtailroute-instances/src/instances.ts
@@ -13,12 +13,12 @@
 import * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {
-	FORGET_MILLISECONDS,
-	HOLDER_MILLISECONDS,
-	RETIREMENTS_KEPT,
-	SERVERS_KEPT,
+	INSTANCE_EXPIRY_MILLISECONDS,
+	ADDRESS_TAKEOVER_MILLISECONDS,
+	MAX_RETIREMENTS,
+	MAX_SERVERS,
 } from './constants.ts';
-import {getLifetime} from './lifetimes.ts';
+import {parseUpstreamId} from './upstream-ids.ts';
 
 /**
 What an instance says of itself.
@@ -57,13 +57,13 @@
 What a heartbeat came to. `news`: the instance is new or something but its time has changed. `refreshed`: nothing but its
 time. `stale`: passed over.
 */
-export type Reception = 'news' | 'refreshed' | 'stale';
+export type HeartbeatOutcome = 'news' | 'refreshed' | 'stale';
 
 /**
 The table of instances.
 */
 export type InstanceTable = {
-	readonly take: (heartbeat: Heartbeat, now: number) => Reception;
+	readonly applyHeartbeat: (heartbeat: Heartbeat, now: number) => HeartbeatOutcome;
 	/**
 	Ends the work of an instance for good. Returns whether that is news.
 	*/
@@ -72,7 +72,7 @@
 	/**
 	Returns the instance of a server's newest known start.
 	*/
-	readonly findNewest: (server: string) => Instance | undefined;
+	readonly findLatest: (server: string) => Instance | undefined;
 	/**
 	Returns the instances of a service that hold their address.
 	*/
@@ -81,11 +81,11 @@
 	/**
 	Forgets instances that were silent for long; returns their names.
 	*/
-	readonly forgetSilent: (now: number) => readonly core.UpstreamId[];
+	readonly expireSilent: (now: number) => readonly core.UpstreamId[];
 	/**
 	Forgets an instance that another host has forgotten.
 	*/
-	readonly forget: (upstream: core.UpstreamId) => void;
+	readonly remove: (upstream: core.UpstreamId) => void;
 };
 
 type Tables = {
@@ -94,12 +94,12 @@
 	/**
 	The instance of the newest start of each server, also of those that ended: a heartbeat of an earlier start may still be on its way.
 	*/
-	readonly newest: Map<string, core.UpstreamId>;
+	readonly latestByServer: Map<string, core.UpstreamId>;
 	/**
 	The instance at an address.
 	*/
-	readonly holders: Map<string, core.UpstreamId>;
-	readonly retired: Map<core.UpstreamId, 'draining' | 'gone'>;
+	readonly holdersByAddress: Map<string, core.UpstreamId>;
+	readonly retirements: Map<core.UpstreamId, 'draining' | 'gone'>;
 };
 
 /**
@@ -107,84 +107,84 @@
 */
 export function createInstanceTable(): InstanceTable {
 	const tables: Tables = {
-		instances: new Map(), byService: new Map(), newest: new Map(), holders: new Map(), retired: new Map(),
+		instances: new Map(), byService: new Map(), latestByServer: new Map(), holdersByAddress: new Map(), retirements: new Map(),
 	};
 	return {
-		take: (heartbeat, now) => take(tables, heartbeat, now),
+		applyHeartbeat: (heartbeat, now) => applyHeartbeat(tables, heartbeat, now),
 		retire: (upstream, state) => retire(tables, upstream, state),
 		get: upstream => tables.instances.get(upstream),
-		findNewest: server => tables.instances.get(tables.newest.get(server) ?? ''),
-		list: service => tables.byService.get(service)?.values().filter(instance => isHolder(tables, instance)).toArray() ?? [],
-		listAll: () => tables.instances.values().filter(instance => isHolder(tables, instance)).toArray(),
-		forgetSilent: now => forgetSilent(tables, now),
-		forget(upstream) {
+		findLatest: server => tables.instances.get(tables.latestByServer.get(server) ?? ''),
+		list: service => tables.byService.get(service)?.values().filter(instance => isAddressHolder(tables, instance)).toArray() ?? [],
+		listAll: () => tables.instances.values().filter(instance => isAddressHolder(tables, instance)).toArray(),
+		expireSilent: now => expireSilent(tables, now),
+		remove(upstream) {
 			const present = tables.instances.get(upstream);
 			if (present !== undefined) {
-				remove(tables, present);
+				removeInstance(tables, present);
 			}
 		},
 	};
 }
 
-function take(tables: Tables, heartbeat: Heartbeat, now: number): Reception {
+function applyHeartbeat(tables: Tables, heartbeat: Heartbeat, now: number): HeartbeatOutcome {
 	const present = tables.instances.get(heartbeat.upstream);
-	const retired = tables.retired.get(heartbeat.upstream);
-	if (retired === 'gone' || (present !== undefined && heartbeat.sequence <= present.sequence) || isOutlived(tables, heartbeat.upstream)) {
+	const retired = tables.retirements.get(heartbeat.upstream);
+	if (retired === 'gone' || (present !== undefined && heartbeat.sequence <= present.sequence) || isSuperseded(tables, heartbeat.upstream)) {
 		return 'stale';
 	}
 
-	endEarlier(tables, heartbeat.upstream);
-	const {warmupMilliseconds, ...told} = heartbeat;
+	removeEarlierStart(tables, heartbeat.upstream);
+	const {warmupMilliseconds, ...reported} = heartbeat;
 	const instance: Instance = {
-		...told,
+		...reported,
 		state: retired ?? 'serving',
 		heardAt: now,
 		warmAt: now + warmupMilliseconds,
 	};
-	const place = core.formatAddress(instance.address);
-	const isHolderNews = tables.holders.get(place) !== instance.upstream && mayHold(tables, instance, place);
-	if (isHolderNews) {
-		tables.holders.set(place, instance.upstream);
+	const addressKey = core.formatAddress(instance.address);
+	const isNewHolder = tables.holdersByAddress.get(addressKey) !== instance.upstream && canHoldAddress(tables, instance, addressKey);
+	if (isNewHolder) {
+		tables.holdersByAddress.set(addressKey, instance.upstream);
 	}
 
-	store(tables, instance);
-	return present === undefined || isHolderNews || isChanged(present, instance) ? 'news' : 'refreshed';
+	storeInstance(tables, instance);
+	return present === undefined || isNewHolder || hasChanged(present, instance) ? 'news' : 'refreshed';
 }
 
 /**
 Says whether the server of an instance has started again since.
 */
-function isOutlived({newest}: Tables, upstream: core.UpstreamId): boolean {
-	const {server, startedAt} = getLifetime(upstream);
-	const known = newest.get(server);
-	return known !== undefined && getLifetime(known).startedAt > startedAt;
+function isSuperseded({latestByServer}: Tables, upstream: core.UpstreamId): boolean {
+	const {server, startedAt} = parseUpstreamId(upstream);
+	const known = latestByServer.get(server);
+	return known !== undefined && parseUpstreamId(known).startedAt > startedAt;
 }
 
 /**
 A server that has started again is not what it was: the instance of its start before is no more.
 */
-function endEarlier(tables: Tables, upstream: core.UpstreamId): void {
-	const {server} = getLifetime(upstream);
-	const earlier = tables.newest.get(server);
+function removeEarlierStart(tables: Tables, upstream: core.UpstreamId): void {
+	const {server} = parseUpstreamId(upstream);
+	const earlier = tables.latestByServer.get(server);
 	const ended = earlier === undefined || earlier === upstream ? undefined : tables.instances.get(earlier);
 	if (ended !== undefined) {
-		remove(tables, ended);
+		removeInstance(tables, ended);
 	}
 
-	utils.setBounded(tables.newest, server, upstream, SERVERS_KEPT);
+	utils.setBounded(tables.latestByServer, server, upstream, MAX_SERVERS);
 }
 
 /**
 Says whether an instance takes an address over from the one that has it.
 */
-function mayHold({holders, instances}: Tables, {upstream, heardAt}: Instance, place: string): boolean {
-	const holder = instances.get(holders.get(place) ?? '');
+function canHoldAddress({holdersByAddress, instances}: Tables, {upstream, heardAt}: Instance, addressKey: string): boolean {
+	const holder = instances.get(holdersByAddress.get(addressKey) ?? '');
 	return holder === undefined
-		|| getLifetime(upstream).startedAt >= getLifetime(holder.upstream).startedAt
-		|| heardAt - holder.heardAt > HOLDER_MILLISECONDS;
+		|| parseUpstreamId(upstream).startedAt >= parseUpstreamId(holder.upstream).startedAt
+		|| heardAt - holder.heardAt > ADDRESS_TAKEOVER_MILLISECONDS;
 }
 
-function isChanged(present: Instance, next: Instance): boolean {
+function hasChanged(present: Instance, next: Instance): boolean {
 	return present.state !== next.state
 		|| present.service !== next.service
 		|| present.slots !== next.slots
@@ -192,27 +192,27 @@
 }
 
 function retire(tables: Tables, upstream: core.UpstreamId, state: 'draining' | 'gone'): boolean {
-	const known = tables.retired.get(upstream);
+	const known = tables.retirements.get(upstream);
 	if (known === 'gone' || known === state) {
 		return false;
 	}
 
-	utils.setBounded(tables.retired, upstream, state, RETIREMENTS_KEPT);
+	utils.setBounded(tables.retirements, upstream, state, MAX_RETIREMENTS);
 	const present = tables.instances.get(upstream);
 	if (present === undefined) {
 		return true;
 	}
 
 	if (state === 'draining') {
-		store(tables, {...present, state});
+		storeInstance(tables, {...present, state});
 	} else {
-		remove(tables, present);
+		removeInstance(tables, present);
 	}
 
 	return true;
 }
 
-function store(tables: Tables, instance: Instance): void {
+function storeInstance(tables: Tables, instance: Instance): void {
 	const present = tables.instances.get(instance.upstream);
 	if (present !== undefined && present.service !== instance.service) {
 		tables.byService.get(present.service)?.delete(present.upstream);
@@ -224,7 +224,7 @@
 	tables.byService.set(instance.service, byId);
 }
 
-function remove(tables: Tables, instance: Instance): void {
+function removeInstance(tables: Tables, instance: Instance): void {
 	tables.instances.delete(instance.upstream);
 	const byId = tables.byService.get(instance.service);
 	byId?.delete(instance.upstream);
@@ -232,20 +232,20 @@
 		tables.byService.delete(instance.service);
 	}
 
-	const place = core.formatAddress(instance.address);
-	if (tables.holders.get(place) === instance.upstream) {
-		tables.holders.delete(place);
+	const addressKey = core.formatAddress(instance.address);
+	if (tables.holdersByAddress.get(addressKey) === instance.upstream) {
+		tables.holdersByAddress.delete(addressKey);
 	}
 }
 
-function isHolder(tables: Tables, instance: Instance): boolean {
-	return tables.holders.get(core.formatAddress(instance.address)) === instance.upstream;
+function isAddressHolder(tables: Tables, instance: Instance): boolean {
+	return tables.holdersByAddress.get(core.formatAddress(instance.address)) === instance.upstream;
 }
 
-function forgetSilent(tables: Tables, now: number): readonly core.UpstreamId[] {
-	const silent = tables.instances.values().filter(instance => now - instance.heardAt > FORGET_MILLISECONDS).toArray();
+function expireSilent(tables: Tables, now: number): readonly core.UpstreamId[] {
+	const silent = tables.instances.values().filter(instance => now - instance.heardAt > INSTANCE_EXPIRY_MILLISECONDS).toArray();
 	for (const instance of silent) {
-		remove(tables, instance);
+		removeInstance(tables, instance);
 	}
 
 	return silent.map(instance => instance.upstream);
--- a/packages/wagtailroute-instances/src/lifetimes.ts
+++ b/packages/wagtailroute-instances/src/upstream-ids.ts
@@ -10,7 +10,7 @@
 /**
 A server and one of its starts.
 */
-export type Lifetime = {
+export type ServerStart = {
 	readonly server: string;
 	/**
 	Unix milliseconds of the start, by the server's clock; 0 when it was not told. Only compared with other starts.
@@ -28,14 +28,14 @@
 /**
 Names the instance that a start of a server brought.
 */
-export function nameInstance({server, startedAt}: Lifetime): core.UpstreamId {
+export function createUpstreamId({server, startedAt}: ServerStart): core.UpstreamId {
 	return `${server}${SEPARATOR}${startedAt.toString(RADIX)}`;
 }
 
 /**
 Returns the server and the start that a name stands for. A name without a start is that of a server which has not told any.
 */
-export function getLifetime(upstream: core.UpstreamId): Lifetime {
+export function parseUpstreamId(upstream: core.UpstreamId): ServerStart {
 	const separator = upstream.lastIndexOf(SEPARATOR);
 	const start = upstream.slice(separator + 1);
 	return separator > 0 && START_PATTERN.test(start)
--- a/packages/wagtailroute-lab/src/fleet.ts
+++ b/packages/wagtailroute-lab/src/fleet.ts
@@ -138,14 +138,14 @@
 class VirtualFleet implements Fleet {
 	readonly #plan: FleetPlan;
 	readonly #generation: generations.Generation;
-	readonly #findOrganisation: generations.KeyFinder;
+	readonly #findOrganisation: generations.OrganisationFinder;
 	#controls: Control[] = [];
 	#entries: Entry[] = [];
 
 	constructor(plan: FleetPlan) {
 		this.#plan = plan;
 		this.#generation = createGeneration(plan.scenario);
-		this.#findOrganisation = generations.createKeyFinder(this.#generation);
+		this.#findOrganisation = generations.createOrganisationFinder(this.#generation);
 		this.#start();
 	}
 
--- a/scripts/capacity/control-roles.ts
+++ b/scripts/capacity/control-roles.ts
@@ -1,7 +1,7 @@
 /**
 What control hosts do at the size to design for: lead the catalogue, or follow both groups.
 */
-import {CHANGES_KEPT} from '../../packages/wagtailroute-catalogue/src/constants.ts';
+import {MAX_STORED_ANSWERS} from '../../packages/wagtailroute-catalogue/src/constants.ts';
 import * as hostTimes from '../../packages/wagtailroute-host/src/constants.ts';
 import {IDLE_HEARTBEAT_INTERVAL_MILLISECONDS, LEARNER_HEARTBEAT_INTERVAL_MILLISECONDS} from '../../packages/wagtailroute-replication/src/constants.ts';
 import {
@@ -60,10 +60,10 @@
 		{
 			what: 'answers kept for a resend of the same Change-Id',
 			mechanism: 'catalogue `replicated.ts`',
-			state: `${write(CHANGES_KEPT)} answers`,
+			state: `${write(MAX_STORED_ANSWERS)} answers`,
 			perSecond: 0,
 			cost: {bytes: 0, microseconds: 0},
-			memoryBytes: getAt(facts, 'catalogue-memory:answers', ['count', 'controlBytes'], CHANGES_KEPT),
+			memoryBytes: getAt(facts, 'catalogue-memory:answers', ['count', 'controlBytes'], MAX_STORED_ANSWERS),
 			isControl: true,
 		},
 	];
@@ -136,12 +136,12 @@
 		{
 			what: 'keeps the catalogue',
 			mechanism: 'catalogue `replicated.ts`',
-			state: `${SIZE.services} entries, ${write(CHANGES_KEPT)} answers`,
+			state: `${SIZE.services} entries, ${write(MAX_STORED_ANSWERS)} answers`,
 			perSecond: 0,
 			cost: {bytes: 0, microseconds: 0},
 			memoryBytes: sum([
 				getAt(facts, 'catalogue-memory:entries', ['count', 'controlBytes'], SIZE.services),
-				getAt(facts, 'catalogue-memory:answers', ['count', 'controlBytes'], CHANGES_KEPT),
+				getAt(facts, 'catalogue-memory:answers', ['count', 'controlBytes'], MAX_STORED_ANSWERS),
 			]),
 			isControl: true,
 		},
