--- a/packages/wagtailroute-catalogue/src/__tests__/unit/catalogue.test.ts
+++ b/packages/wagtailroute-catalogue/src/__tests__/unit/catalogue.test.ts
@@ -38,13 +38,13 @@
 	{title: 'a reserved prefix', value: {...ARCHIVE, routes: [{pathPrefix: '/.wagtailroute/x', class: 'read'}]}, names: 'pathPrefix'},
 	{title: 'a prefix with dot segments', value: {...ARCHIVE, routes: [{pathPrefix: '/a/../b', class: 'read'}]}, names: 'pathPrefix'},
 	{title: 'an unknown class', value: {...ARCHIVE, routes: [{pathPrefix: '/a', class: 'maybe'}]}, names: 'class'},
-	{title: 'a floor above the whole', value: {...ARCHIVE, healthyFloor: '101%'}, names: 'healthyFloor'},
-	{title: 'a limit of nothing', value: {...ARCHIVE, limits: {concurrency: 0}}, names: 'concurrency'},
+	{title: 'a floor above 100%', value: {...ARCHIVE, healthyFloor: '101%'}, names: 'healthyFloor'},
+	{title: 'a concurrency limit of 0', value: {...ARCHIVE, limits: {concurrency: 0}}, names: 'concurrency'},
 	{title: 'a list', value: [], names: 'entry'},
 ];
 
 for (const {title, value, names} of BAD_ENTRIES) {
-	test(`an entry with ${title} is refused by name`, t => {
+	test(`an entry with ${title} is refused with a message that names the field`, t => {
 		const failure = catalogue.parseEntry(value).unwrapErr();
 		t.is(failure.kind, 'entry-invalid');
 		t.true(failure.message.includes(names), failure.message);
@@ -64,7 +64,7 @@
 	});
 }
 
-test('a class of the entry holds for the routes that name none', t => {
+test('the class of the entry applies to the routes that set none', t => {
 	const entry = catalogue.parseEntry({
 		name: 'archive',
 		owner: 'genealogy',
@@ -102,12 +102,12 @@
 ];
 
 for (const {host, path, service} of LOOKUPS) {
-	test(`${host}${path} belongs to ${service}`, t => {
+	test(`${host}${path} matches a route of ${service}`, t => {
 		t.is(catalogue.matchRoute(TABLE, host, 'GET', path)?.service, service);
 	});
 }
 
-test('an index that follows its entries matches like a table built anew', t => {
+test('an index updated entry by entry matches like a newly created table', t => {
 	t.log(`seed ${SEED}`);
 	const prefixes = ['/', '/a', '/a/b', '/c'];
 	const hosts = [undefined, 'one.example'];
@@ -142,15 +142,14 @@
 	), {seed: SEED, numRuns: 500});
 });
 
-test('a route without the method does not match', t => {
+test('a route that does not list the method does not match', t => {
 	const entry = catalogue.parseEntry({...ARCHIVE, routes: [{pathPrefix: '/archive', methods: ['POST'], class: 'non-idempotent'}]}).unwrap();
 	t.is(catalogue.matchRoute(catalogue.createRouteTable([entry]), 'any', 'GET', '/archive'), undefined);
 });
 
-test('of two operators that race and each resend, exactly one wins and both learn so', t => {
-	// Symptom: both operators believe their change is in force, or the winner is told it lost.
-	// Sequence: both change revision 1; both lose the answer; both send again, after a snapshot was restored.
-	// Cause: without the table of Change-Ids in the snapshot, the winner's resend looks like a stale change.
+test('of two concurrent changes that are resent, exactly one is accepted, and both operators get their first answer again', t => {
+	// Guards against an accepted change being answered as refused, or both as accepted: two operators change revision 1, lose the answers and
+	// resend after a snapshot was restored. Without the table of Change-Ids in the snapshot, the accepted change looks stale when resent.
 	const replicated = catalogue.createReplicatedCatalogue();
 	replicated.apply(createChange('archive', 0, 'create'));
 	const first = replicated.apply(createChange('archive', 1, 'left'));
@@ -181,9 +180,9 @@
 	});
 }
 
-test('hosts that exchange deltas in any order come to the newest view and never go back', t => {
-	// Symptom: a change reverts on a host. Sequence: the host hears first from a current peer, then from a lagging one, or
-	// restarts and hears from the lagging one first. Cause: a delta applied without comparing revisions.
+test('hosts that exchange deltas in any order reach the latest view and never return to an earlier revision', t => {
+	// Guards against a change being reverted on a host: it receives a delta from a current peer and then from a lagging one, or restarts and
+	// receives the lagging one's first, and applies a delta without comparing revisions.
 	t.log(`seed ${SEED}`);
 	const names = ['a', 'b', 'c', 'd'];
 	fc.assert(fc.property(
@@ -195,7 +194,7 @@
 		}), {maxLength: 60}),
 		steps => {
 			const replicated = catalogue.createReplicatedCatalogue();
-			const steppedBack: number[] = [];
+			const regressedSteps: number[] = [];
 			const views: catalogue.View[] = [catalogue.EMPTY_VIEW, catalogue.EMPTY_VIEW, catalogue.EMPTY_VIEW, catalogue.EMPTY_VIEW];
 			for (const [index, step] of steps.entries()) {
 				const revision = replicated.getView().entries.get(step.name)?.revision ?? 0;
@@ -209,14 +208,14 @@
 					const before = views[step.to]!;
 					const after = catalogue.applyDelta(before, catalogue.getDelta(views[step.from]!, before.revision));
 					if (after.revision < before.revision) {
-						steppedBack.push(index);
+						regressedSteps.push(index);
 					}
 
 					views[step.to] = step.to === 0 ? before : after;
 				}
 			}
 
-			t.deepEqual(steppedBack, []);
+			t.deepEqual(regressedSteps, []);
 			const newest = replicated.getView();
 			for (const view of views) {
 				const after = catalogue.applyDelta(view, catalogue.getDelta(newest, view.revision));
--- a/packages/wagtailroute-catalogue/src/bench/catalogue.bench.ts
+++ b/packages/wagtailroute-catalogue/src/bench/catalogue.bench.ts
@@ -1,5 +1,5 @@
 /**
-What a change of the catalogue costs, on a control host and on every other host, by the number of entries.
+Cost of a change to the catalogue on a control host and on the other hosts, by the number of entries.
 */
 import process from 'node:process';
 import * as catalogue from '../index.ts';
@@ -11,12 +11,13 @@
 const HOST_ROUNDS = 50;
 
 /**
-A look-up may cost this many times as much at the largest size as at the smallest: a map outgrows the caches.
+Maximum ratio of the cost of a look-up at the largest and the smallest size. It is above 1 because a large map does not fit into the
+processor's caches.
 */
 const MAX_LOOKUP_RATIO = 12;
 
 /**
-A change may cost at most this much more than in proportion to the entries.
+Maximum ratio of the cost of a change at the largest size and the cost in proportion to the number of entries.
 */
 const MAX_CHANGE_RATIO = 2;
 
@@ -32,7 +33,7 @@
 };
 
 /**
-Measures all sizes.
+Measures all sizes; `broken` names the exceeded limits.
 */
 export async function run() {
 	const rows = SIZES.map(size => measure(size));
@@ -131,7 +132,7 @@
 }
 
 /**
-Returns the milliseconds that work takes.
+Returns the milliseconds that a function takes.
 */
 function time(work: () => void): number {
 	const startedAt = performance.now();
--- a/packages/wagtailroute-catalogue/src/bench/memory.bench.ts
+++ b/packages/wagtailroute-catalogue/src/bench/memory.bench.ts
@@ -1,6 +1,6 @@
 /**
-Memory that the catalogue keeps alive, measured after a collection: on every host (view and route index) and on a control
-host (entries, history and kept answers), by the number of entries, and by the number of kept answers.
+Heap memory that the catalogue retains, measured after a garbage collection: on every host (view and route index) and on a control host
+(entries, history and stored answers), by the number of entries and by the number of stored answers.
 */
 import process from 'node:process';
 import * as v8 from 'node:v8';
@@ -13,7 +13,7 @@
 const ROUTES_PER_ENTRY = 7;
 
 /**
-Memory of an entry at the largest size over that at the smallest: it must grow in proportion.
+Maximum ratio of the memory per entry at the largest and the smallest size: memory must grow in proportion to the entries.
 */
 const MAX_GROWTH_RATIO = 1.5;
 
@@ -27,7 +27,7 @@
 };
 
 /**
-Measures all sizes.
+Measures all sizes; `broken` names the exceeded limit.
 */
 export async function run(): Promise<{title: string; rows: readonly Row[]; broken: readonly string[]}> {
 	const rows = [...ENTRY_COUNTS.map(size => measureEntries(size)), ...ANSWER_COUNTS.map(count => measureAnswers(count))];
@@ -43,8 +43,8 @@
 
 function measureEntries(count: number): Row {
 	const control = measureHeap(() => createFilledCatalogue(count, count));
-	const text = JSON.stringify(catalogue.getDelta(control.kept.getView(), -1));
-	// Read once before the measurement, which would else count what reading it for the first time frees.
+	const text = JSON.stringify(catalogue.getDelta(control.value.getView(), -1));
+	// Parses the text once before the measurement, which would otherwise include memory that the first parsing frees.
 	JSON.parse(text);
 	const host = measureHeap(() => {
 		const view = catalogue.applyDelta(catalogue.EMPTY_VIEW, JSON.parse(text) as catalogue.Delta);
@@ -53,14 +53,14 @@
 		return {view, routes, text};
 	});
 	return {
-		measure: 'entries', count, hostBytes: host.bytes, controlBytes: control.bytes, ...measureSnapshot(control.kept),
+		measure: 'entries', count, hostBytes: host.bytes, controlBytes: control.bytes, ...measureSnapshot(control.value),
 	};
 }
 
 function measureAnswers(count: number): Row {
 	const control = measureHeap(() => createFilledCatalogue(ANSWER_ENTRY_COUNT, count));
 	return {
-		measure: 'answers', count, hostBytes: 0, controlBytes: control.bytes, ...measureSnapshot(control.kept),
+		measure: 'answers', count, hostBytes: 0, controlBytes: control.bytes, ...measureSnapshot(control.value),
 	};
 }
 
@@ -71,7 +71,7 @@
 }
 
 /**
-Makes so many changes over so many entries, each of them parsed from text like one that came over the network.
+Creates a catalogue by `changes` changes to `entries` entries. Each change has an entry parsed anew, like one received over the network.
 */
 function createFilledCatalogue(entries: number, changes: number): catalogue.ReplicatedCatalogue {
 	const control = catalogue.createReplicatedCatalogue();
@@ -106,18 +106,18 @@
 }
 
 /**
-Returns what was made and the heap that it keeps alive.
+Returns a created object and the bytes of heap that it retains.
 */
-function measureHeap<Kept>(create: () => Kept): {readonly kept: Kept; readonly bytes: number} {
+function measureHeap<Value>(create: () => Value): {readonly value: Value; readonly bytes: number} {
 	collectGarbage();
 	const before = process.memoryUsage().heapUsed;
-	const kept = create();
+	const value = create();
 	collectGarbage();
-	return {kept, bytes: process.memoryUsage().heapUsed - before};
+	return {value, bytes: process.memoryUsage().heapUsed - before};
 }
 
 function collectGarbage(): void {
-	// The flag counts for contexts made after it.
+	// The flag applies only to contexts created after it is set.
 	v8.setFlagsFromString('--expose-gc');
 	(vm.runInNewContext('gc') as () => void)();
 }
--- a/packages/wagtailroute-catalogue/src/entry.ts
+++ b/packages/wagtailroute-catalogue/src/entry.ts
@@ -1,6 +1,6 @@
 /**
-A catalogue entry: one service, how its requests may be treated, and the limits that bound what the system may do to it.
-The schema is the only way in, so that everything behind it holds checked values with their defaults filled in.
+A catalogue entry: one service, its routes, and the limits on the requests, retries and probes that the system may send to it.
+Every entry passes the schema, so that all other code can rely on valid values with their defaults filled in.
 */
 import * as buffer from 'node:buffer';
 import * as core from 'wagtailroute-core';
@@ -70,38 +70,38 @@
 });
 
 /**
-One checked catalogue entry, defaults filled in.
+A validated catalogue entry with its defaults filled in.
 */
 export type Entry = zod.infer<typeof entrySchema>;
 
 /**
-One route of an entry: requests that match it belong to the entry's service.
+A route of an entry: requests that match it go to the entry's service.
 */
 export type Route = Entry['routes'][number];
 
 /**
-The limits of a service.
+The limits of a service, and of what the system may send to it.
 */
 export type Limits = Entry['limits'];
 
 /**
-Why an entry was refused. Nothing was changed.
+Why an entry was refused. A refused entry changes nothing.
 */
 export type EntryFailure = core.Failure<'entry-malformed' | 'entry-invalid' | 'entry-too-large'>;
 
 /**
-The media types an entry may arrive in.
+The formats in which an entry may be sent.
 */
 export type EntryFormat = 'json' | 'yaml';
 
 const PARSERS: Readonly<Record<EntryFormat, (text: string) => unknown>> = {
 	json: text => JSON.parse(text) as unknown,
-	// Aliases are off: a small document could otherwise expand without bound.
+	// Aliases are disabled: with them, a small document could expand to any size.
 	yaml: text => yaml.parse(text, {maxAliasCount: 0, logLevel: 'error'}) as unknown,
 };
 
 /**
-Checks a value that claims to be an entry.
+Validates a value as an entry and fills in the defaults.
 */
 export function parseEntry(value: unknown): results.Result<Entry, EntryFailure> {
 	const parsed = entrySchema.safeParse(applyRouteDefaults(value));
@@ -116,7 +116,7 @@
 }
 
 /**
-An entry may name the class, and whether a key is required, once for all its routes: routes that say nothing get it.
+Copies the `class` and `requireIdempotencyKey` of an entry to those of its routes that do not set them.
 */
 function applyRouteDefaults(value: unknown): unknown {
 	if (!isRecord(value) || !Array.isArray(value.routes)) {
@@ -139,7 +139,7 @@
 }
 
 /**
-Reads an entry from its text.
+Parses and validates an entry from its text.
 */
 export function parseEntryText(text: string, format: EntryFormat): results.Result<Entry, EntryFailure> {
 	if (buffer.Buffer.byteLength(text) > MAX_ENTRY_BYTES) {
--- a/packages/wagtailroute-catalogue/src/index.ts
+++ b/packages/wagtailroute-catalogue/src/index.ts
@@ -1,6 +1,6 @@
 /**
-The catalogue: its entries and their checks, the route table, the replicated state machine, and the views by which hosts
-bring each other up to date.
+The catalogue: its entries and their validation, the route table, the replicated state machine, and the views and deltas by which hosts
+update each other.
 */
 export {
 	type Entry,
--- a/packages/wagtailroute-catalogue/src/replicated.ts
+++ b/packages/wagtailroute-catalogue/src/replicated.ts
@@ -1,19 +1,18 @@
 /**
-The catalogue as a replicated state machine: every control host applies the same commands in the same order and comes to
-the same answers. Nothing here reads a clock or a random number.
+The catalogue as a replicated state machine: every control host applies the same commands in the same order and computes the same
+answers. Nothing here reads a clock or a random number.
 
-Two things can go wrong with an operator's change. Two operators race from the same revision: compare-and-set lets exactly
-one win and tells the other the present revision. An operator loses the answer and sends again: the table of Change-Ids,
-which is part of the snapshot, gives the first answer again instead of running the change a second time or refusing it as
-stale.
+Two operators may send changes from the same revision: compare-and-set accepts exactly one and returns the present revision to the other.
+An operator may lose the answer and resend the change: the table of Change-Ids, which is part of the snapshot, returns the first answer
+again, so that the change is neither applied twice nor refused as stale.
 */
 import * as crypto from 'node:crypto';
 import * as core from 'wagtailroute-core';
 import * as results from 'ts-results-es';
 import {
-	MAX_STORED_ANSWERS,
-	MAX_HISTORY_ITEMS,
 	MAX_ENTRIES,
+	MAX_HISTORY_ITEMS,
+	MAX_STORED_ANSWERS,
 } from './constants.ts';
 import type {Entry} from './entry.ts';
 import {createRouteIndex, type RouteIndex} from './route-index.ts';
@@ -27,7 +26,7 @@
 } from './view.ts';
 
 /**
-A change as an operator asked for it. `expected` is the revision it was made from, 0 when the entry must not exist.
+A change as an operator requested it. `expected` is the revision of the entry that it was made from, 0 when the entry must not exist.
 */
 export type Change = {
 	readonly changeId: string;
@@ -39,13 +38,13 @@
 	readonly entry?: Entry;
 	readonly expected: Revision;
 	/**
-	Wall clock of the host that took it, in milliseconds: for people, never for a decision.
+	Unix milliseconds by the clock of the host that received the change: for display only, never used for a decision.
 	*/
 	readonly takenAt: number;
 };
 
 /**
-Why a change was refused. It was not taken.
+Why a change was refused. A refused change changes nothing.
 */
 export type ChangeFailure = core.Failure<'revision-conflict' | 'entry-unknown' | 'route-conflict' | 'change-id-reused' | 'catalogue-full'> & {
 	/**
@@ -55,14 +54,14 @@
 };
 
 /**
-The answer to a change; a resend gets the first one again.
+The answer to a change; a resend gets the same answer again.
 */
 export type ChangeAnswer =
 	| {readonly accepted: true; readonly revision: Revision}
 	| {readonly accepted: false; readonly failure: ChangeFailure};
 
 /**
-One accepted change, for people.
+One accepted change, as shown to operators.
 */
 export type HistoryItem = {
 	readonly revision: Revision;
@@ -73,12 +72,15 @@
 };
 
 type StoredAnswer = {
+	/**
+	Digest of the content of the change: a Change-Id that comes with another content is refused.
+	*/
 	readonly fingerprint: string;
 	readonly answer: ChangeAnswer;
 };
 
 /**
-A snapshot that a restart or a new control host begins from.
+The whole state, from which a restarted or new control host begins.
 */
 export type CatalogueSnapshot = {
 	readonly revision: Revision;
@@ -90,7 +92,7 @@
 };
 
 /**
-The replicated catalogue. `getView` gives an immutable view.
+The replicated catalogue. `getView` returns an immutable view.
 */
 export type ReplicatedCatalogue = {
 	readonly apply: (change: Change) => ChangeAnswer;
@@ -141,7 +143,7 @@
 }
 
 /**
-Names what a change asks for. A digest, since the text of 20,000 entries would be the largest part of the state.
+Returns a digest of the content of a change. The texts themselves, of 20,000 entries, would be the largest part of the state.
 */
 function createFingerprint(change: Change): string {
 	const text = JSON.stringify([change.name, change.entry ?? null, change.expected]);
@@ -263,7 +265,7 @@
 }
 
 /**
-Turns the answer to a change into a result.
+Converts the answer to a change into a result.
 */
 export function toResult(answer: ChangeAnswer): results.Result<Revision, ChangeFailure> {
 	return answer.accepted ? results.Ok(answer.revision) : results.Err(answer.failure);
--- a/packages/wagtailroute-catalogue/src/route-index.ts
+++ b/packages/wagtailroute-catalogue/src/route-index.ts
@@ -1,10 +1,10 @@
 /**
-The routes in force, kept up to date entry by entry.
+The routes in force, updated entry by entry.
 
-Building the table anew for each change cost 24 ms at 6,900 entries (docs/data/catalogue-catalogue.json of the first
-version): every request of that moment waited, and a burst of 500 changes took longer than the 4 s in which changes must be
-in force. So the index is changed in place: what a change costs follows the entry, not the catalogue. It is held by one
-owner and read on the same thread, so no reader ever sees it half changed.
+Rebuilding the table for each change takes 24 ms at 6,900 entries (docs/data/catalogue-catalogue.json of the first version): all requests
+wait meanwhile, and a burst of 500 changes takes longer than the 4 s in which changes must be in force. The index is therefore changed in
+place, and the cost of a change depends on the size of the entry, not of the catalogue. One owner changes it on the thread that also reads
+it, so that no reader sees a partial change.
 */
 import type * as core from 'wagtailroute-core';
 import type {Entry} from './entry.ts';
@@ -19,16 +19,16 @@
 import type {View} from './view.ts';
 
 /**
-The routes in force.
+The index of the routes in force.
 */
 export type RouteIndex = {
 	/**
-	Adds an entry's routes, or replaces them.
+	Adds the routes of an entry, or replaces them.
 	*/
 	readonly setEntry: (entry: Entry) => void;
 	readonly removeEntry: (name: core.ServiceName) => void;
 	/**
-	Follows a view to a later one.
+	Applies the differences between two views, by entry.
 	*/
 	readonly applyViewChange: (previous: View, next: View) => void;
 	/**
@@ -36,7 +36,7 @@
 	*/
 	readonly match: (host: string, method: string, path: string) => RouteMatch | undefined;
 	/**
-	Finds a route of the entry that another service already has.
+	Returns a route of another service that conflicts with a route of the entry, see `findConflict`.
 	*/
 	readonly findConflict: (entry: Entry) => RouteMatch | undefined;
 };
--- a/packages/wagtailroute-catalogue/src/routes.ts
+++ b/packages/wagtailroute-catalogue/src/routes.ts
@@ -1,14 +1,14 @@
 /**
-The route table: which service a request belongs to, by host name and path prefix.
+The route table: the service of a request by host name and path prefix.
 
-A prefix matches whole path segments. A route that names the host goes before one that does not, and a longer prefix goes
-before a shorter one. A look-up costs one map access a segment of the path, whatever the number of routes.
+A prefix matches whole path segments. A route that names the host takes precedence over one that does not, and a longer prefix over a
+shorter one. A look-up costs one map access per segment of the path, whatever the number of routes.
 */
 import type * as core from 'wagtailroute-core';
 import type {Entry, Route} from './entry.ts';
 
 /**
-Where a request belongs.
+A route and the service that it belongs to.
 */
 export type RouteMatch = {
 	readonly service: core.ServiceName;
@@ -16,14 +16,14 @@
 };
 
 /**
-Every route of the catalogue, by host name ('' for any) and then by path prefix.
+All routes of the catalogue, by host name ('' for any) and then by path prefix without a final slash.
 */
 export type RouteTable = ReadonlyMap<string, ReadonlyMap<string, readonly RouteMatch[]>>;
 
 const ANY_HOST = '';
 
 /**
-Builds the table from the entries.
+Creates a table of the routes of some entries.
 */
 export function createRouteTable(entries: Iterable<Entry>): RouteTable {
 	const table: MutableRouteTable = new Map();
@@ -37,12 +37,12 @@
 }
 
 /**
-A table that can be changed in place.
+A route table that can be changed in place.
 */
 export type MutableRouteTable = Map<string, Map<string, RouteMatch[]>>;
 
 /**
-Adds one route.
+Adds one route to a table.
 */
 export function addRoute(table: MutableRouteTable, match: RouteMatch): void {
 	const host = match.route.host ?? ANY_HOST;
@@ -55,7 +55,7 @@
 }
 
 /**
-Removes the routes of an entry; what is left empty goes too, so that the table does not grow with what once was.
+Removes the routes of an entry, and the maps that this leaves empty, so that the table does not grow with removed entries.
 */
 export function removeRoutes(table: MutableRouteTable, entry: Entry): void {
 	for (const route of entry.routes) {
@@ -80,7 +80,7 @@
 }
 
 /**
-Finds the route of a request.
+Returns the route of a request, undefined if none matches.
 
 @param host The Host header without its port, in lower case.
 @param path The path without its query.
@@ -114,8 +114,8 @@
 }
 
 /**
-Finds a route of the entry that another service already has: the same host, prefix and a method in common. Without this
-check a request would go to whichever service happened to be first.
+Returns a route of another service that has the host, the prefix and a method in common with a route of the entry. Without this check,
+requests that match both would go to the service that was added first.
 */
 export function findConflict(table: RouteTable, entry: Entry): RouteMatch | undefined {
 	for (const route of entry.routes) {
--- a/packages/wagtailroute-catalogue/src/view.ts
+++ b/packages/wagtailroute-catalogue/src/view.ts
@@ -1,15 +1,15 @@
 /**
-The catalogue as one host has it in force, and the deltas by which hosts bring each other up to date.
+The catalogue as it is in force on one host, and the deltas by which hosts update each other.
 
-A view only ever moves forward: a delta that doesn't begin at or before the view's revision and end after it changes
-nothing. So a host that hears from a lagging peer, also right after its own restart, never goes back.
+The revision of a view only increases: a delta that does not begin at or before the view's revision and end after it changes nothing. A
+host that receives a delta from a lagging peer, even right after its own restart, therefore never returns to an earlier revision.
 */
 import type * as core from 'wagtailroute-core';
 import {MAX_REMOVALS} from './constants.ts';
 import type {Entry} from './entry.ts';
 
 /**
-Number of accepted changes up to and including this one. It rises by one a change and is never used twice.
+Number of accepted changes up to and including this one. It increases by one with each change and is never reused.
 */
 export type Revision = number;
 
@@ -36,18 +36,21 @@
 	readonly revision: Revision;
 	readonly entries: ReadonlyMap<core.ServiceName, VersionedEntry>;
 	/**
-	Newest last; a delta can be made from any revision at or after `removalsFrom`.
+	Newest last.
 	*/
 	readonly removals: readonly Removal[];
+	/**
+	The earliest revision since which all removals are known: deltas of changes can begin at it or later.
+	*/
 	readonly removalsFrom: Revision;
 };
 
 /**
-What changed after one revision, up to another.
+The changes after one revision, up to and including another.
 */
 export type Delta = {
 	/**
-	'changes' holds what changed after `from`; 'whole' holds every entry.
+	`changes`: the entries changed and removed after `from`. `whole`: all entries, from which a view is created anew.
 	*/
 	readonly scope: 'changes' | 'whole';
 	readonly from: Revision;
@@ -57,7 +60,7 @@
 };
 
 /**
-The view of a host that has heard nothing yet.
+The view of a host that has not received any delta yet.
 */
 export const EMPTY_VIEW: View = {
 	revision: 0,
@@ -67,7 +70,7 @@
 };
 
 /**
-Returns what a host at `since` lacks.
+Returns the delta that updates a host from the revision `since` to this view: all entries where the removals do not reach back to `since`.
 */
 export function getDelta(view: View, since: Revision): Delta {
 	const scope = since >= view.removalsFrom ? 'changes' : 'whole';
@@ -82,7 +85,7 @@
 }
 
 /**
-Returns the view after a delta, or the same view when the delta brings nothing new or leaves a gap.
+Returns the view after a delta, or the same view if the delta ends at or before its revision or leaves a gap after it.
 */
 export function applyDelta(view: View, delta: Delta): View {
 	const isApplicable = delta.to > view.revision && (delta.scope === 'whole' || delta.from <= view.revision);
@@ -110,7 +113,7 @@
 }
 
 /**
-Returns the removals a view keeps after some more, the oldest dropped beyond the bound.
+Returns the removals of a view together with further ones, without the oldest beyond `MAX_REMOVALS`.
 */
 export function addRemovals(
 	view: View,
--- a/packages/wagtailroute-generations/src/__tests__/unit/generations.test.ts
+++ b/packages/wagtailroute-generations/src/__tests__/unit/generations.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of generations: their checks, the look-up of routes, split routes and the replicated state.
+Tests of generations: their validation, the look-up of keys and routes, split routes and the replicated state.
 */
 import test from 'ava';
 import * as fc from 'fast-check';
@@ -44,7 +44,7 @@
 	{name: 'a route without shares', routes: [{shares: []}], kind: 'generation-malformed'},
 	{name: 'a service that is unknown', routes: [{shares: [{service: 'other', weight: 1}]}], kind: 'service-unknown'},
 	{name: 'weights that add up to 0', routes: [{shares: [{service: 'archive', weight: 0}]}], kind: 'weights-empty'},
-	{name: 'two routes at one place', routes: [{}, {host: 'A.example'}], kind: 'route-conflict'},
+	{name: 'two routes with the same host and prefix', routes: [{}, {host: 'A.example'}], kind: 'route-conflict'},
 ];
 
 for (const {name, routes, kind} of INVALID) {
@@ -65,8 +65,8 @@
 };
 
 const INVALID_ORGANISATIONS: readonly OrganisationCase[] = [
-	{name: 'a key held by two', organisations: [{}, {name: 'other', keys: ['k2']}], kind: 'key-conflict'},
-	{name: 'a name twice', organisations: [{}, {keys: ['k3']}], kind: 'organisation-conflict'},
+	{name: 'a key held by two organisations', organisations: [{}, {name: 'other', keys: ['k2']}], kind: 'key-conflict'},
+	{name: 'a name used twice', organisations: [{}, {keys: ['k3']}], kind: 'organisation-conflict'},
 	{name: 'an empty name', organisations: [{name: ''}], kind: 'generation-malformed'},
 	{name: 'an empty key', organisations: [{keys: ['']}], kind: 'generation-malformed'},
 	{name: 'keys that are no list', organisations: [{keys: 'k1'}], kind: 'generation-malformed'},
@@ -77,7 +77,7 @@
 ];
 
 for (const {name, organisations, kind} of INVALID_ORGANISATIONS) {
-	test(`refuses ${name}, and tells no key`, t => {
+	test(`refuses ${name} without revealing a key`, t => {
 		const value = {...GENERATION, organisations: organisations.map(organisation => ({...ORGANISATION, ...organisation}))};
 		const failure = generations.parseGeneration(value).unwrapErr();
 		t.is(failure.kind, kind);
@@ -107,9 +107,9 @@
 	t.is(generations.createOrganisationFinder({})('k1'), undefined);
 });
 
-test('a snapshot of the version before organisations is taken up', t => {
-	// Symptom: after an upgrade the control hosts have no catalogue. Sequence: the old version keeps a generation without organisations, the new
-	// one starts from its disk. Cause: a field that only the new version writes is needed to read.
+test('a snapshot from a program version without organisations is restored', t => {
+	// Guards against control hosts without a catalogue after an upgrade: the old version stored a generation without organisations, and the
+	// new version could not read it from disk because it required a field that only it writes.
 	const replicated = generations.createReplicatedGenerations();
 	replicated.restoreSnapshot({stored: {generation: GENERATION, document: '{}'}, retirements: []});
 	t.deepEqual(generations.parseGeneration(replicated.getStored()?.generation).unwrap(), GENERATION);
@@ -117,7 +117,7 @@
 	t.deepEqual(replicated.getStored()?.generation.organisations, [ORGANISATION]);
 });
 
-test('takes a valid generation and passes over unknown fields', t => {
+test('accepts a valid generation and ignores unknown fields', t => {
 	t.deepEqual(generations.parseGeneration({...GENERATION, extra: 1}).unwrap(), GENERATION);
 });
 
@@ -139,7 +139,7 @@
 	});
 }
 
-test('finds what a walk through all routes finds', t => {
+test('finds the same route as a linear search through all routes', t => {
 	const segment = fc.constantFrom('a', 'b', 'ab');
 	const prefix = fc.array(segment, {maxLength: 3}).map(parts => `/${parts.map(part => `${part}/`).join('')}`);
 	fc.assert(fc.property(fc.uniqueArray(prefix, {maxLength: 8}), prefix, fc.option(segment, {nil: ''}), (prefixes, folder, last) => {
@@ -150,7 +150,7 @@
 	}));
 });
 
-test('splits requests by weight on each host, to within one request a share', t => {
+test('splits requests by weight on each host, to within one request per share', t => {
 	const route = {...ROUTE, shares: [{service: 'archive', weight: 90}, {service: 'media', weight: 10}]};
 	fc.assert(fc.property(fc.integer(), fc.integer({min: 1, max: 500}), (seed, requests) => {
 		const choose = generations.createServiceChooser(utils.createRandom(seed));
@@ -170,9 +170,8 @@
 });
 
 test('the highest version stays in force, and what was stored under it is not replaced', t => {
-	// Symptom: an operator reads back another document than the one that was acknowledged under its version.
-	// Sequence: version 5 is acknowledged; a late resend of version 4 and other content under 5 come after it.
-	// Cause: whatever came last was put in force.
+	// Guards against an operator reading back another document than the one acknowledged under its version: after version 5 is acknowledged,
+	// a late resend of version 4 and other content under version 5 arrive and are put in force because they arrived last.
 	const replicated = generations.createReplicatedGenerations();
 	replicated.apply({name: 'put', stored: store(5)});
 	t.deepEqual(replicated.apply({name: 'put', stored: store(4)}), {version: 5});
@@ -180,10 +179,9 @@
 	t.is(replicated.getStored()?.document, 'document 5');
 });
 
-test('a retirement is final, whatever comes later, also through a snapshot', t => {
-	// Symptom: an upstream that was acknowledged as gone gets requests again after a restart of all control hosts.
-	// Sequence: it leaves; a late word of its draining arrives; the state is restored from a snapshot.
-	// Cause: the later word replaced the final one, or the snapshot lacked it.
+test('a retirement as gone is final, also after later commands and through a snapshot', t => {
+	// Guards against requests to an upstream that was acknowledged as gone, after a restart of all control hosts: a delayed retirement as
+	// draining replaced the final one, or the snapshot did not contain it.
 	const replicated = generations.createReplicatedGenerations();
 	replicated.apply({name: 'retire', retirement: {upstream: 'u', state: 'gone'}});
 	replicated.apply({name: 'retire', retirement: {upstream: 'u', state: 'draining'}});
@@ -192,7 +190,7 @@
 	t.is(restored.getRetirement('u'), 'gone');
 });
 
-test('snapshots carry everything', t => {
+test('a state restored from a snapshot behaves like the original', t => {
 	const command = fc.oneof(
 		fc.nat({max: 20}).map((version): generations.GenerationCommand => ({name: 'put', stored: store(version)})),
 		fc.tuple(fc.constantFrom('a', 'b', 'c'), fc.constantFrom('draining' as const, 'gone' as const))
--- a/packages/wagtailroute-generations/src/bench/keys.bench.ts
+++ b/packages/wagtailroute-generations/src/bench/keys.bench.ts
@@ -1,5 +1,6 @@
 /**
-What it costs to find the organisation that holds a key, by the number of keys. A look-up must stay flat: it is on the way of every request.
+Cost of finding the organisation that holds a key, by the number of keys. The cost of a look-up must not grow with the number of keys,
+since each request needs one.
 */
 import process from 'node:process';
 import * as generations from '../index.ts';
@@ -7,7 +8,8 @@
 const COUNTS = [85, 10_000, 1_400_000];
 const LOOK_UPS = 200_000;
 /**
-Times as long as with the fewest keys that a look-up may take with the most: what does not fit into a processor's caches is a few times slower.
+Maximum ratio of the look-up times with the most and the fewest keys. Data that does not fit into the processor's caches is a few times
+slower.
 */
 const MAX_LOOK_UP_RATIO = 3;
 const NANOSECONDS_PER_MILLISECOND = 1_000_000;
@@ -20,10 +22,10 @@
 };
 
 /**
-Measures.
+Measures all numbers of keys; `broken` names the exceeded limit.
 */
 export async function run() {
-	// The first measurement would include compiling.
+	// Warm-up run: the first measurement would include the compilation of the code.
 	measure(COUNTS[1]!);
 	const rows = COUNTS.map(count => measure(count));
 	const ratio = rows.at(-1)!.nanosecondsPerLookUp / rows[0]!.nanosecondsPerLookUp;
@@ -38,15 +40,15 @@
 	const organisations = Array.from({length: count}, (_item, index): generations.GenerationOrganisation => ({
 		name: `organisation-${index}`, keys: [`key-${index}-4f1d8a`], ratePerSecond: 10, burst: 10,
 	}));
-	const before = getHeap();
+	const before = getHeapBytes();
 	const startedAt = performance.now();
 	const find = generations.createOrganisationFinder({organisations});
 	const millisecondsToBuild = performance.now() - startedAt;
-	const bytesPerKey = (getHeap() - before) / count;
+	const bytesPerKey = (getHeapBytes() - before) / count;
 	const lookedUpAt = performance.now();
 	let found = 0;
-	for (let look = 0; look < LOOK_UPS; look++) {
-		found += find(`key-${look % count}-4f1d8a`) === undefined ? 0 : 1;
+	for (let index = 0; index < LOOK_UPS; index++) {
+		found += find(`key-${index % count}-4f1d8a`) === undefined ? 0 : 1;
 	}
 
 	const nanosecondsPerLookUp = (performance.now() - lookedUpAt) * NANOSECONDS_PER_MILLISECOND / found;
@@ -58,7 +60,7 @@
 	};
 }
 
-function getHeap(): number {
+function getHeapBytes(): number {
 	globalThis.gc?.();
 	return process.memoryUsage().heapUsed;
 }
--- a/packages/wagtailroute-generations/src/constants.ts
+++ b/packages/wagtailroute-generations/src/constants.ts
@@ -1,8 +1,8 @@
 /**
-Bounds of the replicated state.
+Limits of the replicated state.
 */
 
 /**
-Retirements kept: at 37,000 restarts of upstreams a day about two hours' worth, far longer than a heartbeat can be held up.
+Retirements that are kept: about two hours' worth at 37,000 restarts of upstreams a day, far longer than a heartbeat can be delayed.
 */
 export const MAX_RETIREMENTS = 4096;
--- a/packages/wagtailroute-generations/src/generation.ts
+++ b/packages/wagtailroute-generations/src/generation.ts
@@ -1,6 +1,6 @@
 /**
-A generation: the whole catalogue as one document with a version of its own, put in force as one. For operators who keep
-their catalogue elsewhere and send it whole; entries are changed one by one in the package `catalogue`.
+A generation: the whole catalogue as one document with its own version, put in force as one. It serves operators who keep their
+catalogue elsewhere and send all of it; the package `catalogue` changes entries one by one.
 */
 import * as core from 'wagtailroute-core';
 import * as results from 'ts-results-es';
@@ -11,7 +11,7 @@
 const shareSchema = zod.object({
 	service: zod.string().min(1),
 	/**
-	Part of the requests, relative to the other shares of the route.
+	Weight of the service's part of the requests, relative to the other shares of the route.
 	*/
 	weight: zod.number().nonnegative(),
 });
@@ -22,11 +22,11 @@
 	pathPrefix: zod.string().startsWith('/'),
 	class: classSchema,
 	/**
-	Longest time in milliseconds that a caller waits.
+	Maximum time in milliseconds that a caller waits.
 	*/
 	timeoutMilliseconds: zod.number().positive(),
 	/**
-	Time in milliseconds within which an answer is worth most.
+	Target latency in milliseconds: an answer within this time is worth the most.
 	*/
 	objectiveMilliseconds: zod.number().positive(),
 	/**
@@ -34,12 +34,12 @@
 	*/
 	priority: zod.int(),
 	/**
-	Most upstreams that one request is sent to.
+	Maximum number of upstreams that one request is sent to.
 	*/
 	attempts: zod.int().min(1),
 	shares: zod.array(shareSchema).min(1),
 	/**
-	Whoever calls needs no key, also where the generation has organisations.
+	Whether callers need no key even if the generation has organisations.
 	*/
 	isPublic: zod.boolean().optional(),
 });
@@ -48,15 +48,15 @@
 	name: zod.string().min(1),
 	keys: zod.array(zod.string().min(1)),
 	/**
-	Rank of its requests, which goes before that of their route; absent: that of the route.
+	Rank of its requests, which overrides the rank of their route; absent: the rank of the route applies.
 	*/
 	priority: zod.int().optional(),
 	/**
-	Requests a second over the whole fleet, 0 for no limit.
+	Requests per second over the whole fleet, 0 for no limit.
 	*/
 	ratePerSecond: zod.number().nonnegative(),
 	/**
-	Requests beyond the rate that may come at once.
+	Number of requests beyond the rate that may arrive at once.
 	*/
 	burst: zod.number().nonnegative(),
 });
@@ -79,14 +79,14 @@
 	routes: zod.array(routeSchema),
 	services: zod.array(serviceSchema),
 	/**
-	Absent: requests need no key.
+	Organisations and their keys. Absent: requests need no key.
 	*/
 	organisations: zod.array(organisationSchema).optional(),
 	limits: callerLimitsSchema,
 });
 
 /**
-One service's part of a route.
+A service of a route with its weight.
 */
 export type Share = zod.output<typeof shareSchema>;
 
@@ -101,27 +101,27 @@
 export type GenerationService = zod.output<typeof serviceSchema>;
 
 /**
-An organisation whose members call, by the keys that they send.
+An organisation, whose callers are identified by the keys that they send.
 */
 export type GenerationOrganisation = zod.output<typeof organisationSchema>;
 
 /**
-What a caller may send, and how long it may take or stay idle.
+Limits on the size of a caller's request and on the time that it may take to send it or stay idle.
 */
 export type CallerLimits = zod.output<typeof callerLimitsSchema>;
 
 /**
-A checked generation.
+A validated generation.
 */
 export type Generation = zod.output<typeof generationSchema>;
 
 /**
-Why a generation was refused. Nothing was changed.
+Why a generation was refused. A refused generation changes nothing.
 */
 export type GenerationFailure = core.Failure<'generation-malformed' | 'service-unknown' | 'route-conflict' | 'weights-empty' | 'organisation-conflict' | 'key-conflict'>;
 
 /**
-Checks a value that claims to be a generation.
+Validates a value as a generation.
 */
 export function parseGeneration(value: unknown): results.Result<Generation, GenerationFailure> {
 	const parsed = generationSchema.safeParse(value);
@@ -166,7 +166,7 @@
 }
 
 /**
-A key that two organisations hold would let one act as the other. The failure does not tell the key.
+Finds two organisations with the same name or key. With a shared key, one could act as the other. The failure does not contain the key.
 */
 function findOrganisationConflict({organisations = []}: Generation): GenerationFailure | undefined {
 	const names = new Set<string>();
--- a/packages/wagtailroute-generations/src/index.ts
+++ b/packages/wagtailroute-generations/src/index.ts
@@ -1,5 +1,6 @@
 /**
-A whole catalogue put in force as one generation: its checks, its routes, and the replicated state that keeps it.
+Generations: a whole catalogue put in force as one. Their validation, the look-up of routes and keys, and the replicated state machine
+that stores them.
 */
 export {
 	type CallerLimits,
--- a/packages/wagtailroute-generations/src/organisation-finder.ts
+++ b/packages/wagtailroute-generations/src/organisation-finder.ts
@@ -1,19 +1,19 @@
 /**
 Finds the organisation that holds a key.
 
-Keys are looked up by their digests: a look-up costs the same for any number of keys, and its time tells nothing about how much of a
+Keys are looked up by their digests: a look-up costs the same for any number of keys, and its duration does not reveal how much of a
 guessed key is right.
 */
 import * as crypto from 'node:crypto';
 import type {Generation, GenerationOrganisation} from './generation.ts';
 
 /**
-Finds organisations by keys.
+Returns the organisation that holds a key, undefined if none does.
 */
 export type OrganisationFinder = (key: string) => GenerationOrganisation | undefined;
 
 /**
-Creates the finder of a generation.
+Creates the finder for the organisations of a generation.
 */
 export function createOrganisationFinder({organisations = []}: Pick<Generation, 'organisations'>): OrganisationFinder {
 	const holders = new Map<string, GenerationOrganisation>();
--- a/packages/wagtailroute-generations/src/replicated.ts
+++ b/packages/wagtailroute-generations/src/replicated.ts
@@ -2,12 +2,12 @@
 Generations and retirements as a replicated state machine: every control host applies the same commands in the same order.
 Nothing here reads a clock or a random number.
 
-The highest version wins. A version that is not higher is answered like one that was taken: an operator whose answer was lost
-sends the same again, and one that was overtaken has nothing left to do. Both change nothing, so what was in force under a
-version stays what is read back under it.
+The highest version wins. A version that is not higher changes nothing but is answered like an accepted one: an operator whose answer was
+lost sends the same version again, and one whose version was superseded has nothing left to do. A document that was in force under a
+version therefore stays the one that is read back under it.
 
-A retirement says that an upstream takes no more work. It is kept here, not with the heartbeats: a heartbeat that was held up
-must not bring an upstream back that was acknowledged as leaving, also after a restart of all control hosts.
+A retirement records that an upstream accepts no more work. It is kept here, not with the heartbeats: a delayed heartbeat must not bring
+back an upstream that was acknowledged as leaving, even after a restart of all control hosts.
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
@@ -15,7 +15,7 @@
 import type {Generation} from './generation.ts';
 
 /**
-A generation with the document that it was read from, which operators get back as they sent it.
+A generation with the document that it was parsed from, which operators read back as they sent it.
 */
 export type StoredGeneration = {
 	readonly generation: Generation;
@@ -23,12 +23,12 @@
 };
 
 /**
-`draining`: the upstream finishes what it has. `gone`: it has left.
+`draining`: the upstream completes the requests it has. `gone`: it has left.
 */
 export type RetirementState = 'draining' | 'gone';
 
 /**
-An upstream that takes no more work.
+The record that an upstream accepts no more work.
 */
 export type Retirement = {
 	readonly upstream: core.UpstreamId;
@@ -36,19 +36,19 @@
 };
 
 /**
-A command of the group.
+A command of the replication group.
 */
 export type GenerationCommand =
 	| {readonly name: 'put'; readonly stored: StoredGeneration}
 	| {readonly name: 'retire'; readonly retirement: Retirement};
 
 /**
-The answer to a command: the version in force after it, 0 before the first.
+The answer to a command: the version in force after it, 0 before the first generation.
 */
 export type GenerationAnswer = {readonly version: number};
 
 /**
-What a restart or a new control host begins from.
+The whole state, from which a restarted or new control host begins.
 */
 export type GenerationSnapshot = {
 	readonly stored: StoredGeneration | null;
@@ -56,7 +56,7 @@
 };
 
 /**
-The replicated state.
+The replicated state machine. `getStored` returns the generation in force.
 */
 export type ReplicatedGenerations = {
 	readonly apply: (command: GenerationCommand) => GenerationAnswer;
@@ -69,7 +69,7 @@
 type Tables = {
 	stored: StoredGeneration | undefined;
 	/**
-	Oldest first.
+	Oldest first; the oldest are dropped beyond `MAX_RETIREMENTS`.
 	*/
 	retirements: Map<core.UpstreamId, RetirementState>;
 };
--- a/packages/wagtailroute-generations/src/route-finder.ts
+++ b/packages/wagtailroute-generations/src/route-finder.ts
@@ -1,14 +1,13 @@
 /**
-Finds the route of a request in a generation: of the routes of its host, the one with the longest prefix that begins the
-path.
+Finds the route of a request in a generation: of the routes of its host, the one with the longest prefix of the path.
 
-A look-up costs one map access for each slash of the path, whatever the number of routes. Prefixes that do not end with a
-slash are rare and looked through one by one.
+A look-up costs one map access for each slash of the path, whatever the number of routes. Prefixes that do not end with a slash are rare
+and compared one by one.
 */
 import type {Generation, GenerationRoute} from './generation.ts';
 
 /**
-Finds routes.
+Returns the route of a request, undefined if none matches.
 
 @param host Host name without its port, in lower case.
 @param path Path without its query.
@@ -16,15 +15,18 @@
 export type RouteFinder = (host: string, path: string) => GenerationRoute | undefined;
 
 type HostRoutes = {
+	/**
+	Routes whose prefix ends with a slash, by prefix.
+	*/
 	readonly segmentRoutes: Map<string, GenerationRoute>;
 	/**
-	Routes whose prefix ends within a segment.
+	Routes whose prefix does not end with a slash, so that it may end within a path segment.
 	*/
 	readonly partialSegmentRoutes: GenerationRoute[];
 };
 
 /**
-Creates the finder of a generation.
+Creates the finder for the routes of a generation.
 */
 export function createRouteFinder({routes}: Generation): RouteFinder {
 	const hosts = new Map<string, HostRoutes>();
--- a/packages/wagtailroute-generations/src/service-chooser.ts
+++ b/packages/wagtailroute-generations/src/service-chooser.ts
@@ -1,21 +1,21 @@
 /**
-Which service of a split route a request goes to.
+Chooses the service of a request whose route is split over several services by weight.
 
-Each host goes round its shares in proportion to their weights instead of drawing lots: over 200 requests a drawn 10% lies
-between 6% and 14%, a round-robin one between 9.5% and 10.5% of each host's requests.
+Each host uses smooth weighted round-robin instead of a random choice: over 200 requests, a random 10% lies between 6% and 14% of each
+host's requests, with round-robin between 9.5% and 10.5%.
 */
 import type {GenerationRoute} from './generation.ts';
 
 /**
-Chooses the service of each next request of a route.
+Returns the service of the next request of a route.
 */
 export type ServiceChooser = (route: GenerationRoute) => string;
 
 /**
-Creates a chooser with fresh counts (smooth weighted round-robin). The counts go with the route's object.
+Creates a chooser (smooth weighted round-robin). Its credits are kept per route object.
 
-@param random Uniform in [0, 1): where a host begins, so that hosts that carry few requests do not all begin with the same
-share.
+@param random Uniform in [0, 1): chooses the share that a host begins with, so that hosts with few requests do not all begin with the
+same share.
 */
 export function createServiceChooser(random: () => number): ServiceChooser {
 	const credits = new WeakMap<GenerationRoute, number[]>();
--- a/packages/wagtailroute-instances/src/__tests__/unit/instances.test.ts
+++ b/packages/wagtailroute-instances/src/__tests__/unit/instances.test.ts
@@ -17,8 +17,8 @@
 });
 
 type Step =
-	| {readonly take: Partial<instances.Heartbeat>; readonly comes: instances.HeartbeatOutcome}
-	| {readonly retire: 'draining' | 'gone'; readonly of?: string};
+	| {readonly heartbeat: Partial<instances.Heartbeat>; readonly outcome: instances.HeartbeatOutcome}
+	| {readonly retire: 'draining' | 'gone'; readonly upstream?: string};
 
 type Case = {
 	readonly name: string;
@@ -31,54 +31,52 @@
 
 const CASES: readonly Case[] = [
 	{
-		name: 'a first heartbeat brings the instance',
-		steps: [{take: {}, comes: 'news'}],
+		name: 'a first heartbeat adds the instance',
+		steps: [{heartbeat: {}, outcome: 'news'}],
 		listed: {a: 'serving'},
 	},
 	{
-		name: 'a next one refreshes it',
-		steps: [{take: {}, comes: 'news'}, {take: {sequence: 2}, comes: 'refreshed'}],
+		name: 'a later heartbeat refreshes the instance',
+		steps: [{heartbeat: {}, outcome: 'news'}, {heartbeat: {sequence: 2}, outcome: 'refreshed'}],
 		listed: {a: 'serving'},
 	},
 	{
-		name: 'an earlier one that comes late is passed over',
-		steps: [{take: {sequence: 3, slots: 6}, comes: 'news'}, {take: {sequence: 2, slots: 4}, comes: 'stale'}],
+		name: 'a heartbeat that arrives after a newer one is ignored',
+		steps: [{heartbeat: {sequence: 3, slots: 6}, outcome: 'news'}, {heartbeat: {sequence: 2, slots: 4}, outcome: 'stale'}],
 		listed: {a: 'serving'},
 	},
 	{
-		name: 'a new instance takes the address over',
-		steps: [{take: {}, comes: 'news'}, {take: {upstream: 'b'}, comes: 'news'}],
+		name: 'a new instance takes over the address',
+		steps: [{heartbeat: {}, outcome: 'news'}, {heartbeat: {upstream: 'b'}, outcome: 'news'}],
 		listed: {b: 'serving'},
 	},
 	{
-		// Symptom: requests go to an instance that ended long ago, and are refused.
-		// Sequence: a ends, b starts at its address, a heartbeat of a that was held up arrives, b is heard again.
-		// Cause: the late heartbeat made a the newest at the address for good.
-		name: 'the one that runs has its address back with its next heartbeat',
+		// Guards against requests being sent to an ended instance: a ends, b starts at its address, then a delayed heartbeat of a
+		// makes a the permanent holder of the address.
+		name: 'a running instance regains its address with its next heartbeat',
 		steps: [
-			{take: {}, comes: 'news'},
-			{take: {upstream: 'b'}, comes: 'news'},
-			{take: {sequence: 2}, comes: 'news'},
-			{take: {upstream: 'b', sequence: 2}, comes: 'news'},
+			{heartbeat: {}, outcome: 'news'},
+			{heartbeat: {upstream: 'b'}, outcome: 'news'},
+			{heartbeat: {sequence: 2}, outcome: 'news'},
+			{heartbeat: {upstream: 'b', sequence: 2}, outcome: 'news'},
 		],
 		listed: {b: 'serving'},
 	},
 	{
-		// Symptom: an upstream gets requests after it was acknowledged as draining.
-		// Sequence: it is retired; a heartbeat it had sent before arrives, or a later one that still says it serves.
-		// Cause: heartbeats were taken at their word.
-		name: 'an instance that drains stays draining',
-		steps: [{take: {}, comes: 'news'}, {retire: 'draining'}, {take: {sequence: 2}, comes: 'refreshed'}],
+		// Guards against requests to an upstream that was acknowledged as draining: a heartbeat sent before its retirement, or a later
+		// one, returned it to serving.
+		name: 'a draining instance stays draining',
+		steps: [{heartbeat: {}, outcome: 'news'}, {retire: 'draining'}, {heartbeat: {sequence: 2}, outcome: 'refreshed'}],
 		listed: {a: 'draining'},
 	},
 	{
-		name: 'one that has gone does not come back',
-		steps: [{take: {}, comes: 'news'}, {retire: 'gone'}, {take: {sequence: 9}, comes: 'stale'}],
+		name: 'a gone instance does not return',
+		steps: [{heartbeat: {}, outcome: 'news'}, {retire: 'gone'}, {heartbeat: {sequence: 9}, outcome: 'stale'}],
 		listed: {},
 	},
 	{
-		name: 'one that had gone before it was heard does not come',
-		steps: [{retire: 'gone'}, {take: {}, comes: 'stale'}],
+		name: 'an instance that was gone before its first heartbeat is not added',
+		steps: [{retire: 'gone'}, {heartbeat: {}, outcome: 'stale'}],
 		listed: {},
 	},
 ];
@@ -88,55 +86,51 @@
 
 const RESTART_CASES: readonly Case[] = [
 	{
-		// Symptom: a backend server that crashed and came back gets no request for as long as it runs.
-		// Sequence: it is heard up to sequence 40; it starts again under its name; its heartbeats begin with sequence 1.
-		// Cause: they were taken for late ones of the process before.
-		name: 'a server that started again is heard from its first heartbeat on',
-		steps: [{take: {upstream: FIRST_START, sequence: 40}, comes: 'news'}, {take: {upstream: SECOND_START}, comes: 'news'}],
+		// Guards against a restarted backend server that never gets requests: the crashed process reached sequence 40, and the
+		// heartbeats of the new process, which begin with sequence 1, were ignored as stale.
+		name: 'a restarted server is listed from its first heartbeat on',
+		steps: [{heartbeat: {upstream: FIRST_START, sequence: 40}, outcome: 'news'}, {heartbeat: {upstream: SECOND_START}, outcome: 'news'}],
 		listed: {[SECOND_START]: 'serving'},
 	},
 	{
-		// Symptom: a backend server that was replaced in place gets no request.
-		// Sequence: the first process drains and leaves, both acknowledged; the next one starts under its name.
-		// Cause: the retirement named the server, not the process that left.
-		name: 'a retirement binds the start that it named, not the next one',
+		// Guards against a backend server replaced in place that never gets requests: the retirement of the process that left
+		// also applied to the next process of the same server name.
+		name: 'a retirement applies to the start that it names, not to the next one',
 		steps: [
-			{take: {upstream: FIRST_START}, comes: 'news'},
-			{retire: 'gone', of: FIRST_START},
-			{take: {upstream: SECOND_START}, comes: 'news'},
+			{heartbeat: {upstream: FIRST_START}, outcome: 'news'},
+			{retire: 'gone', upstream: FIRST_START},
+			{heartbeat: {upstream: SECOND_START}, outcome: 'news'},
 		],
 		listed: {[SECOND_START]: 'serving'},
 	},
 	{
-		// Symptom: a server that drains gets requests, under the start that has ended.
-		// Sequence: it starts again elsewhere and is acknowledged as draining; a heartbeat of the process before arrives late.
-		// Cause: the earlier start counted as an instance of its own.
-		name: 'a late heartbeat of an earlier start is passed over',
+		// Guards against requests to a draining server through its ended start: after a restart at another address, a delayed heartbeat
+		// of the earlier start was listed as an instance.
+		name: 'a delayed heartbeat of an earlier start is ignored',
 		steps: [
-			{take: {upstream: SECOND_START}, comes: 'news'},
-			{retire: 'draining', of: SECOND_START},
-			{take: {upstream: FIRST_START, sequence: 41, address: {ip: '10.0.0.2', port: 80}}, comes: 'stale'},
+			{heartbeat: {upstream: SECOND_START}, outcome: 'news'},
+			{retire: 'draining', upstream: SECOND_START},
+			{heartbeat: {upstream: FIRST_START, sequence: 41, address: {ip: '10.0.0.2', port: 80}}, outcome: 'stale'},
 		],
 		listed: {[SECOND_START]: 'draining'},
 	},
 	{
-		name: 'nor does it come back when the newer start has gone',
+		name: 'an earlier start does not return when the later start is gone',
 		steps: [
-			{take: {upstream: SECOND_START}, comes: 'news'},
-			{retire: 'gone', of: SECOND_START},
-			{take: {upstream: FIRST_START, sequence: 41}, comes: 'stale'},
+			{heartbeat: {upstream: SECOND_START}, outcome: 'news'},
+			{retire: 'gone', upstream: SECOND_START},
+			{heartbeat: {upstream: FIRST_START, sequence: 41}, outcome: 'stale'},
 		],
 		listed: {},
 	},
 	{
-		// Symptom: for more than a second, requests to an address are all refused as misdirected.
-		// Sequence: a server crashed, another started at its address; a heartbeat of the first that a cut had held up arrives.
-		// Cause: whoever was heard last had the address.
-		name: 'a late heartbeat takes no address from an instance that started later',
+		// Guards against requests refused as misdirected for more than a second: a server crashes, another starts at its address, and a
+		// delayed heartbeat of the first takes the address back.
+		name: 'a delayed heartbeat does not take the address of an instance that started later',
 		steps: [
-			{take: {upstream: FIRST_START}, comes: 'news'},
-			{take: {upstream: instances.createUpstreamId({server: 'other', startedAt: 1_764_720_030_000})}, comes: 'news'},
-			{take: {upstream: FIRST_START, sequence: 2}, comes: 'refreshed'},
+			{heartbeat: {upstream: FIRST_START}, outcome: 'news'},
+			{heartbeat: {upstream: instances.createUpstreamId({server: 'other', startedAt: 1_764_720_030_000})}, outcome: 'news'},
+			{heartbeat: {upstream: FIRST_START, sequence: 2}, outcome: 'refreshed'},
 		],
 		listed: {[instances.createUpstreamId({server: 'other', startedAt: 1_764_720_030_000})]: 'serving'},
 	},
@@ -145,14 +139,14 @@
 for (const {name, steps, listed} of [...CASES, ...RESTART_CASES]) {
 	test(name, t => {
 		const table = instances.createInstanceTable();
-		const receptions = steps.map(step => 'retire' in step ? table.retire(step.of ?? 'a', step.retire) : table.applyHeartbeat(createHeartbeat(step.take), 0));
-		t.deepEqual(receptions, steps.map(step => 'retire' in step ? true : step.comes));
+		const outcomes = steps.map(step => 'retire' in step ? table.retire(step.upstream ?? 'a', step.retire) : table.applyHeartbeat(createHeartbeat(step.heartbeat), 0));
+		t.deepEqual(outcomes, steps.map(step => 'retire' in step ? true : step.outcome));
 
 		t.deepEqual(Object.fromEntries(table.list('archive').map(({upstream, state}) => [upstream, state])), listed);
 	});
 }
 
-test('an instance that moves to another service leaves the first one', t => {
+test('an instance that moves to another service is no longer listed under the first', t => {
 	const table = instances.createInstanceTable();
 	table.applyHeartbeat(createHeartbeat(), 0);
 	table.applyHeartbeat(createHeartbeat({service: 'media', sequence: 2}), 0);
@@ -160,7 +154,7 @@
 	t.is(table.list('media').length, 1);
 });
 
-test('silence ends an instance only after a minute', t => {
+test('an instance expires only after a minute without heartbeats', t => {
 	const table = instances.createInstanceTable();
 	table.applyHeartbeat(createHeartbeat(), 0);
 	t.deepEqual(table.expireSilent(60_000), []);
@@ -168,7 +162,7 @@
 	t.deepEqual(table.listAll(), []);
 });
 
-test('an address comes back to the instance that is heard when the later one is silent', t => {
+test('an earlier instance takes over the address when the later one is silent', t => {
 	const table = instances.createInstanceTable();
 	table.applyHeartbeat(createHeartbeat({upstream: SECOND_START}), 0);
 	table.applyHeartbeat(createHeartbeat({upstream: 'other'}), 5000);
@@ -177,14 +171,14 @@
 	t.deepEqual(table.list('archive').map(({upstream}) => upstream), ['other']);
 });
 
-test('the name of an instance tells its server and its start', t => {
+test('the id of an instance holds its server and start time', t => {
 	fc.assert(fc.property(fc.string({minLength: 1}), fc.maxSafeNat(), (server, startedAt) => {
 		t.deepEqual(instances.parseUpstreamId(instances.createUpstreamId({server, startedAt})), {server, startedAt});
 	}));
 	t.deepEqual(instances.parseUpstreamId('i-7f3a'), {server: 'i-7f3a', startedAt: 0});
 });
 
-test('of the heartbeats of all starts of a server, in any order, the newest start and its last word stay', t => {
+test('heartbeats of all starts of a server in any order leave the last state of its latest start', t => {
 	const heartbeats = [FIRST_START, SECOND_START].flatMap((upstream, start) =>
 		Array.from({length: 4}, (_, index) => createHeartbeat({upstream, sequence: index + 1, slots: (start * 10) + index + 1})));
 	fc.assert(fc.property(fc.shuffledSubarray(heartbeats, {minLength: 1}), order => {
@@ -197,7 +191,7 @@
 	}));
 });
 
-test('heartbeats in any order leave the state that their sequence numbers give', t => {
+test('heartbeats in any order leave the state of the highest sequence number', t => {
 	const heartbeats = Array.from({length: 6}, (_, index) => createHeartbeat({sequence: index + 1, slots: index + 1}));
 	fc.assert(fc.property(fc.shuffledSubarray(heartbeats, {minLength: 1}), order => {
 		const table = instances.createInstanceTable();
--- a/packages/wagtailroute-instances/src/index.ts
+++ b/packages/wagtailroute-instances/src/index.ts
@@ -1,12 +1,12 @@
 /**
-Instances of upstreams by their heartbeats.
+The table of upstream instances, built from their heartbeats, and the ids of instances.
 */
 export {
 	createInstanceTable,
 	type Heartbeat,
+	type HeartbeatOutcome,
 	type Instance,
 	type InstanceState,
 	type InstanceTable,
-	type HeartbeatOutcome,
 } from './instances.ts';
-export {parseUpstreamId, type ServerStart, createUpstreamId} from './upstream-ids.ts';
+export {createUpstreamId, parseUpstreamId, type ServerStart} from './upstream-ids.ts';
--- a/packages/wagtailroute-instances/src/instances.ts
+++ b/packages/wagtailroute-instances/src/instances.ts
@@ -1,27 +1,27 @@
 /**
-Which instances of upstreams there are, by their heartbeats.
+The table of upstream instances, built from their heartbeats.
 
-Each start of an upstream is an instance with a name of its own. Four things go wrong with heartbeats. One arrives late,
-after a newer one of the same instance: its sequence number is lower, so it is passed over. One arrives after its sender has
-ended and another instance runs at its address: the instance that started last holds the address. One arrives after its server has
-started again: what is older than the newest start of a server is passed over. One arrives after its sender was acknowledged as
-leaving: a retirement is final.
+Each start of an upstream is an instance with its own id. A heartbeat may arrive at the wrong time in four ways:
+- After a newer heartbeat of the same instance. Its sequence number is lower, so it is ignored.
+- After its sender has ended and another instance runs at its address. The instance that started last holds the address.
+- After its server has restarted. Heartbeats of starts before the latest start of a server are ignored.
+- After its sender was acknowledged as leaving. A retirement is final.
 
-Silence alone ends no instance for long: its path to the control hosts may be cut while requests still reach it. Whether it
-serves is for whoever sends requests to find out.
+A short silence does not remove an instance: its path to the control hosts may be interrupted while requests still reach it. Entry hosts
+find out by their requests whether it serves.
 */
 import * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {
-	INSTANCE_EXPIRY_MILLISECONDS,
 	ADDRESS_TAKEOVER_MILLISECONDS,
+	INSTANCE_EXPIRY_MILLISECONDS,
 	MAX_RETIREMENTS,
 	MAX_SERVERS,
 } from './constants.ts';
 import {parseUpstreamId} from './upstream-ids.ts';
 
 /**
-What an instance says of itself.
+What an instance reports about itself.
 */
 export type Heartbeat = {
 	readonly upstream: core.UpstreamId;
@@ -30,32 +30,38 @@
 	readonly failureDomain: core.FailureDomain;
 	readonly slots: number;
 	/**
-	Milliseconds for which it stays slow after its start.
+	Remaining milliseconds of the warm-up, during which the instance is slow.
 	*/
 	readonly warmupMilliseconds: number;
 	/**
-	Rises with each heartbeat of the instance.
+	Increases with each heartbeat of the instance.
 	*/
 	readonly sequence: number;
 };
 
 /**
-`serving`: takes requests. `draining`: finishes what it has.
+`serving`: accepts requests. `draining`: accepts no new requests and completes those it has.
 */
 export type InstanceState = 'serving' | 'draining';
 
 /**
-An instance as this host knows it; times are monotonic milliseconds of this host.
+An instance as last reported to this host. Times are monotonic milliseconds of this host.
 */
 export type Instance = Omit<Heartbeat, 'warmupMilliseconds'> & {
 	readonly state: InstanceState;
+	/**
+	Time of its last heartbeat.
+	*/
 	readonly heardAt: number;
+	/**
+	Time at which its warm-up ends.
+	*/
 	readonly warmAt: number;
 };
 
 /**
-What a heartbeat came to. `news`: the instance is new or something but its time has changed. `refreshed`: nothing but its
-time. `stale`: passed over.
+Effect of a heartbeat. `news`: the instance is new, its address, service, slots or state changed, or it now holds its address.
+`refreshed`: none of these changed. `stale`: the heartbeat was ignored.
 */
 export type HeartbeatOutcome = 'news' | 'refreshed' | 'stale';
 
@@ -65,25 +71,28 @@
 export type InstanceTable = {
 	readonly applyHeartbeat: (heartbeat: Heartbeat, now: number) => HeartbeatOutcome;
 	/**
-	Ends the work of an instance for good. Returns whether that is news.
+	Marks an instance as draining or gone for good. Returns whether its state changed.
 	*/
 	readonly retire: (upstream: core.UpstreamId, state: 'draining' | 'gone') => boolean;
 	readonly get: (upstream: core.UpstreamId) => Instance | undefined;
 	/**
-	Returns the instance of a server's newest known start.
+	Returns the instance of the latest known start of a server.
 	*/
 	readonly findLatest: (server: string) => Instance | undefined;
 	/**
 	Returns the instances of a service that hold their address.
 	*/
 	readonly list: (service: core.ServiceName) => readonly Instance[];
+	/**
+	Returns the instances of all services that hold their address.
+	*/
 	readonly listAll: () => readonly Instance[];
 	/**
-	Forgets instances that were silent for long; returns their names.
+	Removes instances that sent no heartbeat for `INSTANCE_EXPIRY_MILLISECONDS`; returns their ids.
 	*/
 	readonly expireSilent: (now: number) => readonly core.UpstreamId[];
 	/**
-	Forgets an instance that another host has forgotten.
+	Removes an instance that another host has removed.
 	*/
 	readonly remove: (upstream: core.UpstreamId) => void;
 };
@@ -92,11 +101,11 @@
 	readonly instances: Map<core.UpstreamId, Instance>;
 	readonly byService: Map<core.ServiceName, Map<core.UpstreamId, Instance>>;
 	/**
-	The instance of the newest start of each server, also of those that ended: a heartbeat of an earlier start may still be on its way.
+	The instance of the latest start of each server, including ended ones: a heartbeat of an earlier start may still arrive.
 	*/
 	readonly latestByServer: Map<string, core.UpstreamId>;
 	/**
-	The instance at an address.
+	The instance that holds each address.
 	*/
 	readonly holdersByAddress: Map<string, core.UpstreamId>;
 	readonly retirements: Map<core.UpstreamId, 'draining' | 'gone'>;
@@ -152,7 +161,7 @@
 }
 
 /**
-Says whether the server of an instance has started again since.
+Returns whether the server of an instance has started again since.
 */
 function isSuperseded({latestByServer}: Tables, upstream: core.UpstreamId): boolean {
 	const {server, startedAt} = parseUpstreamId(upstream);
@@ -161,7 +170,7 @@
 }
 
 /**
-A server that has started again is not what it was: the instance of its start before is no more.
+Removes the instance of the server's previous start, which ended when the server restarted.
 */
 function removeEarlierStart(tables: Tables, upstream: core.UpstreamId): void {
 	const {server} = parseUpstreamId(upstream);
@@ -175,7 +184,7 @@
 }
 
 /**
-Says whether an instance takes an address over from the one that has it.
+Returns whether an instance may take its address over from the instance that holds it.
 */
 function canHoldAddress({holdersByAddress, instances}: Tables, {upstream, heardAt}: Instance, addressKey: string): boolean {
 	const holder = instances.get(holdersByAddress.get(addressKey) ?? '');
