--- a/packages/wagtailroute-catalogue/src/bench/catalogue.bench.ts
+++ b/packages/wagtailroute-catalogue/src/bench/catalogue.bench.ts
@@ -1,5 +1,5 @@
 /**
-What a change of the catalogue costs, on a control host and on every other host, by the number of entries.
+Cost of a change to the catalogue on a control host and on the other hosts, by the number of entries.
 */
 import process from 'node:process';
 import * as catalogue from '../index.ts';
@@ -11,14 +11,15 @@
 const HOST_ROUNDS = 50;
 
 /**
-A look-up may cost this many times as much at the largest size as at the smallest: a map outgrows the caches.
+Maximum ratio of the cost of a look-up at the largest and the smallest size. It is above 1 because a large map does not fit into the
+processor's caches.
 */
-const LOOKUP_BOUND = 12;
+const MAX_LOOKUP_RATIO = 12;
 
 /**
-A change may cost at most this much more than in proportion to the entries.
+Maximum ratio of the cost of a change at the largest size and the cost in proportion to the number of entries.
 */
-const CHANGE_BOUND = 2;
+const MAX_CHANGE_RATIO = 2;
 
 type Row = {
 	readonly entries: number;
@@ -32,7 +33,7 @@
 };
 
 /**
-Measures all sizes.
+Measures all sizes; `broken` names the exceeded limits.
 */
 export async function run() {
 	const rows = SIZES.map(size => measure(size));
@@ -44,18 +45,18 @@
 	const last = rows.at(-1)!;
 	const proportional = first.hostMicroseconds * last.entries / first.entries;
 	return [
-		...last.lookupNanoseconds > first.lookupNanoseconds * LOOKUP_BOUND
-			? [`a route look-up grows more than ${LOOKUP_BOUND} times from ${first.entries} to ${last.entries} entries`]
+		...last.lookupNanoseconds > first.lookupNanoseconds * MAX_LOOKUP_RATIO
+			? [`a route look-up grows more than ${MAX_LOOKUP_RATIO} times from ${first.entries} to ${last.entries} entries`]
 			: [],
-		...last.hostMicroseconds > proportional * CHANGE_BOUND
-			? [`a change costs a host more than ${CHANGE_BOUND} times its proportional share`]
+		...last.hostMicroseconds > proportional * MAX_CHANGE_RATIO
+			? [`a change costs a host more than ${MAX_CHANGE_RATIO} times its proportional share`]
 			: [],
 	];
 }
 
-function createFollowing(view: catalogue.View): catalogue.RouteIndex {
+function createIndex(view: catalogue.View): catalogue.RouteIndex {
 	const routes = catalogue.createRouteIndex();
-	routes.follow(catalogue.EMPTY_VIEW, view);
+	routes.applyViewChange(catalogue.EMPTY_VIEW, view);
 	return routes;
 }
 
@@ -104,12 +105,12 @@
 	const delta = catalogue.getDelta(replicated.getView(), replicated.getView().revision - 1);
 	const whole = catalogue.getDelta(replicated.getView(), -1);
 	const view = catalogue.applyDelta(start, catalogue.getDelta(replicated.getView(), start.revision));
-	const routes = createFollowing(view);
+	const routes = createIndex(view);
 	const behind = {...view, revision: view.revision - 1};
 	const host = time(() => {
 		for (let round = 0; round < HOST_ROUNDS; round++) {
 			const next = catalogue.applyDelta(behind, delta);
-			routes.follow({...next, entries: new Map(next.entries).set(delta.entries[0]!.entry.name, {...delta.entries[0]!})}, next);
+			routes.applyViewChange({...next, entries: new Map(next.entries).set(delta.entries[0]!.entry.name, {...delta.entries[0]!})}, next);
 		}
 	}) / HOST_ROUNDS;
 	const lookup = time(() => {
@@ -131,7 +132,7 @@
 }
 
 /**
-Returns the milliseconds that work takes.
+Returns the milliseconds that a function takes.
 */
 function time(work: () => void): number {
 	const startedAt = performance.now();
--- a/packages/wagtailroute-catalogue/src/replicated.ts
+++ b/packages/wagtailroute-catalogue/src/replicated.ts
@@ -1,19 +1,18 @@
 /**
-The catalogue as a replicated state machine: every control host applies the same commands in the same order and comes to
-the same answers. Nothing here reads a clock or a random number.
+The catalogue as a replicated state machine: every control host applies the same commands in the same order and computes the same
+answers. Nothing here reads a clock or a random number.
 
-Two things can go wrong with an operator's change. Two operators race from the same revision: compare-and-set lets exactly
-one win and tells the other the present revision. An operator loses the answer and sends again: the table of Change-Ids,
-which is part of the snapshot, gives the first answer again instead of running the change a second time or refusing it as
-stale.
+Two operators may send changes from the same revision: compare-and-set accepts exactly one and returns the present revision to the other.
+An operator may lose the answer and resend the change: the table of Change-Ids, which is part of the snapshot, returns the first answer
+again, so that the change is neither applied twice nor refused as stale.
 */
 import * as crypto from 'node:crypto';
 import * as core from 'wagtailroute-core';
 import * as results from 'ts-results-es';
 import {
-	CHANGES_KEPT,
-	HISTORY_KEPT,
-	MAXIMUM_ENTRIES,
+	MAX_ENTRIES,
+	MAX_HISTORY_ITEMS,
+	MAX_STORED_ANSWERS,
 } from './constants.ts';
 import type {Entry} from './entry.ts';
 import {createRouteIndex, type RouteIndex} from './route-index.ts';
@@ -27,7 +26,7 @@
 } from './view.ts';
 
 /**
-A change as an operator asked for it. `expected` is the revision it was made from, 0 when the entry must not exist.
+A change as an operator requested it. `expected` is the revision of the entry that it was made from, 0 when the entry must not exist.
 */
 export type Change = {
 	readonly changeId: string;
@@ -39,13 +38,13 @@
 	readonly entry?: Entry;
 	readonly expected: Revision;
 	/**
-	Wall clock of the host that took it, in milliseconds: for people, never for a decision.
+	Unix milliseconds by the clock of the host that received the change: for display only, never used for a decision.
 	*/
 	readonly takenAt: number;
 };
 
 /**
-Why a change was refused. It was not taken.
+Why a change was refused. A refused change changes nothing.
 */
 export type ChangeFailure = core.Failure<'revision-conflict' | 'entry-unknown' | 'route-conflict' | 'change-id-reused' | 'catalogue-full'> & {
 	/**
@@ -55,14 +54,14 @@
 };
 
 /**
-The answer to a change; a resend gets the first one again.
+The answer to a change; a resend gets the same answer again.
 */
 export type ChangeAnswer =
 	| {readonly accepted: true; readonly revision: Revision}
 	| {readonly accepted: false; readonly failure: ChangeFailure};
 
 /**
-One accepted change, for people.
+One accepted change, as shown to operators.
 */
 export type HistoryItem = {
 	readonly revision: Revision;
@@ -72,25 +71,28 @@
 	readonly action: 'created' | 'changed' | 'removed';
 };
 
-type KeptAnswer = {
+type StoredAnswer = {
+	/**
+	Digest of the content of the change: a Change-Id that comes with another content is refused.
+	*/
 	readonly fingerprint: string;
 	readonly answer: ChangeAnswer;
 };
 
 /**
-A snapshot that a restart or a new control host begins from.
+The whole state, from which a restarted or new control host begins.
 */
 export type CatalogueSnapshot = {
 	readonly revision: Revision;
 	readonly entries: readonly VersionedEntry[];
 	readonly removals: readonly Removal[];
 	readonly removalsFrom: Revision;
-	readonly answers: ReadonlyArray<readonly [string, KeptAnswer]>;
+	readonly answers: ReadonlyArray<readonly [string, StoredAnswer]>;
 	readonly history: ReadonlyArray<readonly [core.ServiceName, readonly HistoryItem[]]>;
 };
 
 /**
-The replicated catalogue. `getView` gives an immutable view.
+The replicated catalogue. `getView` returns an immutable view.
 */
 export type ReplicatedCatalogue = {
 	readonly apply: (change: Change) => ChangeAnswer;
@@ -103,7 +105,7 @@
 type Tables = {
 	view: View;
 	routes: RouteIndex;
-	answers: Map<string, KeptAnswer>;
+	answers: Map<string, StoredAnswer>;
 	history: Map<core.ServiceName, readonly HistoryItem[]>;
 };
 
@@ -130,25 +132,25 @@
 
 function applyChange(tables: Tables, change: Change): ChangeAnswer {
 	const fingerprint = createFingerprint(change);
-	const kept = tables.answers.get(change.changeId);
-	if (kept !== undefined) {
-		return kept.fingerprint === fingerprint ? kept.answer : refuse(tables, change, 'change-id-reused');
+	const stored = tables.answers.get(change.changeId);
+	if (stored !== undefined) {
+		return stored.fingerprint === fingerprint ? stored.answer : refuse(tables, change, 'change-id-reused');
 	}
 
-	const answer = decide(tables, change);
-	keepAnswer(tables, change.changeId, {fingerprint, answer});
+	const answer = executeChange(tables, change);
+	storeAnswer(tables, change.changeId, {fingerprint, answer});
 	return answer;
 }
 
 /**
-Names what a change asks for. A digest, since the text of 20,000 entries would be the largest part of the state.
+Returns a digest of the content of a change. The texts themselves, of 20,000 entries, would be the largest part of the state.
 */
 function createFingerprint(change: Change): string {
 	const text = JSON.stringify([change.name, change.entry ?? null, change.expected]);
 	return crypto.createHash('sha256').update(text).digest('base64url');
 }
 
-function decide(tables: Tables, change: Change): ChangeAnswer {
+function executeChange(tables: Tables, change: Change): ChangeAnswer {
 	const refusal = findRefusal(tables, change);
 	if (refusal !== undefined) {
 		return refusal;
@@ -177,7 +179,7 @@
 		return refuse(tables, change, 'revision-conflict');
 	}
 
-	if (present === undefined && tables.view.entries.size >= MAXIMUM_ENTRIES) {
+	if (present === undefined && tables.view.entries.size >= MAX_ENTRIES) {
 		return refuse(tables, change, 'catalogue-full');
 	}
 
@@ -186,18 +188,18 @@
 		: undefined;
 }
 
-const REFUSALS: Readonly<Record<ChangeFailure['kind'], (change: Change, revision: Revision) => string>> = {
+const REFUSAL_MESSAGES: Readonly<Record<ChangeFailure['kind'], (change: Change, revision: Revision) => string>> = {
 	'revision-conflict': (change, revision) =>
 		`The entry ${change.name} is at revision ${revision}, the change was made from ${change.expected}.`,
 	'entry-unknown': change => `There is no entry ${change.name}.`,
 	'route-conflict': change => `Another service already has a route of ${change.name}.`,
 	'change-id-reused': change => `The Change-Id ${change.changeId} was used for another change.`,
-	'catalogue-full': () => `The catalogue holds ${MAXIMUM_ENTRIES} entries already.`,
+	'catalogue-full': () => `The catalogue holds ${MAX_ENTRIES} entries already.`,
 };
 
 function refuse(tables: Tables, change: Change, kind: ChangeFailure['kind']): ChangeAnswer {
 	const revision = tables.view.entries.get(change.name)?.revision ?? 0;
-	const failure = {...core.createFailure(kind, REFUSALS[kind](change, revision)), revision};
+	const failure = {...core.createFailure(kind, REFUSAL_MESSAGES[kind](change, revision)), revision};
 	return {accepted: false, failure};
 }
 
@@ -213,9 +215,9 @@
 	return {revision, entries, ...addRemovals(view, [{name, revision}])};
 }
 
-function keepAnswer(tables: Tables, changeId: string, kept: KeptAnswer): void {
-	tables.answers.set(changeId, kept);
-	if (tables.answers.size <= CHANGES_KEPT) {
+function storeAnswer(tables: Tables, changeId: string, stored: StoredAnswer): void {
+	tables.answers.set(changeId, stored);
+	if (tables.answers.size <= MAX_STORED_ANSWERS) {
 		return;
 	}
 
@@ -234,7 +236,7 @@
 		action: change.entry === undefined ? 'removed' : changedAction,
 	};
 	const items = [...tables.history.get(change.name) ?? [], item];
-	tables.history.set(change.name, items.slice(-HISTORY_KEPT));
+	tables.history.set(change.name, items.slice(-MAX_HISTORY_ITEMS));
 }
 
 function takeSnapshot(tables: Tables): CatalogueSnapshot {
@@ -257,13 +259,13 @@
 		removalsFrom: snapshot.removalsFrom,
 	};
 	tables.routes = createRouteIndex();
-	tables.routes.follow(EMPTY_VIEW, tables.view);
+	tables.routes.applyViewChange(EMPTY_VIEW, tables.view);
 	tables.answers = new Map(snapshot.answers);
 	tables.history = new Map(snapshot.history);
 }
 
 /**
-Turns the answer to a change into a result.
+Converts the answer to a change into a result.
 */
 export function toResult(answer: ChangeAnswer): results.Result<Revision, ChangeFailure> {
 	return answer.accepted ? results.Ok(answer.revision) : results.Err(answer.failure);
--- a/packages/wagtailroute-generations/src/index.ts
+++ b/packages/wagtailroute-generations/src/index.ts
@@ -1,5 +1,6 @@
 /**
-A whole catalogue put in force as one generation: its checks, its routes, and the replicated state that keeps it.
+Generations: a whole catalogue put in force as one. Their validation, the look-up of routes and keys, and the replicated state machine
+that stores them.
 */
 export {
 	type CallerLimits,
@@ -11,10 +12,10 @@
 	parseGeneration,
 	type Share,
 } from './generation.ts';
-export {RETIREMENTS_KEPT} from './constants.ts';
-export {createKeyFinder, type KeyFinder} from './key-finder.ts';
+export {MAX_RETIREMENTS} from './constants.ts';
+export {createOrganisationFinder, type OrganisationFinder} from './organisation-finder.ts';
 export {createRouteFinder, type RouteFinder} from './route-finder.ts';
-export {createShareChooser, type ShareChooser} from './shares.ts';
+export {createServiceChooser, type ServiceChooser} from './service-chooser.ts';
 export {
 	createReplicatedGenerations,
 	type GenerationAnswer,
--- a/packages/wagtailroute-instances/src/index.ts
+++ b/packages/wagtailroute-instances/src/index.ts
@@ -1,12 +1,12 @@
 /**
-Instances of upstreams by their heartbeats.
+The table of upstream instances, built from their heartbeats, and the ids of instances.
 */
 export {
 	createInstanceTable,
 	type Heartbeat,
+	type HeartbeatOutcome,
 	type Instance,
 	type InstanceState,
 	type InstanceTable,
-	type Reception,
 } from './instances.ts';
-export {getLifetime, type Lifetime, nameInstance} from './lifetimes.ts';
+export {createUpstreamId, parseUpstreamId, type ServerStart} from './upstream-ids.ts';
--- a/packages/wagtailroute-instances/src/instances.ts
+++ b/packages/wagtailroute-instances/src/instances.ts
@@ -1,27 +1,27 @@
 /**
-Which instances of upstreams there are, by their heartbeats.
+The table of upstream instances, built from their heartbeats.
 
-Each start of an upstream is an instance with a name of its own. Four things go wrong with heartbeats. One arrives late,
-after a newer one of the same instance: its sequence number is lower, so it is passed over. One arrives after its sender has
-ended and another instance runs at its address: the instance that started last holds the address. One arrives after its server has
-started again: what is older than the newest start of a server is passed over. One arrives after its sender was acknowledged as
-leaving: a retirement is final.
+Each start of an upstream is an instance with its own id. A heartbeat may arrive at the wrong time in four ways:
+- After a newer heartbeat of the same instance. Its sequence number is lower, so it is ignored.
+- After its sender has ended and another instance runs at its address. The instance that started last holds the address.
+- After its server has restarted. Heartbeats of starts before the latest start of a server are ignored.
+- After its sender was acknowledged as leaving. A retirement is final.
 
-Silence alone ends no instance for long: its path to the control hosts may be cut while requests still reach it. Whether it
-serves is for whoever sends requests to find out.
+A short silence does not remove an instance: its path to the control hosts may be interrupted while requests still reach it. Entry hosts
+find out by their requests whether it serves.
 */
 import * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {
-	FORGET_MILLISECONDS,
-	HOLDER_MILLISECONDS,
-	RETIREMENTS_KEPT,
-	SERVERS_KEPT,
+	ADDRESS_TAKEOVER_MILLISECONDS,
+	INSTANCE_EXPIRY_MILLISECONDS,
+	MAX_RETIREMENTS,
+	MAX_SERVERS,
 } from './constants.ts';
-import {getLifetime} from './lifetimes.ts';
+import {parseUpstreamId} from './upstream-ids.ts';
 
 /**
-What an instance says of itself.
+What an instance reports about itself.
 */
 export type Heartbeat = {
 	readonly upstream: core.UpstreamId;
@@ -30,76 +30,85 @@
 	readonly failureDomain: core.FailureDomain;
 	readonly slots: number;
 	/**
-	Milliseconds for which it stays slow after its start.
+	Remaining milliseconds of the warm-up, during which the instance is slow.
 	*/
 	readonly warmupMilliseconds: number;
 	/**
-	Rises with each heartbeat of the instance.
+	Increases with each heartbeat of the instance.
 	*/
 	readonly sequence: number;
 };
 
 /**
-`serving`: takes requests. `draining`: finishes what it has.
+`serving`: accepts requests. `draining`: accepts no new requests and completes those it has.
 */
 export type InstanceState = 'serving' | 'draining';
 
 /**
-An instance as this host knows it; times are monotonic milliseconds of this host.
+An instance as last reported to this host. Times are monotonic milliseconds of this host.
 */
 export type Instance = Omit<Heartbeat, 'warmupMilliseconds'> & {
 	readonly state: InstanceState;
+	/**
+	Time of its last heartbeat.
+	*/
 	readonly heardAt: number;
+	/**
+	Time at which its warm-up ends.
+	*/
 	readonly warmAt: number;
 };
 
 /**
-What a heartbeat came to. `news`: the instance is new or something but its time has changed. `refreshed`: nothing but its
-time. `stale`: passed over.
+Effect of a heartbeat. `news`: the instance is new, its address, service, slots or state changed, or it now holds its address.
+`refreshed`: none of these changed. `stale`: the heartbeat was ignored.
 */
-export type Reception = 'news' | 'refreshed' | 'stale';
+export type HeartbeatOutcome = 'news' | 'refreshed' | 'stale';
 
 /**
 The table of instances.
 */
 export type InstanceTable = {
-	readonly take: (heartbeat: Heartbeat, now: number) => Reception;
+	readonly applyHeartbeat: (heartbeat: Heartbeat, now: number) => HeartbeatOutcome;
 	/**
-	Ends the work of an instance for good. Returns whether that is news.
+	Marks an instance as draining or gone for good. Returns whether its state changed.
 	*/
 	readonly retire: (upstream: core.UpstreamId, state: 'draining' | 'gone') => boolean;
 	readonly get: (upstream: core.UpstreamId) => Instance | undefined;
 	/**
-	Returns the instance of a server's newest known start.
+	Returns the instance of the latest known start of a server.
 	*/
-	readonly findNewest: (server: string) => Instance | undefined;
+	readonly findLatest: (server: string) => Instance | undefined;
 	/**
 	Returns the instances of a service that hold their address.
 	*/
 	readonly list: (service: core.ServiceName) => readonly Instance[];
+	/**
+	Returns the instances of all services that hold their address.
+	*/
 	readonly listAll: () => readonly Instance[];
 	/**
-	Forgets instances that were silent for long; returns their names.
+	Removes instances that sent no heartbeat for `INSTANCE_EXPIRY_MILLISECONDS`; returns their ids.
 	*/
-	readonly forgetSilent: (now: number) => readonly core.UpstreamId[];
+	readonly expireSilent: (now: number) => readonly core.UpstreamId[];
 	/**
-	Forgets an instance that another host has forgotten.
+	Removes an instance that another host has removed.
 	*/
-	readonly forget: (upstream: core.UpstreamId) => void;
+	readonly remove: (upstream: core.UpstreamId) => void;
 };
 
 type Tables = {
 	readonly instances: Map<core.UpstreamId, Instance>;
 	readonly byService: Map<core.ServiceName, Map<core.UpstreamId, Instance>>;
 	/**
-	The instance of the newest start of each server, also of those that ended: a heartbeat of an earlier start may still be on its way.
+	The instance of the latest start of each server, including ended ones: a heartbeat of an earlier start may still arrive.
 	*/
-	readonly newest: Map<string, core.UpstreamId>;
+	readonly latestByServer: Map<string, core.UpstreamId>;
 	/**
-	The instance at an address.
+	The instance that holds each address.
 	*/
-	readonly holders: Map<string, core.UpstreamId>;
-	readonly retired: Map<core.UpstreamId, 'draining' | 'gone'>;
+	readonly holdersByAddress: Map<string, core.UpstreamId>;
+	readonly retirements: Map<core.UpstreamId, 'draining' | 'gone'>;
 };
 
 /**
@@ -107,84 +116,84 @@
 */
 export function createInstanceTable(): InstanceTable {
 	const tables: Tables = {
-		instances: new Map(), byService: new Map(), newest: new Map(), holders: new Map(), retired: new Map(),
+		instances: new Map(), byService: new Map(), latestByServer: new Map(), holdersByAddress: new Map(), retirements: new Map(),
 	};
 	return {
-		take: (heartbeat, now) => take(tables, heartbeat, now),
+		applyHeartbeat: (heartbeat, now) => applyHeartbeat(tables, heartbeat, now),
 		retire: (upstream, state) => retire(tables, upstream, state),
 		get: upstream => tables.instances.get(upstream),
-		findNewest: server => tables.instances.get(tables.newest.get(server) ?? ''),
-		list: service => tables.byService.get(service)?.values().filter(instance => isHolder(tables, instance)).toArray() ?? [],
-		listAll: () => tables.instances.values().filter(instance => isHolder(tables, instance)).toArray(),
-		forgetSilent: now => forgetSilent(tables, now),
-		forget(upstream) {
+		findLatest: server => tables.instances.get(tables.latestByServer.get(server) ?? ''),
+		list: service => tables.byService.get(service)?.values().filter(instance => isAddressHolder(tables, instance)).toArray() ?? [],
+		listAll: () => tables.instances.values().filter(instance => isAddressHolder(tables, instance)).toArray(),
+		expireSilent: now => expireSilent(tables, now),
+		remove(upstream) {
 			const present = tables.instances.get(upstream);
 			if (present !== undefined) {
-				remove(tables, present);
+				removeInstance(tables, present);
 			}
 		},
 	};
 }
 
-function take(tables: Tables, heartbeat: Heartbeat, now: number): Reception {
+function applyHeartbeat(tables: Tables, heartbeat: Heartbeat, now: number): HeartbeatOutcome {
 	const present = tables.instances.get(heartbeat.upstream);
-	const retired = tables.retired.get(heartbeat.upstream);
-	if (retired === 'gone' || (present !== undefined && heartbeat.sequence <= present.sequence) || isOutlived(tables, heartbeat.upstream)) {
+	const retired = tables.retirements.get(heartbeat.upstream);
+	if (retired === 'gone' || (present !== undefined && heartbeat.sequence <= present.sequence) || isSuperseded(tables, heartbeat.upstream)) {
 		return 'stale';
 	}
 
-	endEarlier(tables, heartbeat.upstream);
-	const {warmupMilliseconds, ...told} = heartbeat;
+	removeEarlierStart(tables, heartbeat.upstream);
+	const {warmupMilliseconds, ...reported} = heartbeat;
 	const instance: Instance = {
-		...told,
+		...reported,
 		state: retired ?? 'serving',
 		heardAt: now,
 		warmAt: now + warmupMilliseconds,
 	};
-	const place = core.formatAddress(instance.address);
-	const isHolderNews = tables.holders.get(place) !== instance.upstream && mayHold(tables, instance, place);
-	if (isHolderNews) {
-		tables.holders.set(place, instance.upstream);
+	const addressKey = core.formatAddress(instance.address);
+	const isNewHolder = tables.holdersByAddress.get(addressKey) !== instance.upstream && canHoldAddress(tables, instance, addressKey);
+	if (isNewHolder) {
+		tables.holdersByAddress.set(addressKey, instance.upstream);
 	}
 
-	store(tables, instance);
-	return present === undefined || isHolderNews || isChanged(present, instance) ? 'news' : 'refreshed';
+	storeInstance(tables, instance);
+	return present === undefined || isNewHolder || hasChanged(present, instance) ? 'news' : 'refreshed';
 }
 
 /**
-Says whether the server of an instance has started again since.
+Returns whether the server of an instance has started again since.
 */
-function isOutlived({newest}: Tables, upstream: core.UpstreamId): boolean {
-	const {server, startedAt} = getLifetime(upstream);
-	const known = newest.get(server);
-	return known !== undefined && getLifetime(known).startedAt > startedAt;
+function isSuperseded({latestByServer}: Tables, upstream: core.UpstreamId): boolean {
+	const {server, startedAt} = parseUpstreamId(upstream);
+	const known = latestByServer.get(server);
+	return known !== undefined && parseUpstreamId(known).startedAt > startedAt;
 }
 
 /**
-A server that has started again is not what it was: the instance of its start before is no more.
+Removes the instance of the server's previous start, which ended when the server restarted.
 */
-function endEarlier(tables: Tables, upstream: core.UpstreamId): void {
-	const {server} = getLifetime(upstream);
-	const earlier = tables.newest.get(server);
+function removeEarlierStart(tables: Tables, upstream: core.UpstreamId): void {
+	const {server} = parseUpstreamId(upstream);
+	const earlier = tables.latestByServer.get(server);
 	const ended = earlier === undefined || earlier === upstream ? undefined : tables.instances.get(earlier);
 	if (ended !== undefined) {
-		remove(tables, ended);
+		removeInstance(tables, ended);
 	}
 
-	utils.setBounded(tables.newest, server, upstream, SERVERS_KEPT);
+	utils.setBounded(tables.latestByServer, server, upstream, MAX_SERVERS);
 }
 
 /**
-Says whether an instance takes an address over from the one that has it.
+Returns whether an instance may take its address over from the instance that holds it.
 */
-function mayHold({holders, instances}: Tables, {upstream, heardAt}: Instance, place: string): boolean {
-	const holder = instances.get(holders.get(place) ?? '');
+function canHoldAddress({holdersByAddress, instances}: Tables, {upstream, heardAt}: Instance, addressKey: string): boolean {
+	const holder = instances.get(holdersByAddress.get(addressKey) ?? '');
 	return holder === undefined
-		|| getLifetime(upstream).startedAt >= getLifetime(holder.upstream).startedAt
-		|| heardAt - holder.heardAt > HOLDER_MILLISECONDS;
+		|| parseUpstreamId(upstream).startedAt >= parseUpstreamId(holder.upstream).startedAt
+		|| heardAt - holder.heardAt > ADDRESS_TAKEOVER_MILLISECONDS;
 }
 
-function isChanged(present: Instance, next: Instance): boolean {
+function hasChanged(present: Instance, next: Instance): boolean {
 	return present.state !== next.state
 		|| present.service !== next.service
 		|| present.slots !== next.slots
@@ -192,27 +201,27 @@
 }
 
 function retire(tables: Tables, upstream: core.UpstreamId, state: 'draining' | 'gone'): boolean {
-	const known = tables.retired.get(upstream);
+	const known = tables.retirements.get(upstream);
 	if (known === 'gone' || known === state) {
 		return false;
 	}
 
-	utils.setBounded(tables.retired, upstream, state, RETIREMENTS_KEPT);
+	utils.setBounded(tables.retirements, upstream, state, MAX_RETIREMENTS);
 	const present = tables.instances.get(upstream);
 	if (present === undefined) {
 		return true;
 	}
 
 	if (state === 'draining') {
-		store(tables, {...present, state});
+		storeInstance(tables, {...present, state});
 	} else {
-		remove(tables, present);
+		removeInstance(tables, present);
 	}
 
 	return true;
 }
 
-function store(tables: Tables, instance: Instance): void {
+function storeInstance(tables: Tables, instance: Instance): void {
 	const present = tables.instances.get(instance.upstream);
 	if (present !== undefined && present.service !== instance.service) {
 		tables.byService.get(present.service)?.delete(present.upstream);
@@ -224,7 +233,7 @@
 	tables.byService.set(instance.service, byId);
 }
 
-function remove(tables: Tables, instance: Instance): void {
+function removeInstance(tables: Tables, instance: Instance): void {
 	tables.instances.delete(instance.upstream);
 	const byId = tables.byService.get(instance.service);
 	byId?.delete(instance.upstream);
@@ -232,20 +241,20 @@
 		tables.byService.delete(instance.service);
 	}
 
-	const place = core.formatAddress(instance.address);
-	if (tables.holders.get(place) === instance.upstream) {
-		tables.holders.delete(place);
+	const addressKey = core.formatAddress(instance.address);
+	if (tables.holdersByAddress.get(addressKey) === instance.upstream) {
+		tables.holdersByAddress.delete(addressKey);
 	}
 }
 
-function isHolder(tables: Tables, instance: Instance): boolean {
-	return tables.holders.get(core.formatAddress(instance.address)) === instance.upstream;
+function isAddressHolder(tables: Tables, instance: Instance): boolean {
+	return tables.holdersByAddress.get(core.formatAddress(instance.address)) === instance.upstream;
 }
 
-function forgetSilent(tables: Tables, now: number): readonly core.UpstreamId[] {
-	const silent = tables.instances.values().filter(instance => now - instance.heardAt > FORGET_MILLISECONDS).toArray();
+function expireSilent(tables: Tables, now: number): readonly core.UpstreamId[] {
+	const silent = tables.instances.values().filter(instance => now - instance.heardAt > INSTANCE_EXPIRY_MILLISECONDS).toArray();
 	for (const instance of silent) {
-		remove(tables, instance);
+		removeInstance(tables, instance);
 	}
 
 	return silent.map(instance => instance.upstream);
