--- a/packages/wagtailroute-announcements/src/__tests__/unit/network.ts
+++ b/packages/wagtailroute-announcements/src/__tests__/unit/network.ts
@@ -1,31 +1,31 @@
 /**
-A fake network of a few lines for the tests: machines by host name, and messages in flight that a test delivers, loses,
-repeats or reorders.
+A simulated network for the tests: state machines by host id, and messages in flight that a test delivers, loses, repeats
+or reorders.
 */
 import * as utils from 'wagtailroute-utils';
 import * as announcements from '../../index.ts';
 
 /**
-A message on its way.
+A message that is sent but not yet delivered.
 */
-export type Flight = {readonly from: string; readonly to: string; readonly message: announcements.Message};
+export type InFlightMessage = {readonly from: string; readonly to: string; readonly message: announcements.Message};
 
 /**
-Machines and their messages.
+Hosts with their state machines and the messages between them.
 */
 export type Network = {
 	readonly hosts: Map<string, announcements.AnnouncementState>;
-	readonly flights: Flight[];
+	readonly inFlight: InFlightMessage[];
 	/**
-	Links `from>to` that lose everything.
+	Links, written as `from>to`, that lose all messages.
 	*/
-	readonly cut: Set<string>;
+	readonly cutLinks: Set<string>;
 	readonly random: utils.Random;
 	now: number;
 	/**
-	Effects other than messages, with the host's name.
+	Effects other than messages, with the host's id.
 	*/
-	readonly seen: Array<{readonly host: string; readonly effect: announcements.Effect}>;
+	readonly effects: Array<{readonly host: string; readonly effect: announcements.Effect}>;
 };
 
 /**
@@ -39,11 +39,11 @@
 export function createNetwork(ids: readonly string[], seed: number): Network {
 	const network: Network = {
 		hosts: new Map(),
-		flights: [],
-		cut: new Set(),
+		inFlight: [],
+		cutLinks: new Set(),
 		random: utils.createRandom(seed),
 		now: 0,
-		seen: [],
+		effects: [],
 	};
 	for (const id of ids) {
 		startHost(network, id, ids);
@@ -53,17 +53,17 @@
 }
 
 /**
-Starts a host without memory.
+Starts or restarts a host with an empty state.
 */
 export function startHost(network: Network, id: string, carriers: readonly string[]): void {
 	network.hosts.set(id, announcements.createAnnouncements(id));
-	handle(network, id, {kind: 'carriers', service: SERVICE, carriers});
+	handleEvent(network, id, {kind: 'carriers', service: SERVICE, carriers});
 }
 
 /**
-Gives a host an event and puts its messages in flight.
+Passes an event to a host and puts the messages that it sends in flight.
 */
-export function handle(network: Network, id: string, event: announcements.Event): readonly announcements.Effect[] {
+export function handleEvent(network: Network, id: string, event: announcements.Event): readonly announcements.Effect[] {
 	const state = network.hosts.get(id);
 	if (!state) {
 		return [];
@@ -72,9 +72,9 @@
 	const {effects} = announcements.stepAnnouncements(state, event, {now: network.now, random: network.random});
 	for (const effect of effects) {
 		if (effect.kind === 'send') {
-			network.flights.push({from: id, to: effect.to, message: effect.message});
+			network.inFlight.push({from: id, to: effect.to, message: effect.message});
 		} else {
-			network.seen.push({host: id, effect});
+			network.effects.push({host: id, effect});
 		}
 	}
 
@@ -82,51 +82,51 @@
 }
 
 /**
-Delivers the message at a place of the queue, unless its link is cut.
+Delivers the message at the given index, unless its link is cut. A repeated message stays in flight.
 */
-export function deliver(network: Network, index: number, isRepeated = false): void {
-	const flight = network.flights[index];
-	if (!flight) {
+export function deliverMessage(network: Network, index: number, isRepeated = false): void {
+	const sent = network.inFlight[index];
+	if (!sent) {
 		return;
 	}
 
 	if (!isRepeated) {
-		network.flights.splice(index, 1);
+		network.inFlight.splice(index, 1);
 	}
 
-	if (!network.cut.has(`${flight.from}>${flight.to}`)) {
-		handle(network, flight.to, {kind: 'receive', from: flight.from, message: structuredClone(flight.message)});
+	if (!network.cutLinks.has(`${sent.from}>${sent.to}`)) {
+		handleEvent(network, sent.to, {kind: 'receive', from: sent.from, message: structuredClone(sent.message)});
 	}
 }
 
 /**
-Delivers all messages, and those they cause.
+Delivers all messages, including those sent in answer.
 */
-export function deliverAll(network: Network): void {
-	for (let left = 100_000; network.flights.length > 0; left--) {
+export function deliverAllMessages(network: Network): void {
+	for (let left = 100_000; network.inFlight.length > 0; left--) {
 		utils.invariant(left > 0, 'messages come to an end');
-		deliver(network, 0);
+		deliverMessage(network, 0);
 	}
 }
 
 /**
-Lets time pass in steps of 100 ms; `each` runs at every step.
+Advances the time in steps of 100 ms with a tick on every host; `each` runs at every step.
 */
-export function pass(network: Network, milliseconds: number, each: () => void = () => undefined): void {
+export function advanceTime(network: Network, milliseconds: number, each: () => void = () => undefined): void {
 	const end = network.now + milliseconds;
 	while (network.now < end) {
 		network.now += 100;
 		for (const id of network.hosts.keys()) {
-			handle(network, id, {kind: 'tick'});
+			handleEvent(network, id, {kind: 'tick'});
 		}
 
 		each();
-		deliverAll(network);
+		deliverAllMessages(network);
 	}
 }
 
 /**
-Upstreams of a host as text: name, port and state.
+Formats the upstreams that a host knows: id, port and state of each.
 */
 export function formatUpstreams(network: Network, id: string): string {
 	const upstreams = announcements.getUpstreams(network.hosts.get(id)!, SERVICE);
@@ -134,9 +134,9 @@
 }
 
 /**
-An announcement event.
+Creates an event in which an upstream announces itself.
 */
-export function announce(
+export function createAnnounceEvent(
 	id: string,
 	state: announcements.UpstreamState,
 	port = 80,
--- a/packages/wagtailroute-announcements/src/bench/announcements.bench.ts
+++ b/packages/wagtailroute-announcements/src/bench/announcements.bench.ts
@@ -1,21 +1,21 @@
 /**
-Figures of announcements: bytes between hosts and CPU a host while upstreams renew, and what a draining costs and takes.
-Many machines in one process, simulated time, fixed seed.
+Measures announcements: bytes between hosts and CPU time per host while upstreams renew, and the messages and time that
+one draining takes. It runs many state machines in one process, with simulated time and a fixed seed.
 
-Run it with `npm run bench -- announcements`. All but the CPU is deterministic.
+Run it with `npm run bench -- announcements`. All but the CPU time is deterministic.
 */
 import * as process from 'node:process';
 import * as utils from 'wagtailroute-utils';
 import * as announcements from '../index.ts';
 
 /**
-Figures of one fleet.
+Results for one size of the fleet.
 */
 export type AnnouncementRow = {
 	readonly hosts: number;
 	readonly services: number;
 	/**
-	Means a host: services carried, leases held and known, peers, and renewals each second.
+	Means per host: services carried, leases held and known, peers, and renewals per second.
 	*/
 	readonly servicesCarried: number;
 	readonly leasesHeld: number;
@@ -23,13 +23,14 @@
 	readonly peers: number;
 	readonly renewalsPerSecond: number;
 	/**
-	Messages and bytes (JSON with the JSON-RPC envelope) that a host sends each second while nothing changes.
+	Messages and bytes (JSON with the JSON-RPC envelope) that a host sends per second, and its CPU time, while nothing
+	changes.
 	*/
 	readonly messagesPerSecond: number;
 	readonly bytesPerSecond: number;
 	readonly cpuMicrosecondsPerSecond: number;
 	/**
-	Messages and bytes of all hosts for one draining, and milliseconds until the last carrier knows it.
+	Mean messages and bytes of all hosts for one draining, and the longest time until the last carrier knows it.
 	*/
 	readonly messagesPerDraining: number;
 	readonly bytesPerDraining: number;
@@ -37,25 +38,25 @@
 };
 
 /**
-Size of a fleet; carriers and upstreams are those of a service.
+Size of a fleet; `carriers` and `upstreams` are per service.
 */
-export type Size = {readonly hosts: number; readonly services: number; readonly carriers: number; readonly upstreams: number};
+export type FleetSize = {readonly hosts: number; readonly services: number; readonly carriers: number; readonly upstreams: number};
 
 /**
-A fleet and what went over its network.
+The state machines of a fleet, the messages in flight by the time of their delivery, and the totals sent.
 */
-export type Bench = {
-	readonly size: Size;
+export type SimulatedFleet = {
+	readonly size: FleetSize;
 	readonly states: readonly announcements.AnnouncementState[];
 	readonly carriers: ReadonlyArray<readonly number[]>;
 	readonly random: utils.Random;
-	readonly due: Map<number, Array<{readonly from: string; readonly to: string; readonly message: announcements.Message}>>;
+	readonly inFlight: Map<number, Array<{readonly from: string; readonly to: string; readonly message: announcements.Message}>>;
 	now: number;
 	messages: number;
 	bytes: number;
 };
 
-const SIZES: readonly Size[] = [
+const FLEET_SIZES: readonly FleetSize[] = [
 	{
 		hosts: 40,
 		services: 4,
@@ -72,68 +73,68 @@
 
 const SEED = 4;
 const TICK_MILLISECONDS = 100;
-const DELAY_MILLISECONDS = 2;
-const RENEW_MILLISECONDS = announcements.RENEW_SECONDS * 1000;
+const NETWORK_DELAY_MILLISECONDS = 2;
+const RENEWAL_INTERVAL_MILLISECONDS = announcements.RENEW_SECONDS * 1000;
 const WARM_UP_MILLISECONDS = 20_000;
 const MEASURED_MILLISECONDS = 20_000;
-const DRAININGS = 20;
-// The JSON-RPC notification around a message, without TLS and HTTP heads, which a batch shares.
+const MEASURED_DRAININGS = 20;
+// Size of the JSON-RPC notification around a message, without TLS and HTTP headers, which a batch shares.
 const ENVELOPE_BYTES = 60;
 
 /**
-Runs all sizes.
+Measures all sizes of the fleet.
 */
 export function measureAnnouncements(): readonly AnnouncementRow[] {
-	return SIZES.map(size => measureSize(size));
+	return FLEET_SIZES.map(size => measureSize(size));
 }
 
-function measureSize(size: Size): AnnouncementRow {
-	const bench = createBench(size);
-	pass(bench, WARM_UP_MILLISECONDS);
-	const {messages, bytes} = bench;
+function measureSize(size: FleetSize): AnnouncementRow {
+	const fleet = createFleet(size);
+	advanceTime(fleet, WARM_UP_MILLISECONDS);
+	const {messages, bytes} = fleet;
 	const start = process.cpuUsage();
-	pass(bench, MEASURED_MILLISECONDS);
+	advanceTime(fleet, MEASURED_MILLISECONDS);
 	const used = process.cpuUsage(start);
 	const hostSeconds = size.hosts * MEASURED_MILLISECONDS / 1000;
-	const quiet = {
-		messagesPerSecond: (bench.messages - messages) / hostSeconds,
-		bytesPerSecond: (bench.bytes - bytes) / hostSeconds,
+	const steadyRates = {
+		messagesPerSecond: (fleet.messages - messages) / hostSeconds,
+		bytesPerSecond: (fleet.bytes - bytes) / hostSeconds,
 		cpuMicrosecondsPerSecond: (used.user + used.system) / hostSeconds,
 	};
-	const places = size.services * size.carriers / size.hosts;
+	const servicesCarried = size.services * size.carriers / size.hosts;
 	const leases = size.services * size.upstreams;
 	return {
 		hosts: size.hosts,
 		services: size.services,
-		servicesCarried: places,
+		servicesCarried,
 		leasesHeld: leases / size.hosts,
-		leasesKnown: places * size.upstreams,
-		peers: countPeers(bench),
+		leasesKnown: servicesCarried * size.upstreams,
+		peers: countPeers(fleet),
 		renewalsPerSecond: leases / size.hosts / announcements.RENEW_SECONDS,
-		...quiet,
-		...measureDraining(bench),
+		...steadyRates,
+		...measureDraining(fleet),
 	};
 }
 
 /**
-Creates the hosts and tells them the carriers.
+Creates the hosts and sets the carriers of their services.
 */
-export function createBench(size: Size): Bench {
+export function createFleet(size: FleetSize): SimulatedFleet {
 	const random = utils.createRandom(SEED);
 	const indexes = Array.from({length: size.hosts}, (_, index) => index);
-	const bench: Bench = {
+	const fleet: SimulatedFleet = {
 		size,
 		states: indexes.map(index => announcements.createAnnouncements(`host-${index}`)),
 		carriers: Array.from({length: size.services}, () => utils.shuffle(random, indexes).slice(0, size.carriers)),
 		random,
-		due: new Map(),
+		inFlight: new Map(),
 		now: 0,
 		messages: 0,
 		bytes: 0,
 	};
-	for (const [service, carriers] of bench.carriers.entries()) {
+	for (const [service, carriers] of fleet.carriers.entries()) {
 		for (const host of carriers) {
-			handle(bench, host, {
+			handleEvent(fleet, host, {
 				kind: 'carriers',
 				service: `service-${service}`,
 				carriers: carriers.map(index => `host-${index}`),
@@ -141,15 +142,15 @@
 		}
 	}
 
-	return bench;
+	return fleet;
 }
 
 /**
-Mean number of other hosts that carry a service which a host carries.
+Returns the mean number of other hosts that share a carried service with a host.
 */
-export function countPeers(bench: Bench): number {
-	const counts = bench.states.map((_, host) => {
-		const shared = bench.carriers.filter(carriers => carriers.includes(host));
+export function countPeers(fleet: SimulatedFleet): number {
+	const counts = fleet.states.map((_, host) => {
+		const shared = fleet.carriers.filter(carriers => carriers.includes(host));
 		return new Set(shared.flat()).size - Math.min(1, shared.length);
 	});
 	let sum = 0;
@@ -161,57 +162,57 @@
 }
 
 /**
-Gives a host an event and sends what it sends.
+Passes an event to a host, and puts the messages that it sends in flight.
 */
-export function handle(bench: Bench, host: number, event: announcements.Event): void {
-	const state = bench.states[host]!;
-	const {effects} = announcements.stepAnnouncements(state, event, {now: bench.now, random: bench.random});
+export function handleEvent(fleet: SimulatedFleet, host: number, event: announcements.Event): void {
+	const state = fleet.states[host]!;
+	const {effects} = announcements.stepAnnouncements(state, event, {now: fleet.now, random: fleet.random});
 	for (const effect of effects) {
 		if (effect.kind !== 'send') {
 			continue;
 		}
 
-		bench.messages++;
-		bench.bytes += JSON.stringify(effect.message).length + ENVELOPE_BYTES;
-		const at = bench.now + DELAY_MILLISECONDS;
-		const due = bench.due.get(at) ?? [];
-		due.push({from: `host-${host}`, to: effect.to, message: effect.message});
-		bench.due.set(at, due);
+		fleet.messages++;
+		fleet.bytes += JSON.stringify(effect.message).length + ENVELOPE_BYTES;
+		const at = fleet.now + NETWORK_DELAY_MILLISECONDS;
+		const messages = fleet.inFlight.get(at) ?? [];
+		messages.push({from: `host-${host}`, to: effect.to, message: effect.message});
+		fleet.inFlight.set(at, messages);
 	}
 }
 
 /**
-Lets time pass, a millisecond at a time; upstreams renew meanwhile.
+Advances the time in steps of a millisecond; messages are delivered, upstreams renew and hosts tick.
 */
-export function pass(bench: Bench, milliseconds: number): void {
-	const end = bench.now + milliseconds;
-	while (bench.now < end) {
-		bench.now++;
-		const due = bench.due.get(bench.now) ?? [];
-		bench.due.delete(bench.now);
-		for (const {from, to, message} of due) {
-			handle(bench, Number(to.slice('host-'.length)), {kind: 'receive', from, message});
+export function advanceTime(fleet: SimulatedFleet, milliseconds: number): void {
+	const end = fleet.now + milliseconds;
+	while (fleet.now < end) {
+		fleet.now++;
+		const messages = fleet.inFlight.get(fleet.now) ?? [];
+		fleet.inFlight.delete(fleet.now);
+		for (const {from, to, message} of messages) {
+			handleEvent(fleet, Number(to.slice('host-'.length)), {kind: 'receive', from, message});
 		}
 
-		renewDue(bench);
-		for (let host = bench.now % TICK_MILLISECONDS; host < bench.size.hosts; host += TICK_MILLISECONDS) {
-			handle(bench, host, {kind: 'tick'});
+		renewDueLeases(fleet);
+		for (let host = fleet.now % TICK_MILLISECONDS; host < fleet.size.hosts; host += TICK_MILLISECONDS) {
+			handleEvent(fleet, host, {kind: 'tick'});
 		}
 	}
 }
 
-// Upstreams renew at a carrier each, spread evenly over time.
-function renewDue(bench: Bench): void {
-	const {services, upstreams} = bench.size;
+// Each upstream renews at one carrier; the renewals are spread evenly over time.
+function renewDueLeases(fleet: SimulatedFleet): void {
+	const {services, upstreams} = fleet.size;
 	const total = services * upstreams;
-	for (let index = bench.now % RENEW_MILLISECONDS; index < total; index += RENEW_MILLISECONDS) {
-		announce(bench, index % services, Math.floor(index / services), 'serving');
+	for (let index = fleet.now % RENEWAL_INTERVAL_MILLISECONDS; index < total; index += RENEWAL_INTERVAL_MILLISECONDS) {
+		announce(fleet, index % services, Math.floor(index / services), 'serving');
 	}
 }
 
-function announce(bench: Bench, service: number, upstream: number, state: announcements.UpstreamState): void {
-	const carriers = bench.carriers[service]!;
-	handle(bench, carriers[upstream % carriers.length]!, {
+function announce(fleet: SimulatedFleet, service: number, upstream: number, state: announcements.UpstreamState): void {
+	const carriers = fleet.carriers[service]!;
+	handleEvent(fleet, carriers[upstream % carriers.length]!, {
 		kind: 'announce',
 		service: `service-${service}`,
 		id: `upstream-${upstream}`,
@@ -226,25 +227,26 @@
 	});
 }
 
-// In the longest pause between renewals that a small fleet has, or as a difference against the quiet rate in a large one.
-function measureDraining(bench: Bench): Pick<
+// No upstream renews and no host ticks during the measurement: apart from answers to messages that were already in
+// flight, all messages are caused by the draining.
+function measureDraining(fleet: SimulatedFleet): Pick<
 	AnnouncementRow,
 	'messagesPerDraining' | 'bytesPerDraining' | 'drainingMilliseconds'
 > {
 	let messages = 0;
 	let bytes = 0;
 	let slowest = 0;
-	for (let service = 0; service < Math.min(DRAININGS, bench.size.services); service++) {
-		const before = {messages: bench.messages, bytes: bench.bytes};
-		const start = bench.now;
-		announce(bench, service, 0, 'draining');
-		deliver(bench);
-		slowest = Math.max(slowest, isKnown(bench, service) ? bench.now - start : Infinity);
-		messages += bench.messages - before.messages;
-		bytes += bench.bytes - before.bytes;
+	for (let service = 0; service < Math.min(MEASURED_DRAININGS, fleet.size.services); service++) {
+		const before = {messages: fleet.messages, bytes: fleet.bytes};
+		const start = fleet.now;
+		announce(fleet, service, 0, 'draining');
+		deliverAllMessages(fleet);
+		slowest = Math.max(slowest, isDrainingKnown(fleet, service) ? fleet.now - start : Infinity);
+		messages += fleet.messages - before.messages;
+		bytes += fleet.bytes - before.bytes;
 	}
 
-	const count = Math.min(DRAININGS, bench.size.services);
+	const count = Math.min(MEASURED_DRAININGS, fleet.size.services);
 	return {
 		messagesPerDraining: messages / count,
 		bytesPerDraining: bytes / count,
@@ -252,26 +254,26 @@
 	};
 }
 
-// Delivers what is on its way, without ticks and renewals.
-function deliver(bench: Bench): void {
-	while (bench.due.size > 0) {
-		bench.now++;
-		const due = bench.due.get(bench.now) ?? [];
-		bench.due.delete(bench.now);
-		for (const {from, to, message} of due) {
-			handle(bench, Number(to.slice('host-'.length)), {kind: 'receive', from, message});
+// Delivers the messages in flight and those sent in answer, without ticks and renewals.
+function deliverAllMessages(fleet: SimulatedFleet): void {
+	while (fleet.inFlight.size > 0) {
+		fleet.now++;
+		const messages = fleet.inFlight.get(fleet.now) ?? [];
+		fleet.inFlight.delete(fleet.now);
+		for (const {from, to, message} of messages) {
+			handleEvent(fleet, Number(to.slice('host-'.length)), {kind: 'receive', from, message});
 		}
 	}
 }
 
-function isKnown(bench: Bench, service: number): boolean {
-	return bench.carriers[service]!.every(host => announcements
-		.getUpstreams(bench.states[host]!, `service-${service}`)
+function isDrainingKnown(fleet: SimulatedFleet, service: number): boolean {
+	return fleet.carriers[service]!.every(host => announcements
+		.getUpstreams(fleet.states[host]!, `service-${service}`)
 		.some(upstream => upstream.id === 'upstream-0' && upstream.state === 'draining'));
 }
 
 /**
-What `scripts/bench.ts` runs: the rows, and the bounds that don't hold.
+Entry point for `scripts/bench.ts`: returns the rows, and a sentence for each exceeded bound.
 */
 export async function run(): Promise<{
 	readonly title: string;
@@ -279,17 +281,17 @@
 	readonly broken: readonly string[];
 }> {
 	const rows = measureAnnouncements();
-	return {title: 'Announcements: bytes and CPU a host, one draining', rows, broken: findBroken(rows)};
+	return {title: 'Announcements: bytes and CPU a host, one draining', rows, broken: findExceededBounds(rows)};
 }
 
-// All deterministic.
+// All bounded figures are deterministic.
 const MAX_BYTES_PER_SECOND = 1000;
 const MAX_MESSAGES_PER_DRAINING = 60;
 const MAX_DRAINING_MILLISECONDS = 10;
 
-function findBroken(rows: readonly AnnouncementRow[]): readonly string[] {
+function findExceededBounds(rows: readonly AnnouncementRow[]): readonly string[] {
 	return rows.flatMap(row => [
-		...row.bytesPerSecond > MAX_BYTES_PER_SECOND ? [`${row.hosts} hosts: ${row.bytesPerSecond} bytes a second a host.`] : [],
+		...row.bytesPerSecond > MAX_BYTES_PER_SECOND ? [`${row.hosts} hosts: ${row.bytesPerSecond} bytes per second per host.`] : [],
 		...row.messagesPerDraining > MAX_MESSAGES_PER_DRAINING
 			? [`${row.hosts} hosts: ${row.messagesPerDraining} messages for one draining.`]
 			: [],
--- a/packages/wagtailroute-announcements/src/deltas.ts
+++ b/packages/wagtailroute-announcements/src/deltas.ts
@@ -1,28 +1,28 @@
 /**
-Deltas: a record that changed is sent to every other carrier at once, and again until it is acknowledged.
+Deltas: a changed lease is sent to every other carrier at once, and again until it is acknowledged.
 */
 import type * as core from 'wagtailroute-core';
 import {
-	MAX_ATTEMPTS,
+	MAX_DELTA_ATTEMPTS,
 	MAX_LEASES_PER_MESSAGE,
 	MAX_PENDING_PER_PEER,
-	RESEND_MILLISECONDS,
+	INITIAL_RESEND_DELAY_MILLISECONDS,
 } from './constants.ts';
 import type {Lease} from './leases.ts';
 import type {Effect, LeaseVersion} from './messages.ts';
 import type {AnnouncementState, Peer, ServiceTable} from './state.ts';
 
 /**
-Returns what this host owes a peer, created when missing.
+Returns the state of a peer, created if missing.
 */
-export function openPeer(state: AnnouncementState, id: core.HostId, nextDigestAt: number): Peer {
+export function getOrCreatePeer(state: AnnouncementState, id: core.HostId, nextDigestAt: number): Peer {
 	const peer = state.peers.get(id) ?? {services: new Set(), pending: new Map(), nextDigestAt};
 	state.peers.set(id, peer);
 	return peer;
 }
 
 /**
-Sends a record to all other carriers of its service, to be sent again until they acknowledge it.
+Sends a lease to all other carriers of its service, and again until they acknowledge it.
 */
 export function replicateLease(
 	state: AnnouncementState,
@@ -36,10 +36,10 @@
 			continue;
 		}
 
-		const {pending} = openPeer(state, id, now);
+		const {pending} = getOrCreatePeer(state, id, now);
 		pending.delete(getKey(lease));
-		pending.set(getKey(lease), {lease, attempts: 1, nextAt: now + RESEND_MILLISECONDS});
-		boundPending(pending);
+		pending.set(getKey(lease), {lease, attempts: 1, nextAt: now + INITIAL_RESEND_DELAY_MILLISECONDS});
+		evictPending(pending);
 		effects.push({kind: 'send', to: id, message: {kind: 'delta', leases: [lease]}});
 	}
 
@@ -47,9 +47,9 @@
 }
 
 /**
-Passes on, once, what changed for the hosts that send work, as heard from another host. Without it, a host that only the
-sender can't reach would go on sending work to a server that is going: its requests would fail, and no retransmission
-would ever reach it.
+Relays a lease received from another host to the other carriers, once. Without it, a carrier that only the sender can't
+reach would go on sending work to a server that is shutting down: its requests would fail, and no retransmission would
+ever reach that carrier.
 */
 export function relayLease(
 	state: AnnouncementState,
@@ -63,29 +63,29 @@
 }
 
 /**
-Takes note of what a peer has.
+Removes the pending deltas that a peer has acknowledged.
 */
-export function acknowledgeVersions(
+export function applyAcknowledgement(
 	state: AnnouncementState,
 	from: core.HostId,
 	versions: readonly LeaseVersion[],
 ): void {
 	const pending = state.peers.get(from)?.pending;
 	for (const version of versions) {
-		const waiting = pending?.get(getKey(version));
-		if (waiting && waiting.lease.version <= version.version) {
+		const delta = pending?.get(getKey(version));
+		if (delta && delta.lease.version <= version.version) {
 			pending?.delete(getKey(version));
 		}
 	}
 }
 
 /**
-Sends unacknowledged deltas again, in one message a peer.
+Sends unacknowledged deltas again, in one message per peer.
 */
 export function resendDeltas(state: AnnouncementState, now: number): readonly Effect[] {
 	const effects: Effect[] = [];
 	for (const [id, peer] of state.peers) {
-		const leases = takeDueLeases(peer, now);
+		const leases = collectDueLeases(peer, now);
 		if (leases.length > 0) {
 			effects.push({kind: 'send', to: id, message: {kind: 'delta', leases}});
 		}
@@ -94,19 +94,19 @@
 	return effects;
 }
 
-function takeDueLeases(peer: Peer, now: number): readonly Lease[] {
+function collectDueLeases(peer: Peer, now: number): readonly Lease[] {
 	const leases: Lease[] = [];
 	for (const [key, delta] of peer.pending) {
 		if (delta.nextAt > now || leases.length >= MAX_LEASES_PER_MESSAGE) {
 			continue;
 		}
 
-		if (delta.attempts >= MAX_ATTEMPTS) {
+		if (delta.attempts >= MAX_DELTA_ATTEMPTS) {
 			peer.pending.delete(key);
 			continue;
 		}
 
-		delta.nextAt = now + (RESEND_MILLISECONDS * (2 ** delta.attempts));
+		delta.nextAt = now + (INITIAL_RESEND_DELAY_MILLISECONDS * (2 ** delta.attempts));
 		delta.attempts++;
 		leases.push(delta.lease);
 	}
@@ -114,7 +114,7 @@
 	return leases;
 }
 
-function boundPending(pending: Map<string, unknown>): void {
+function evictPending(pending: Map<string, unknown>): void {
 	for (const key of pending.keys()) {
 		if (pending.size <= MAX_PENDING_PER_PEER) {
 			return;
--- a/packages/wagtailroute-announcements/src/vouching.ts
+++ b/packages/wagtailroute-announcements/src/digests.ts
@@ -1,25 +1,26 @@
 /**
-Vouching: a holder tells the other carriers at intervals, in a few bytes, that all leases it holds still run. Where the
-receiver has other records than the holder, it asks for the list.
+Digests: at intervals, a holder confirms to the other carriers in a few bytes that all its leases are still valid. A
+receiver whose leases of the holder differ from the digest requests the list.
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {
 	BOOTSTRAP_PEERS,
-	DIGEST_MILLISECONDS,
-	VOUCH_MILLISECONDS,
+	DIGEST_INTERVAL_MILLISECONDS,
+	CONFIRMATION_VALIDITY_MILLISECONDS,
 } from './constants.ts';
-import {openPeer} from './deltas.ts';
+import {getOrCreatePeer} from './deltas.ts';
 import type {Digest, Effect} from './messages.ts';
 import type {
 	AnnouncementState,
 	Peer,
 	ServiceTable,
 } from './state.ts';
-import {getHeldEntries, openService, summarizeHolder} from './table.ts';
+import {listHeldEntries, getOrCreateTable, summarizeHolder} from './table.ts';
 
 /**
-Takes the carriers of a service; a host that starts to carry it asks others for the leases.
+Sets the carriers of a service. A host that starts to carry it queries other carriers for the leases, and a holder sends
+its digest to new carriers.
 */
 export function setCarriers(
 	state: AnnouncementState,
@@ -27,7 +28,7 @@
 	carriers: readonly core.HostId[],
 	{now, random}: core.Circumstances,
 ): readonly Effect[] {
-	const table = openService(state, service);
+	const table = getOrCreateTable(state, service);
 	if (!table) {
 		return [];
 	}
@@ -35,20 +36,20 @@
 	const before = new Set(table.carriers);
 	const peers = carriers.filter(id => id !== state.self);
 	table.carriers = [...carriers];
-	forgetPeers(state, service, [...before].filter(id => !carriers.includes(id)));
+	removePeers(state, service, [...before].filter(id => !carriers.includes(id)));
 	for (const id of peers) {
-		// Spread over the interval, so that digests to many peers don't leave at once.
-		openPeer(state, id, now + (random() * DIGEST_MILLISECONDS)).services.add(service);
+		// The first digests are spread over the interval, so that those to many peers aren't sent at once.
+		getOrCreatePeer(state, id, now + (random() * DIGEST_INTERVAL_MILLISECONDS)).services.add(service);
 	}
 
 	const hasJoined = carriers.includes(state.self) && !before.has(state.self);
-	const asked = hasJoined ? utils.shuffle(random, peers).slice(0, BOOTSTRAP_PEERS) : [];
-	const queries = asked.map((to): Effect => ({kind: 'send', to, message: {kind: 'query', service}}));
-	return [...queries, ...vouchForNewPeers(state, table, peers.filter(id => !before.has(id)))];
+	const queriedPeers = hasJoined ? utils.shuffle(random, peers).slice(0, BOOTSTRAP_PEERS) : [];
+	const queries = queriedPeers.map((to): Effect => ({kind: 'send', to, message: {kind: 'query', service}}));
+	return [...queries, ...sendDigestToNewPeers(state, table, peers.filter(id => !before.has(id)))];
 }
 
 /**
-Sends the digests that are due, one message a peer.
+Sends the digests that are due, one message per peer.
 */
 export function sendDigests(state: AnnouncementState, now: number): readonly Effect[] {
 	const effects: Effect[] = [];
@@ -57,7 +58,7 @@
 			continue;
 		}
 
-		peer.nextDigestAt = now + DIGEST_MILLISECONDS;
+		peer.nextDigestAt = now + DIGEST_INTERVAL_MILLISECONDS;
 		const digests = getDigests(state, peer);
 		if (digests.length > 0) {
 			effects.push({kind: 'send', to: id, message: {kind: 'digest', digests}});
@@ -68,9 +69,9 @@
 }
 
 /**
-Takes the digests of a holder.
+Confirms the leases of a holder whose digests match, and requests the holder's list for the others.
 */
-export function receiveDigests(
+export function applyDigests(
 	state: AnnouncementState,
 	holder: core.HostId,
 	digests: readonly Digest[],
@@ -78,7 +79,7 @@
 ): readonly Effect[] {
 	const effects: Effect[] = [];
 	for (const {service, count, hash} of digests) {
-		const table = openService(state, service);
+		const table = getOrCreateTable(state, service);
 		if (!table) {
 			continue;
 		}
@@ -89,14 +90,14 @@
 			continue;
 		}
 
-		extendVouches(table, holder, now + VOUCH_MILLISECONDS);
+		extendConfirmations(table, holder, now + CONFIRMATION_VALIDITY_MILLISECONDS);
 	}
 
 	return effects;
 }
 
-function extendVouches(table: ServiceTable, holder: core.HostId, until: number): void {
-	for (const entry of getHeldEntries(table, holder)) {
+function extendConfirmations(table: ServiceTable, holder: core.HostId, until: number): void {
+	for (const entry of listHeldEntries(table, holder)) {
 		entry.until = until;
 	}
 }
@@ -108,7 +109,7 @@
 		.toArray();
 }
 
-function vouchForNewPeers(
+function sendDigestToNewPeers(
 	state: AnnouncementState,
 	table: ServiceTable,
 	added: readonly core.HostId[],
@@ -122,7 +123,7 @@
 	return added.map(to => ({kind: 'send', to, message: {kind: 'digest', digests}}));
 }
 
-function forgetPeers(state: AnnouncementState, service: core.ServiceName, removed: readonly core.HostId[]): void {
+function removePeers(state: AnnouncementState, service: core.ServiceName, removed: readonly core.HostId[]): void {
 	for (const id of removed) {
 		const peer = state.peers.get(id);
 		peer?.services.delete(service);
--- a/packages/wagtailroute-announcements/src/failures.ts
+++ b/packages/wagtailroute-announcements/src/failures.ts
@@ -1,11 +1,11 @@
 /**
-Failures of announcements.
+Refusals of announcements, which the backend server receives.
 */
 import type * as core from 'wagtailroute-core';
 
 /**
-`bad-announcement`: the body or a name isn't as required. `too-many-services`, `too-many-upstreams`: a bound is reached.
-`recently-drained`: a serving announcement soon after draining or leaving, taken for an old one that was delayed.
+`bad-announcement`: the body or a name is invalid. `too-many-services`, `too-many-upstreams`: a bound is reached.
+`recently-drained`: a serving announcement soon after draining or leaving, which may be an older, delayed one.
 */
 export type AnnouncementFailureKind =
 	| 'bad-announcement'
@@ -14,6 +14,6 @@
 	| 'recently-drained';
 
 /**
-A typed failure of an announcement.
+The reason for which an announcement is refused, with its message to the backend server.
 */
 export type AnnouncementFailure = core.Failure<AnnouncementFailureKind>;
--- a/packages/wagtailroute-announcements/src/index.ts
+++ b/packages/wagtailroute-announcements/src/index.ts
@@ -1,8 +1,8 @@
 /**
-Announcements: leases of upstreams, kept alike on all hosts that carry their service.
+Announcements: leases of upstreams, replicated to all hosts that carry their service.
 */
 export {
-	DRAIN_HOLD_MILLISECONDS,
+	DRAIN_HOLD_DOWN_MILLISECONDS,
 	LEASE_MILLISECONDS,
 	LEASE_SECONDS,
 	RENEW_SECONDS,
@@ -21,7 +21,7 @@
 	Event,
 	LeaseVersion,
 	Message,
-	VouchedLease,
+	ConfirmedLease,
 } from './messages.ts';
 export {parseAnnouncement, parseUpstreamId} from './parsing.ts';
 export {type AnnouncementState, createAnnouncements} from './state.ts';
--- a/packages/wagtailroute-announcements/src/leases.ts
+++ b/packages/wagtailroute-announcements/src/leases.ts
@@ -1,11 +1,11 @@
 /**
 Leases of upstreams and the order in which one replaces another.
 
-The order is a join: a host keeps the greatest record it has heard, so the order of arrival, repetition and loss of
-messages don't matter in the end. A host that accepts an announcement gives it the next version after the one it knows.
-When two hosts give the same version, the state decides: an end by expiry loses against everything, because the upstream
-may have renewed elsewhere; draining and leaving win over serving, because sending work to a server that is going harms
-more than sending none for a moment.
+Merging is a join: a host keeps the greatest lease that it has received, so all hosts converge whatever the order,
+repetition and loss of messages. A host that accepts an announcement gives it the next version after the one it knows.
+When two hosts assign the same version, the state decides: expiry loses against everything, because the upstream may
+have renewed elsewhere; draining and leaving win over serving, because sending work to a server that is shutting down
+does more harm than sending none for a moment.
 */
 /* eslint-disable no-bitwise -- hashes are made of bit operations */
 import type * as core from 'wagtailroute-core';
@@ -16,28 +16,28 @@
 export type UpstreamState = 'serving' | 'draining';
 
 /**
-States of a lease. `expired`: no renewal in time; `left`: the upstream said so. Both are tombstones.
+States of a lease. `expired`: not renewed in time; `left`: the upstream announced that it leaves. Both are tombstones.
 */
 export type LeaseState = 'expired' | 'serving' | 'draining' | 'left';
 
 /**
-What an upstream tells of itself.
+The data that an upstream announces of itself.
 */
 export type Announcement = core.Address & {
 	readonly failureDomain: core.FailureDomain;
 	/**
-	Requests that it runs at once.
+	Requests that it runs concurrently.
 	*/
 	readonly slots: number;
 	/**
-	Connections that it takes in all.
+	Connections that it accepts in total.
 	*/
 	readonly connections: number;
 	readonly state: UpstreamState;
 };
 
 /**
-An upstream as the hosts that send it work see it.
+An upstream as the hosts that send work to it use it.
 */
 export type Upstream = Announcement & {
 	readonly service: core.ServiceName;
@@ -45,13 +45,13 @@
 };
 
 /**
-A versioned record of an upstream.
+A versioned record of an upstream, replicated to all carriers of its service.
 */
 export type Lease = Omit<Upstream, 'state'> & {
 	readonly state: LeaseState;
 	readonly version: number;
 	/**
-	The host at which the upstream renews and which vouches for it.
+	The host at which the upstream renews, and which confirms the lease to the other carriers.
 	*/
 	readonly holder: core.HostId;
 };
@@ -64,29 +64,29 @@
 };
 
 /**
-Rank of a state at equal versions; the higher one wins.
+Returns the rank of a state; at equal versions the higher one wins.
 */
 export function getStateRank(state: LeaseState): number {
 	return STATE_RANKS[state];
 }
 
 /**
-Says whether the lease is a tombstone.
+Returns whether the lease has expired or its upstream has left.
 */
 export function isTombstone(lease: Lease): boolean {
 	return lease.state === 'expired' || lease.state === 'left';
 }
 
 /**
-Says whether the upstream is on its way out or gone by its own word.
+Returns whether the upstream has announced that it is draining or leaving.
 */
 export function isLeaving(lease: Lease): boolean {
 	return lease.state === 'draining' || lease.state === 'left';
 }
 
 /**
-Says whether two records of one upstream may be of the same process, by their address. A host that is told of the leaving
-of an upstream it never heard of has no address for it: port 0.
+Returns whether two records of one upstream may belong to the same process, by their address. When an unknown upstream
+leaves, the host has no address for it and stores port 0, which matches any address.
 */
 export function isSameProcess(left: core.Address, right: core.Address): boolean {
 	return left.port === 0 || right.port === 0 || (left.ip === right.ip && left.port === right.port);
@@ -100,21 +100,21 @@
 		left.version - right.version,
 		getStateRank(left.state) - getStateRank(right.state),
 		compareText(left.holder, right.holder),
-		// A holder that lost its memory may give a version twice; the content then decides, so that all hosts agree.
+		// A holder that lost its state may assign a version twice; the content then decides, so that all hosts agree.
 		compareText(formatContent(left), formatContent(right)),
 	];
 	return orders.find(order => order !== 0) ?? 0;
 }
 
 /**
-Says whether two records tell the hosts that send work the same.
+Returns whether two records of one upstream have the same address, capacity and failure domain.
 */
 export function isSameContent(left: Omit<Upstream, 'state'>, right: Omit<Upstream, 'state'>): boolean {
 	return formatContent(left) === formatContent(right);
 }
 
 /**
-Hash of a lease's identity and version, an unsigned 32-bit integer (FNV-1a).
+Returns the FNV-1a hash of a lease's id, version, state and content, an unsigned 32-bit integer.
 */
 export function hashLease(lease: Lease): number {
 	const text = `${lease.id} ${lease.version} ${lease.state} ${formatContent(lease)}`;
@@ -139,7 +139,7 @@
 }
 
 /**
-Orders two names by their UTF-16 units: alike on every host, whatever its locale.
+Orders two names by their UTF-16 units, which gives the same order on every host, whatever its locale.
 */
 export function compareText(left: string, right: string): number {
 	return left < right ? -1 : Number(left > right);
--- a/packages/wagtailroute-announcements/src/lists.ts
+++ b/packages/wagtailroute-announcements/src/lists.ts
@@ -1,23 +1,23 @@
 /**
-Lists of leases: the answer to a carrier whose records differ from a holder's digest, that starts to carry a service, or
-that hasn't heard a holder for long (a one-way partition). Each lease comes with what remains of the time for which the
-sender takes it as vouched for, so that two carriers never keep a lease alive by each other's word.
+Lists of leases: the answer to a carrier whose leases differ from a holder's digest, that starts to carry a service, or
+that has received nothing from a holder for long (a one-way partition). Each lease is sent with the remaining time for
+which the sender considers it confirmed, so that two carriers never keep a lease alive by confirming it to each other.
 */
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {
 	MAX_LEASES_PER_MESSAGE,
 	QUERY_INTERVAL_MILLISECONDS,
-	VOUCH_MILLISECONDS,
-	VOUCH_QUERY_MILLISECONDS,
+	CONFIRMATION_VALIDITY_MILLISECONDS,
+	CONFIRMATION_QUERY_LEAD_MILLISECONDS,
 } from './constants.ts';
 import {compareLeases, isTombstone} from './leases.ts';
 import {mergeLease} from './merging.ts';
-import type {Effect, VouchedLease} from './messages.ts';
-import type {AnnouncementState, Entry, ServiceTable} from './state.ts';
+import type {Effect, ConfirmedLease} from './messages.ts';
+import type {AnnouncementState, LeaseEntry, ServiceTable} from './state.ts';
 
 /**
-Answers a query with what this host knows, tombstones included.
+Answers a query with the leases that this host knows, including tombstones.
 */
 export function answerQuery(
 	state: AnnouncementState,
@@ -28,26 +28,26 @@
 	const entries = state.services.get(query.service)?.entries.values().toArray() ?? [];
 	const leases = entries
 		.filter(entry => query.holder === undefined || entry.lease.holder === query.holder)
-		.map((entry): VouchedLease => ({
+		.map((entry): ConfirmedLease => ({
 			lease: entry.lease,
-			milliseconds: entry.lease.holder === state.self ? VOUCH_MILLISECONDS : Math.max(0, entry.until - now),
+			milliseconds: entry.lease.holder === state.self ? CONFIRMATION_VALIDITY_MILLISECONDS : Math.max(0, entry.until - now),
 		}));
 	const effects: Effect[] = [];
 	for (let start = 0; start < leases.length; start += MAX_LEASES_PER_MESSAGE) {
-		const part = leases.slice(start, start + MAX_LEASES_PER_MESSAGE);
-		effects.push({kind: 'send', to: from, message: {kind: 'list', service: query.service, leases: part}});
+		const page = leases.slice(start, start + MAX_LEASES_PER_MESSAGE);
+		effects.push({kind: 'send', to: from, message: {kind: 'list', service: query.service, leases: page}});
 	}
 
 	return effects;
 }
 
 /**
-Takes a list: merges its records, extends the vouches, and answers with records that are newer here.
+Merges the leases of a list, extends their confirmations, and answers with the leases that are newer on this host.
 */
-export function receiveList(
+export function applyList(
 	state: AnnouncementState,
 	from: core.HostId,
-	list: {readonly service: core.ServiceName; readonly leases: readonly VouchedLease[]},
+	list: {readonly service: core.ServiceName; readonly leases: readonly ConfirmedLease[]},
 	now: number,
 ): readonly Effect[] {
 	const effects: Effect[] = [];
@@ -59,7 +59,7 @@
 			newer.push(merge.newer);
 		}
 
-		extendVouch(state, {lease, milliseconds}, from, now);
+		extendConfirmation(state, {lease, milliseconds}, from, now);
 	}
 
 	return newer.length > 0
@@ -68,9 +68,9 @@
 }
 
 /**
-Asks another carrier about holders that haven't vouched for some time.
+Queries another carrier when confirmations of holders are about to end, preferably one that isn't such a holder itself.
 */
-export function queryStaleHolders(
+export function queryUnconfirmedHolders(
 	state: AnnouncementState,
 	table: ServiceTable,
 	{now, random}: core.Circumstances,
@@ -79,29 +79,29 @@
 		return [];
 	}
 
-	const isStale = ({lease, until}: Entry): boolean => !isTombstone(lease)
+	const isUnconfirmed = ({lease, until}: LeaseEntry): boolean => !isTombstone(lease)
 		&& lease.holder !== state.self
-		&& until - now < VOUCH_QUERY_MILLISECONDS;
-	const stale = new Set(table.entries.values().filter(entry => isStale(entry)).map(entry => entry.lease.holder));
-	if (stale.size === 0) {
+		&& until - now < CONFIRMATION_QUERY_LEAD_MILLISECONDS;
+	const unconfirmedHolders = new Set(table.entries.values().filter(entry => isUnconfirmed(entry)).map(entry => entry.lease.holder));
+	if (unconfirmedHolders.size === 0) {
 		return [];
 	}
 
 	table.nextQueryAt = now + QUERY_INTERVAL_MILLISECONDS;
 	const others = table.carriers.filter(id => id !== state.self);
-	const heard = others.filter(id => !stale.has(id));
-	const asked = heard.length > 0 ? heard : others;
-	const to = asked[utils.pickIndex(random, asked.length)];
+	const preferredPeers = others.filter(id => !unconfirmedHolders.has(id));
+	const candidates = preferredPeers.length > 0 ? preferredPeers : others;
+	const to = candidates[utils.pickIndex(random, candidates.length)];
 	return to === undefined ? [] : [{kind: 'send', to, message: {kind: 'query', service: table.name}}];
 }
 
-function extendVouch(state: AnnouncementState, vouched: VouchedLease, from: core.HostId, now: number): void {
-	const {lease, milliseconds} = vouched;
+function extendConfirmation(state: AnnouncementState, confirmed: ConfirmedLease, from: core.HostId, now: number): void {
+	const {lease, milliseconds} = confirmed;
 	const entry = state.services.get(lease.service)?.entries.get(lease.id);
 	if (!entry || lease.holder === state.self || isTombstone(lease) || compareLeases(entry.lease, lease) !== 0) {
 		return;
 	}
 
-	const until = now + Math.min(milliseconds, VOUCH_MILLISECONDS);
+	const until = now + Math.min(milliseconds, CONFIRMATION_VALIDITY_MILLISECONDS);
 	entry.until = from === lease.holder ? until : Math.max(entry.until, until);
 }
--- a/packages/wagtailroute-announcements/src/machine.ts
+++ b/packages/wagtailroute-announcements/src/machine.ts
@@ -1,17 +1,17 @@
 /**
-The machine of announcements: events to effects, by a table of handlers.
+The state machine of announcements: maps events to effects by a table of handlers.
 */
 import type * as core from 'wagtailroute-core';
-import {announceUpstream, expireLease, leaveUpstream} from './announcing.ts';
-import {LOST_HOLDER_MILLISECONDS, PAUSE_MILLISECONDS, SCAN_MILLISECONDS} from './constants.ts';
-import {acknowledgeVersions, resendDeltas} from './deltas.ts';
+import {applyAnnouncement, expireLease, applyLeave} from './announcing.ts';
+import {LOST_HOLDER_GRACE_MILLISECONDS, MIN_PAUSE_MILLISECONDS, SCAN_INTERVAL_MILLISECONDS} from './constants.ts';
+import {applyAcknowledgement, resendDeltas} from './deltas.ts';
 import {isTombstone, type Lease} from './leases.ts';
-import {answerQuery, queryStaleHolders, receiveList} from './lists.ts';
+import {answerQuery, queryUnconfirmedHolders, applyList} from './lists.ts';
 import {mergeLease} from './merging.ts';
 import type {Effect, Event, Message} from './messages.ts';
 import type {AnnouncementState, ServiceTable} from './state.ts';
 import {removeEntry} from './table.ts';
-import {receiveDigests, sendDigests, setCarriers} from './vouching.ts';
+import {applyDigests, sendDigests, setCarriers} from './digests.ts';
 
 type EventHandlers = {
 	readonly [Kind in Event['kind']]: (
@@ -31,35 +31,35 @@
 };
 
 const MESSAGE_HANDLERS: MessageHandlers = {
-	delta: (state, from, message, now) => receiveDelta(state, from, message.leases, now),
+	delta: (state, from, message, now) => applyDelta(state, from, message.leases, now),
 	acknowledge(state, from, message) {
-		acknowledgeVersions(state, from, message.versions);
+		applyAcknowledgement(state, from, message.versions);
 		return [];
 	},
-	digest: (state, from, message, now) => receiveDigests(state, from, message.digests, now),
+	digest: (state, from, message, now) => applyDigests(state, from, message.digests, now),
 	query: (state, from, message, now) => answerQuery(state, from, message, now),
-	list: (state, from, message, now) => receiveList(state, from, message, now),
+	list: (state, from, message, now) => applyList(state, from, message, now),
 };
 
 const EVENT_HANDLERS: EventHandlers = {
-	announce: (state, event, {now}) => announceUpstream(
+	announce: (state, event, {now}) => applyAnnouncement(
 		state,
 		{service: event.service, id: event.id},
 		event.announcement,
 		now,
 	),
-	leave: (state, event, {now}) => leaveUpstream(state, {service: event.service, id: event.id}, now),
+	leave: (state, event, {now}) => applyLeave(state, {service: event.service, id: event.id}, now),
 	receive(state, {from, message}, {now}) {
 		const handler = MESSAGE_HANDLERS[message.kind];
 		return handler(state, from, message as never, now);
 	},
 	carriers: (state, event, circumstances) => setCarriers(state, event.service, event.carriers, circumstances),
 	'holder-lost'(state, event, {now}) {
-		shortenVouches(state, event.id, now + LOST_HOLDER_MILLISECONDS);
+		shortenConfirmations(state, event.id, now + LOST_HOLDER_GRACE_MILLISECONDS);
 		return [];
 	},
 	tick(state, _event, circumstances) {
-		resumeAfterPause(state, circumstances.now);
+		extendLeasesByPause(state, circumstances.now);
 		return [
 			...resendDeltas(state, circumstances.now),
 			...sendDigests(state, circumstances.now),
@@ -69,14 +69,14 @@
 };
 
 /**
-Handles an event. The state that it returns is the one given, see the table.
+Handles an event. The returned state is the given object, changed in place (see state.ts).
 */
 export const stepAnnouncements: core.Step<AnnouncementState, Event, Effect> = (state, event, circumstances) => {
 	const handler = EVENT_HANDLERS[event.kind];
-	return {state, effects: mergeChanges(handler(state, event as never, circumstances))};
+	return {state, effects: deduplicateChanges(handler(state, event as never, circumstances))};
 };
 
-function receiveDelta(
+function applyDelta(
 	state: AnnouncementState,
 	from: core.HostId,
 	leases: readonly Lease[],
@@ -101,14 +101,14 @@
 }
 
 /**
-Gives back to the leases the time for which this process was paused (a long garbage collection, a stopped virtual
-machine). Renewals that came meanwhile still wait in the sockets: without this, the first tick would end every lease that
-this host holds, and upstreams that run would get no work on any host until they renew.
+Extends all leases by the time for which this process was paused (a long garbage collection, a stopped virtual machine).
+Renewals that arrived meanwhile still wait in the sockets. Without this, the first tick would expire every lease that this
+host holds, and running upstreams would get no work from any host until they renew.
 */
-function resumeAfterPause(state: AnnouncementState, now: number): void {
+function extendLeasesByPause(state: AnnouncementState, now: number): void {
 	const pause = now - (state.lastTickAt ?? now);
 	state.lastTickAt = now;
-	if (pause < PAUSE_MILLISECONDS) {
+	if (pause < MIN_PAUSE_MILLISECONDS) {
 		return;
 	}
 
@@ -119,7 +119,7 @@
 	}
 }
 
-function shortenVouches(state: AnnouncementState, holder: core.HostId, until: number): void {
+function shortenConfirmations(state: AnnouncementState, holder: core.HostId, until: number): void {
 	for (const table of state.services.values()) {
 		for (const entry of table.entries.values()) {
 			if (entry.lease.holder === holder && !isTombstone(entry.lease)) {
@@ -134,19 +134,19 @@
 		return [];
 	}
 
-	state.nextScanAt = circumstances.now + SCAN_MILLISECONDS;
+	state.nextScanAt = circumstances.now + SCAN_INTERVAL_MILLISECONDS;
 	const effects: Effect[] = [];
 	for (const table of state.services.values()) {
 		effects.push(
-			...queryStaleHolders(state, table, circumstances),
-			...endLeases(state, table, circumstances.now),
+			...queryUnconfirmedHolders(state, table, circumstances),
+			...removeExpiredLeases(state, table, circumstances.now),
 		);
 	}
 
 	return effects;
 }
 
-function endLeases(state: AnnouncementState, table: ServiceTable, now: number): readonly Effect[] {
+function removeExpiredLeases(state: AnnouncementState, table: ServiceTable, now: number): readonly Effect[] {
 	const effects: Effect[] = [];
 	for (const entry of table.entries.values()) {
 		if (entry.until > now) {
@@ -167,7 +167,7 @@
 	return effects;
 }
 
-function mergeChanges(effects: readonly Effect[]): readonly Effect[] {
+function deduplicateChanges(effects: readonly Effect[]): readonly Effect[] {
 	const seen = new Set<core.ServiceName>();
 	return effects.filter(effect => {
 		const isRepeated = effect.kind === 'changed' && seen.has(effect.service);
--- a/packages/wagtailroute-announcements/src/merging.ts
+++ b/packages/wagtailroute-announcements/src/merging.ts
@@ -1,12 +1,12 @@
 /**
-Records heard from other hosts.
+Merging of leases that other hosts send.
 */
 import type * as core from 'wagtailroute-core';
 import {
-	DRAIN_HOLD_MILLISECONDS,
+	DRAIN_HOLD_DOWN_MILLISECONDS,
 	LEASE_MILLISECONDS,
-	TOMBSTONE_MILLISECONDS,
-	VOUCH_MILLISECONDS,
+	TOMBSTONE_RETENTION_MILLISECONDS,
+	CONFIRMATION_VALIDITY_MILLISECONDS,
 } from './constants.ts';
 import {relayLease, replicateLease} from './deltas.ts';
 import {
@@ -18,95 +18,95 @@
 	type Lease,
 } from './leases.ts';
 import type {Effect} from './messages.ts';
-import type {AnnouncementState, ServiceTable, Word} from './state.ts';
+import type {AnnouncementState, ServiceTable, LocalRecord} from './state.ts';
 import {
-	boundTombstones,
-	hasRoom,
-	openService,
+	evictTombstones,
+	hasCapacity,
+	getOrCreateTable,
 	storeLease,
 } from './table.ts';
 
 /**
-What came of a record: the effects, and this host's own record where it is the newer one.
+The result of merging a received lease: the effects, and this host's lease if that one is newer.
 */
-export type Merge = {readonly effects: readonly Effect[]; readonly newer: Lease | undefined};
+export type MergeResult = {readonly effects: readonly Effect[]; readonly newer: Lease | undefined};
 
-const NOTHING: Merge = {effects: [], newer: undefined};
+const UNCHANGED: MergeResult = {effects: [], newer: undefined};
 
 /**
-Merges a record heard from another host.
+Merges a lease received from another host.
 */
-export function mergeLease(state: AnnouncementState, lease: Lease, from: core.HostId, now: number): Merge {
-	const table = openService(state, lease.service);
+export function mergeLease(state: AnnouncementState, lease: Lease, from: core.HostId, now: number): MergeResult {
+	const table = getOrCreateTable(state, lease.service);
 	const known = table?.entries.get(lease.id);
 	if (!table) {
-		return NOTHING;
+		return UNCHANGED;
 	}
 
 	const order = known ? compareLeases(lease, known.lease) : 1;
 	if (order <= 0) {
-		return order < 0 ? {effects: [], newer: known!.lease} : NOTHING;
+		return order < 0 ? {effects: [], newer: known!.lease} : UNCHANGED;
 	}
 
-	const word = known?.word;
-	if (word && mustReassert(word, lease, now)) {
-		return {effects: reassertLease(state, table, {word, heard: lease}, now), newer: undefined};
+	const localRecord = known?.localRecord;
+	if (localRecord && shouldReassert(localRecord, lease, now)) {
+		return {effects: reassertLease(state, table, {localRecord, received: lease}, now), newer: undefined};
 	}
 
-	return !isTombstone(lease) && !hasRoom(table, lease.id) ? NOTHING : {effects: takeLease(state, table, {lease, from}, now), newer: undefined};
+	return !isTombstone(lease) && !hasCapacity(table, lease.id) ? UNCHANGED : {effects: applyLease(state, table, {lease, from}, now), newer: undefined};
 }
 
-function takeLease(
+function applyLease(
 	state: AnnouncementState,
 	table: ServiceTable,
-	heard: {readonly lease: Lease; readonly from: core.HostId},
+	received: {readonly lease: Lease; readonly from: core.HostId},
 	now: number,
 ): readonly Effect[] {
-	const {lease, from} = heard;
-	const hasChanged = storeLease(table, lease, {now, until: now + getMilliseconds(state, lease)});
-	boundTombstones(table);
+	const {lease, from} = received;
+	const hasChanged = storeLease(table, lease, {now, until: now + getLifetimeMilliseconds(state, lease)});
+	evictTombstones(table);
 	const changes: readonly Effect[] = hasChanged ? [{kind: 'changed', service: table.name}] : [];
 	return hasChanged || isLeaving(lease) ? [...changes, ...relayLease(state, table, lease, from)] : changes;
 }
 
-function getMilliseconds(state: AnnouncementState, lease: Lease): number {
+function getLifetimeMilliseconds(state: AnnouncementState, lease: Lease): number {
 	if (isTombstone(lease)) {
-		return TOMBSTONE_MILLISECONDS;
+		return TOMBSTONE_RETENTION_MILLISECONDS;
 	}
 
-	// A host that restarted hears of leases it held: they end unless they are renewed here.
-	return lease.holder === state.self ? LEASE_MILLISECONDS : VOUCH_MILLISECONDS;
+	// A restarted host receives leases that it held before: they expire unless they are renewed here.
+	return lease.holder === state.self ? LEASE_MILLISECONDS : CONFIRMATION_VALIDITY_MILLISECONDS;
 }
 
 /**
-Says whether a newer record must give way to what the upstream itself told this host a moment ago.
+Returns whether what the upstream itself announced to this host a moment ago must override a newer received lease.
 
-A host that hasn't heard of an upstream (it restarted, or its messages are late) gives its draining a low version; the
-others then hold a serving record of a higher version, and without this rule the draining would be lost until the next
-renewal, seconds later. It ends: only draining and leaving are asserted again, for a short time, and only against
-records of a lower rank.
+A host that doesn't know an upstream (it restarted, or messages to it are late) gives the upstream's draining a low
+version, while the other hosts have a serving lease of a higher version. Without this rule the draining would be lost
+until the next renewal, seconds later. The rule can't repeat forever: only draining and leaving are asserted again, for a
+short time, and only against states of a lower rank.
 */
-function mustReassert(word: Word, heard: Lease, now: number): boolean {
-	return isLeaving(word.lease)
-		&& now - word.at <= DRAIN_HOLD_MILLISECONDS
-		&& getStateRank(heard.state) < getStateRank(word.lease.state)
-		&& isSameProcess(word.lease, heard);
+function shouldReassert(localRecord: LocalRecord, received: Lease, now: number): boolean {
+	return isLeaving(localRecord.lease)
+		&& now - localRecord.at <= DRAIN_HOLD_DOWN_MILLISECONDS
+		&& getStateRank(received.state) < getStateRank(localRecord.lease.state)
+		&& isSameProcess(localRecord.lease, received);
 }
 
 function reassertLease(
 	state: AnnouncementState,
 	table: ServiceTable,
-	records: {readonly word: Word; readonly heard: Lease},
+	records: {readonly localRecord: LocalRecord; readonly received: Lease},
 	now: number,
 ): readonly Effect[] {
-	const {word, heard} = records;
+	const {localRecord, received} = records;
 	const lease: Lease = {
-		...heard,
-		state: word.lease.state,
-		version: heard.version + 1,
+		...received,
+		state: localRecord.lease.state,
+		version: received.version + 1,
 		holder: state.self,
 	};
-	const hasChanged = storeLease(table, lease, {now, until: now + getMilliseconds(state, lease)});
+	const hasChanged = storeLease(table, lease, {now, until: now + getLifetimeMilliseconds(state, lease)});
 	const changes: readonly Effect[] = hasChanged ? [{kind: 'changed', service: table.name}] : [];
 	return [...changes, ...replicateLease(state, table, lease, now)];
 }
--- a/packages/wagtailroute-announcements/src/messages.ts
+++ b/packages/wagtailroute-announcements/src/messages.ts
@@ -1,29 +1,29 @@
 /**
-Messages between the hosts that carry a service, and what the machine takes and gives.
+Messages between the hosts that carry a service, and the events and effects of the state machine.
 
-Every message is versioned by the leases in it or idempotent, so that loss, repetition and reordering do no harm.
+Every message is idempotent or carries versioned leases, so that loss, repetition and reordering do no harm.
 */
 import type * as core from 'wagtailroute-core';
 import type {AnnouncementFailure} from './failures.ts';
 import type {Announcement, Lease} from './leases.ts';
 
 /**
-What the sender holds of a service, in short.
+A summary of the live leases of one service whose holder is the sender.
 */
 export type Digest = {
 	readonly service: core.ServiceName;
 	/**
-	Live leases that the sender holds.
+	Number of these leases.
 	*/
 	readonly count: number;
 	/**
-	Their hashes, combined.
+	Hashes of these leases, combined by `combineHashes`.
 	*/
 	readonly hash: number;
 };
 
 /**
-Names one version of one lease.
+One version of one lease.
 */
 export type LeaseVersion = {
 	readonly service: core.ServiceName;
@@ -36,34 +36,34 @@
 */
 export type Message =
 	/**
-	Leases that changed, acknowledged by `versions`.
+	Changed leases. The receiver acknowledges them by `versions`.
 	*/
 	| {readonly kind: 'delta'; readonly leases: readonly Lease[]}
 	| {readonly kind: 'acknowledge'; readonly versions: readonly LeaseVersion[]}
 	/**
-	Vouches for all leases that the sender holds, where the receiver has the same.
+	Confirms all leases that the sender holds, if the receiver has the same ones.
 	*/
 	| {readonly kind: 'digest'; readonly digests: readonly Digest[]}
 	/**
-	Asks for the leases of one holder, or of all.
+	Requests the leases of one holder, or of all holders.
 	*/
 	| {readonly kind: 'query'; readonly service: core.ServiceName; readonly holder?: core.HostId}
 	/**
-	Answers a query, in parts that stand alone. Only live leases are vouched for, for the time given.
+	Answers a query. Each list message can be applied by itself. Only live leases are confirmed, for the given time.
 	*/
 	| {
 		readonly kind: 'list';
 		readonly service: core.ServiceName;
-		readonly leases: readonly VouchedLease[];
+		readonly leases: readonly ConfirmedLease[];
 	};
 
 /**
-A lease and for how long the sender takes it as vouched for, in milliseconds from now.
+A lease, and the milliseconds from now for which the sender considers it confirmed by its holder.
 */
-export type VouchedLease = {readonly lease: Lease; readonly milliseconds: number};
+export type ConfirmedLease = {readonly lease: Lease; readonly milliseconds: number};
 
 /**
-What happens to the machine.
+The input of the state machine.
 */
 export type Event =
 	| {
@@ -75,29 +75,29 @@
 	| {readonly kind: 'leave'; readonly service: core.ServiceName; readonly id: core.UpstreamId}
 	| {readonly kind: 'receive'; readonly from: core.HostId; readonly message: Message}
 	/**
-	The hosts that carry a service, this one included if it does.
+	All hosts that carry a service, including this host if it does.
 	*/
 	| {readonly kind: 'carriers'; readonly service: core.ServiceName; readonly carriers: readonly core.HostId[]}
 	/**
-	Membership lost a host (suspected, dead or left).
+	Membership considers a host suspected, dead or left.
 	*/
 	| {readonly kind: 'holder-lost'; readonly id: core.HostId}
 	/**
-	To be sent every 100 ms or so.
+	Drives the timers; expected about every 100 ms.
 	*/
 	| {readonly kind: 'tick'};
 
 /**
-What is to be done.
+The output of the state machine.
 */
 export type Effect =
 	| {readonly kind: 'send'; readonly to: core.HostId; readonly message: Message}
 	/**
-	What `getUpstreams` gives for the service is another array now.
+	The upstreams of the service changed: `getUpstreams` returns another array than before.
 	*/
 	| {readonly kind: 'changed'; readonly service: core.ServiceName}
 	/**
-	Answers of `announce` and `leave`.
+	The answers to `announce` and `leave` events.
 	*/
 	| {readonly kind: 'accepted'; readonly service: core.ServiceName; readonly id: core.UpstreamId}
 	| {
--- a/packages/wagtailroute-announcements/src/parsing.ts
+++ b/packages/wagtailroute-announcements/src/parsing.ts
@@ -1,5 +1,5 @@
 /**
-Checks of what upstreams send, before it reaches the tables.
+Validation of the input from upstreams.
 */
 import * as results from 'ts-results-es';
 import * as core from 'wagtailroute-core';
@@ -10,7 +10,7 @@
 
 const MAX_PORT = 65_535;
 
-// Names travel in paths and logs: no spaces, slashes or control characters.
+// Names appear in paths and logs: no spaces, slashes or control characters.
 const NAME = z.string().min(1).max(MAX_NAME_LENGTH).regex(/^[\w\-.:@]+$/v);
 
 const ANNOUNCEMENT = z.object({
@@ -23,14 +23,14 @@
 });
 
 /**
-Reads the body of an announcement.
+Validates the body of an announcement.
 */
 export function parseAnnouncement(json: unknown): results.Result<Announcement, AnnouncementFailure> {
 	return parse(ANNOUNCEMENT, json, 'announcement');
 }
 
 /**
-Reads the name of an upstream.
+Validates the name of an upstream.
 */
 export function parseUpstreamId(id: unknown): results.Result<core.UpstreamId, AnnouncementFailure> {
 	return parse(NAME, id, 'upstream name');
@@ -39,7 +39,7 @@
 function parse<Value>(
 	schema: z.ZodType<Value>,
 	input: unknown,
-	what: string,
+	subject: string,
 ): results.Result<Value, AnnouncementFailure> {
 	const parsed = schema.safeParse(input);
 	if (parsed.success) {
@@ -48,5 +48,5 @@
 
 	const issue = parsed.error.issues[0]!;
 	const place = issue.path.length > 0 ? ` at ${issue.path.join('.')}` : '';
-	return results.Err(core.createFailure('bad-announcement', `The ${what} is refused${place}: ${issue.message}.`));
+	return results.Err(core.createFailure('bad-announcement', `The ${subject} is refused${place}: ${issue.message}.`));
 }
--- a/packages/wagtailroute-announcements/src/state.ts
+++ b/packages/wagtailroute-announcements/src/state.ts
@@ -1,67 +1,68 @@
 /**
-State of the machine.
+State of the state machine.
 
-The tables are mutable inside the state, because a host handles a dozen renewals a second and copying its tables for
-each would cost more than the renewal. What is handed out is immutable: leases and the arrays of upstreams are replaced,
-never changed.
+The tables are mutable inside the state, because a host handles a dozen renewals per second and copying its tables for
+each would cost more than the renewal. Leases and the arrays of upstreams, which leave the state, are replaced, never
+changed.
 */
 import type * as core from 'wagtailroute-core';
 import type {Lease, Upstream} from './leases.ts';
 
 /**
-A lease with what only this host knows of it. Times are monotonic milliseconds.
+A lease with data local to this host. Times are milliseconds of this host's monotonic clock.
 */
-export type Entry = {
+export type LeaseEntry = {
 	lease: Lease;
 	/**
-	When the lease ends here; for a tombstone, when it is forgotten.
+	When the lease expires on this host; for a tombstone, when it is removed.
 	*/
 	until: number;
 	/**
-	The last record that this host made of what the upstream itself told it, whatever was heard since.
+	The last lease that this host itself created for the upstream (announced, left or expired), regardless of newer ones
+	from other hosts.
 	*/
-	word: Word | undefined;
+	localRecord: LocalRecord | undefined;
 	/**
-	When the upstream began to drain or left, as this host learned it.
+	When this host stored the lease in which the upstream began to drain or left; meaningful only for such leases.
 	*/
 	leavingSince: number;
 	/**
-	The lease as the hosts that send work see it; undefined for a tombstone.
+	The upstream as `getUpstreams` returns it; undefined for a tombstone.
 	*/
 	upstream: Upstream | undefined;
 	hash: number;
 };
 
 /**
-A record made of an upstream's own word, and when.
+A lease that this host created itself, and when it was created or last announced again.
 */
-export type Word = {readonly lease: Lease; readonly at: number};
+export type LocalRecord = {readonly lease: Lease; readonly at: number};
 
 /**
 The leases of one service.
 */
 export type ServiceTable = {
 	readonly name: core.ServiceName;
-	readonly entries: Map<core.UpstreamId, Entry>;
+	readonly entries: Map<core.UpstreamId, LeaseEntry>;
 	carriers: readonly core.HostId[];
-	live: number;
+	liveCount: number;
 	/**
-	Undefined after a change, until it is asked for.
+	The cached result of `getUpstreams`; undefined after a change.
 	*/
 	upstreams: readonly Upstream[] | undefined;
 	/**
-	When another carrier may be asked again to vouch for a holder.
+	When another carrier may be queried again about unconfirmed leases.
 	*/
 	nextQueryAt: number;
 };
 
 /**
-A delta that a peer hasn't acknowledged.
+A delta that a peer hasn't acknowledged, and when it is sent again.
 */
 export type PendingDelta = {readonly lease: Lease; attempts: number; nextAt: number};
 
 /**
-What this host owes a peer.
+Another carrier: the services that this host shares with it, the unacknowledged deltas, and when the next digest is due.
 */
 export type Peer = {
 	readonly services: Set<core.ServiceName>;
@@ -70,7 +71,7 @@
 };
 
 /**
-State of the machine.
+All leases and peers that a host knows.
 */
 export type AnnouncementState = {
 	readonly self: core.HostId;
@@ -81,7 +82,7 @@
 };
 
 /**
-Creates the state of a host that knows no lease.
+Creates the state of a host without leases.
 */
 export function createAnnouncements(self: core.HostId): AnnouncementState {
 	return {
--- a/packages/wagtailroute-announcements/src/table.ts
+++ b/packages/wagtailroute-announcements/src/table.ts
@@ -1,5 +1,5 @@
 /**
-The leases that a host knows, by service: reading and storing them.
+The leases that a host knows, by service.
 */
 import type * as core from 'wagtailroute-core';
 import {MAX_SERVICES, MAX_TOMBSTONES_PER_SERVICE, MAX_UPSTREAMS_PER_SERVICE} from './constants.ts';
@@ -15,15 +15,15 @@
 } from './leases.ts';
 import type {
 	AnnouncementState,
-	Entry,
+	LeaseEntry,
 	ServiceTable,
-	Word,
+	LocalRecord,
 } from './state.ts';
 
 const NO_UPSTREAMS: readonly Upstream[] = [];
 
 /**
-Upstreams of a service, serving and draining, by name. The same array as long as nothing changed.
+Returns the serving and draining upstreams of a service, ordered by id; the same array until something changes.
 */
 export function getUpstreams(state: AnnouncementState, service: core.ServiceName): readonly Upstream[] {
 	const table = state.services.get(service);
@@ -40,16 +40,16 @@
 }
 
 /**
-Names of the services of which the host keeps records.
+Returns the names of the services for which the host keeps leases.
 */
 export function getServices(state: AnnouncementState): readonly core.ServiceName[] {
 	return state.services.keys().toArray();
 }
 
 /**
-Returns the table of a service, created when there is room, or undefined.
+Returns the table of a service, created if missing; undefined if that would exceed `MAX_SERVICES`.
 */
-export function openService(state: AnnouncementState, service: core.ServiceName): ServiceTable | undefined {
+export function getOrCreateTable(state: AnnouncementState, service: core.ServiceName): ServiceTable | undefined {
 	const known = state.services.get(service);
 	if (known) {
 		return known;
@@ -63,7 +63,7 @@
 		name: service,
 		entries: new Map(),
 		carriers: [],
-		live: 0,
+		liveCount: 0,
 		upstreams: undefined,
 		nextQueryAt: 0,
 	};
@@ -72,48 +72,48 @@
 }
 
 /**
-Says whether a lease fits into the table's bounds.
+Returns whether the table may store a live lease of this upstream.
 */
-export function hasRoom(table: ServiceTable, id: core.UpstreamId): boolean {
-	return table.live < MAX_UPSTREAMS_PER_SERVICE || table.entries.get(id)?.upstream !== undefined;
+export function hasCapacity(table: ServiceTable, id: core.UpstreamId): boolean {
+	return table.liveCount < MAX_UPSTREAMS_PER_SERVICE || table.entries.get(id)?.upstream !== undefined;
 }
 
 /**
-Stores a record and says whether the service's upstreams changed by it.
+Stores a lease and returns whether the service's upstreams changed.
 */
-export function storeLease(table: ServiceTable, lease: Lease, times: {
+export function storeLease(table: ServiceTable, lease: Lease, options: {
 	readonly now: number;
 	readonly until: number;
-	readonly word?: Word;
+	readonly localRecord?: LocalRecord;
 }): boolean {
 	const known = table.entries.get(lease.id);
 	const upstream = getUpstream(lease, known?.upstream);
 	const isStillLeaving = known !== undefined && isLeaving(known.lease);
 	table.entries.set(lease.id, {
 		lease,
-		until: times.until,
-		word: times.word ?? known?.word,
-		leavingSince: isStillLeaving ? known.leavingSince : times.now,
+		until: options.until,
+		localRecord: options.localRecord ?? known?.localRecord,
+		leavingSince: isStillLeaving ? known.leavingSince : options.now,
 		upstream,
 		hash: hashLease(lease),
 	});
-	return applyChange(table, known?.upstream, upstream);
+	return recordUpstreamChange(table, known?.upstream, upstream);
 }
 
 /**
-Removes a record without a trace and says whether the service's upstreams changed by it.
+Removes a lease without leaving a tombstone and returns whether the service's upstreams changed.
 */
 export function removeEntry(table: ServiceTable, id: core.UpstreamId): boolean {
 	const known = table.entries.get(id);
 	table.entries.delete(id);
-	return applyChange(table, known?.upstream, undefined);
+	return recordUpstreamChange(table, known?.upstream, undefined);
 }
 
 /**
-Forgets the oldest tombstones above the bound.
+Removes the oldest tombstones above `MAX_TOMBSTONES_PER_SERVICE`.
 */
-export function boundTombstones(table: ServiceTable): void {
-	if (table.entries.size - table.live <= MAX_TOMBSTONES_PER_SERVICE) {
+export function evictTombstones(table: ServiceTable): void {
+	if (table.entries.size - table.liveCount <= MAX_TOMBSTONES_PER_SERVICE) {
 		return;
 	}
 
@@ -125,22 +125,22 @@
 }
 
 /**
-Live entries of one holder.
+Lists the entries of one holder's live leases.
 */
-export function getHeldEntries(table: ServiceTable, holder: core.HostId): readonly Entry[] {
+export function listHeldEntries(table: ServiceTable, holder: core.HostId): readonly LeaseEntry[] {
 	return table.entries.values()
 		.filter(entry => entry.lease.holder === holder && !isTombstone(entry.lease))
 		.toArray();
 }
 
 /**
-Count and combined hash of one holder's live leases.
+Returns the count and the combined hash of one holder's live leases.
 */
 export function summarizeHolder(
 	table: ServiceTable,
 	holder: core.HostId,
 ): {readonly count: number; readonly hash: number} {
-	const entries = getHeldEntries(table, holder);
+	const entries = listHeldEntries(table, holder);
 	let hash = 0;
 	for (const entry of entries) {
 		hash = combineHashes(hash, entry.hash);
@@ -155,16 +155,16 @@
 		return undefined;
 	}
 
-	// The same object while nothing changed for those that send work, whoever holds the lease.
+	// Returns the same object while only the holder or the version changed, which the hosts that send work don't use.
 	return known?.state === state && isSameContent(known, content) ? known : {...content, state};
 }
 
-function applyChange(table: ServiceTable, before: Upstream | undefined, after: Upstream | undefined): boolean {
+function recordUpstreamChange(table: ServiceTable, before: Upstream | undefined, after: Upstream | undefined): boolean {
 	if (before === after) {
 		return false;
 	}
 
-	table.live += Number(after !== undefined) - Number(before !== undefined);
+	table.liveCount += Number(after !== undefined) - Number(before !== undefined);
 	table.upstreams = undefined;
 	return true;
 }
