--- a/packages/wagtailroute-assignment/src/directory.ts
+++ b/packages/wagtailroute-assignment/src/directory.ts
@@ -153,6 +153,6 @@
 		return mixToUniform(hash(`${query.service} ${key}`), hash(id));
 	}
 
-	// The caller takes the logarithm, so the value must not be 0.
+	// The score is computed from the logarithm of this number, so it must not be 0.
 	return 1 - query.random();
 }
