--- a/packages/wagtailroute-announcements/src/__tests__/unit/announcements.test.ts
+++ b/packages/wagtailroute-announcements/src/__tests__/unit/announcements.test.ts
@@ -5,14 +5,14 @@
 import fc from 'fast-check';
 import * as announcements from '../../index.ts';
 import {
+	advanceTime,
 	createAnnounceEvent,
 	createNetwork,
-	deliverMessage,
 	deliverAllMessages,
+	deliverMessage,
 	formatUpstreams,
 	handleEvent,
 	type Network,
-	advanceTime,
 	SERVICE,
 	startHost,
 } from './network.ts';
--- a/packages/wagtailroute-announcements/src/announcing.ts
+++ b/packages/wagtailroute-announcements/src/announcing.ts
@@ -19,8 +19,8 @@
 import type {AnnouncementState, LeaseEntry, ServiceTable} from './state.ts';
 import {
 	evictTombstones,
-	hasCapacity,
 	getOrCreateTable,
+	hasCapacity,
 	storeLease,
 } from './table.ts';
 
--- a/packages/wagtailroute-announcements/src/bench/holders.bench.ts
+++ b/packages/wagtailroute-announcements/src/bench/holders.bench.ts
@@ -12,11 +12,11 @@
 import * as utils from 'wagtailroute-utils';
 import * as announcements from '../index.ts';
 import {
-	type SimulatedFleet,
+	advanceTime,
 	countPeers,
 	createFleet,
 	handleEvent,
-	advanceTime,
+	type SimulatedFleet,
 } from './announcements.bench.ts';
 
 const SIZES = [100, 200, 300, 400] as const;
--- a/packages/wagtailroute-announcements/src/deltas.ts
+++ b/packages/wagtailroute-announcements/src/deltas.ts
@@ -3,10 +3,10 @@
 */
 import type * as core from 'wagtailroute-core';
 import {
+	INITIAL_RESEND_DELAY_MILLISECONDS,
 	MAX_DELTA_ATTEMPTS,
 	MAX_LEASES_PER_MESSAGE,
 	MAX_PENDING_PER_PEER,
-	INITIAL_RESEND_DELAY_MILLISECONDS,
 } from './constants.ts';
 import type {Lease} from './leases.ts';
 import type {Effect, LeaseVersion} from './messages.ts';
--- a/packages/wagtailroute-announcements/src/digests.ts
+++ b/packages/wagtailroute-announcements/src/digests.ts
@@ -6,8 +6,8 @@
 import * as utils from 'wagtailroute-utils';
 import {
 	BOOTSTRAP_PEERS,
-	DIGEST_INTERVAL_MILLISECONDS,
 	CONFIRMATION_VALIDITY_MILLISECONDS,
+	DIGEST_INTERVAL_MILLISECONDS,
 } from './constants.ts';
 import {getOrCreatePeer} from './deltas.ts';
 import type {Digest, Effect} from './messages.ts';
@@ -16,7 +16,7 @@
 	Peer,
 	ServiceTable,
 } from './state.ts';
-import {listHeldEntries, getOrCreateTable, summarizeHolder} from './table.ts';
+import {getOrCreateTable, listHeldEntries, summarizeHolder} from './table.ts';
 
 /**
 Sets the carriers of a service. A host that starts to carry it queries other carriers for the leases, and a holder sends
--- a/packages/wagtailroute-announcements/src/index.ts
+++ b/packages/wagtailroute-announcements/src/index.ts
@@ -16,12 +16,12 @@
 } from './leases.ts';
 export type {AnnouncementFailure, AnnouncementFailureKind} from './failures.ts';
 export type {
+	ConfirmedLease,
 	Digest,
 	Effect,
 	Event,
 	LeaseVersion,
 	Message,
-	ConfirmedLease,
 } from './messages.ts';
 export {parseAnnouncement, parseUpstreamId} from './parsing.ts';
 export {type AnnouncementState, createAnnouncements} from './state.ts';
--- a/packages/wagtailroute-announcements/src/lists.ts
+++ b/packages/wagtailroute-announcements/src/lists.ts
@@ -6,14 +6,14 @@
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {
+	CONFIRMATION_QUERY_LEAD_MILLISECONDS,
+	CONFIRMATION_VALIDITY_MILLISECONDS,
 	MAX_LEASES_PER_MESSAGE,
 	QUERY_INTERVAL_MILLISECONDS,
-	CONFIRMATION_VALIDITY_MILLISECONDS,
-	CONFIRMATION_QUERY_LEAD_MILLISECONDS,
 } from './constants.ts';
 import {compareLeases, isTombstone} from './leases.ts';
 import {mergeLease} from './merging.ts';
-import type {Effect, ConfirmedLease} from './messages.ts';
+import type {ConfirmedLease, Effect} from './messages.ts';
 import type {AnnouncementState, LeaseEntry, ServiceTable} from './state.ts';
 
 /**
--- a/packages/wagtailroute-announcements/src/machine.ts
+++ b/packages/wagtailroute-announcements/src/machine.ts
@@ -2,11 +2,11 @@
 The state machine of announcements: maps events to effects by a table of handlers.
 */
 import type * as core from 'wagtailroute-core';
-import {applyAnnouncement, expireLease, applyLeave} from './announcing.ts';
+import {applyAnnouncement, applyLeave, expireLease} from './announcing.ts';
 import {LOST_HOLDER_GRACE_MILLISECONDS, MIN_PAUSE_MILLISECONDS, SCAN_INTERVAL_MILLISECONDS} from './constants.ts';
 import {applyAcknowledgement, resendDeltas} from './deltas.ts';
 import {isTombstone, type Lease} from './leases.ts';
-import {answerQuery, queryUnconfirmedHolders, applyList} from './lists.ts';
+import {answerQuery, applyList, queryUnconfirmedHolders} from './lists.ts';
 import {mergeLease} from './merging.ts';
 import type {Effect, Event, Message} from './messages.ts';
 import type {AnnouncementState, ServiceTable} from './state.ts';
--- a/packages/wagtailroute-announcements/src/merging.ts
+++ b/packages/wagtailroute-announcements/src/merging.ts
@@ -3,10 +3,10 @@
 */
 import type * as core from 'wagtailroute-core';
 import {
+	CONFIRMATION_VALIDITY_MILLISECONDS,
 	DRAIN_HOLD_DOWN_MILLISECONDS,
 	LEASE_MILLISECONDS,
 	TOMBSTONE_RETENTION_MILLISECONDS,
-	CONFIRMATION_VALIDITY_MILLISECONDS,
 } from './constants.ts';
 import {relayLease, replicateLease} from './deltas.ts';
 import {
@@ -18,11 +18,11 @@
 	type Lease,
 } from './leases.ts';
 import type {Effect} from './messages.ts';
-import type {AnnouncementState, ServiceTable, LocalRecord} from './state.ts';
+import type {AnnouncementState, LocalRecord, ServiceTable} from './state.ts';
 import {
 	evictTombstones,
-	hasCapacity,
 	getOrCreateTable,
+	hasCapacity,
 	storeLease,
 } from './table.ts';
 
--- a/packages/wagtailroute-announcements/src/table.ts
+++ b/packages/wagtailroute-announcements/src/table.ts
@@ -16,8 +16,8 @@
 import type {
 	AnnouncementState,
 	LeaseEntry,
-	ServiceTable,
 	LocalRecord,
+	ServiceTable,
 } from './state.ts';
 
 const NO_UPSTREAMS: readonly Upstream[] = [];
