--- a/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/fixture.ts
@@ -162,7 +162,7 @@
 		notify(method, parameters) {
 			notified.push([method, parameters]);
 		},
-		getSilence() {
+		getSilenceMilliseconds() {
 			return this.silence;
 		},
 		isOpen: () => isOpen,
--- a/packages/wagtailroute-fleet/src/control-links.ts
+++ b/packages/wagtailroute-fleet/src/control-links.ts
@@ -154,7 +154,7 @@
 				order,
 				now,
 				random,
-				pingMilliseconds: () => getPingInterval(host.id),
+				getPingIntervalMilliseconds: () => getPingInterval(host.id),
 				onOpen(opened) {
 					void sendHello(host.id, opened);
 				},
--- a/packages/wagtailroute-fleet/src/control.ts
+++ b/packages/wagtailroute-fleet/src/control.ts
@@ -318,7 +318,7 @@
 }
 
 function toEntryHostStatus({id, state, link: hostLink}: EntryHost): EntryHostStatus {
-	return {id, isReady: state.isReady, silenceMilliseconds: hostLink.getSilence()};
+	return {id, isReady: state.isReady, silenceMilliseconds: hostLink.getSilenceMilliseconds()};
 }
 
 function registerMethods(methods: Map<string, link.LinkMethod>, table: Readonly<Record<string, link.LinkMethod>>): void {
--- a/packages/wagtailroute-fleet/src/dispatch-client.ts
+++ b/packages/wagtailroute-fleet/src/dispatch-client.ts
@@ -344,7 +344,7 @@
 	*/
 	#abandonDispatcher(dispatcher: LinkedHost, reason: string): void {
 		this.#finder.markUnresponsive(dispatcher);
-		const isSilent = dispatcher.link.getSilence() >= SLOT_REQUEST_TIMEOUT_MILLISECONDS;
+		const isSilent = dispatcher.link.getSilenceMilliseconds() >= SLOT_REQUEST_TIMEOUT_MILLISECONDS;
 		const affected = this.#pending.values()
 			.filter(pending => pending.dispatcher === dispatcher && (isSilent || !pending.isWaiting))
 			.toArray();
--- a/packages/wagtailroute-fleet/src/dispatcher-finder.ts
+++ b/packages/wagtailroute-fleet/src/dispatcher-finder.ts
@@ -50,7 +50,7 @@
 	const unresponsiveSince = new WeakMap<link.Link, number>();
 	const isResponsive = ({link}: LinkedHost) => {
 		const since = unresponsiveSince.get(link) ?? -Infinity;
-		const heardAt = now() - link.getSilence();
+		const heardAt = now() - link.getSilenceMilliseconds();
 		return now() - since >= UNRESPONSIVE_DISPATCHER_MILLISECONDS && heardAt > since;
 	};
 
@@ -60,7 +60,7 @@
 		// When most did not answer in time, the others probably will not either, and each request that tries them loses a quarter of a second.
 		const candidates = responsive.length * 2 < open.length ? [] : responsive;
 		return orderDispatchers(service, candidates, control => control.host.id)
-			.find(control => control.link.getSilence() < SILENT_DISPATCHER_MILLISECONDS);
+			.find(control => control.link.getSilenceMilliseconds() < SILENT_DISPATCHER_MILLISECONDS);
 	};
 
 	const findStandby = (service: core.ServiceName) => {
--- a/packages/wagtailroute-fleet/src/entry-hosts.ts
+++ b/packages/wagtailroute-fleet/src/entry-hosts.ts
@@ -64,7 +64,7 @@
 
 	const isServing = (host: EntryHost) => {
 		const maxSilenceMilliseconds = host.failureDomain === ownDomain ? SILENT_ENTRY_MILLISECONDS : SILENT_FAR_ENTRY_MILLISECONDS;
-		return host.state.isReady && host.link.getSilence() < maxSilenceMilliseconds;
+		return host.state.isReady && host.link.getSilenceMilliseconds() < maxSilenceMilliseconds;
 	};
 
 	return {
--- a/packages/wagtailroute-fleet/src/message-order.ts
+++ b/packages/wagtailroute-fleet/src/message-order.ts
@@ -30,8 +30,8 @@
 */
 export function createMessageOrder({metrics}: Pick<FleetContext, 'metrics'>): link.MessageOrder {
 	return {
-		urgent: URGENT_METHODS,
-		limits: QUEUE_TIME_LIMITS,
+		urgentMethods: URGENT_METHODS,
+		queueTimeLimits: QUEUE_TIME_LIMITS,
 		onDropped(method) {
 			metrics.count('messages_dropped', {method});
 		},
--- a/packages/wagtailroute-fleet/src/standbys.ts
+++ b/packages/wagtailroute-fleet/src/standbys.ts
@@ -111,7 +111,7 @@
 				order,
 				now,
 				random,
-				pingMilliseconds: () => FAR_PING_INTERVAL_MILLISECONDS,
+				getPingIntervalMilliseconds: () => FAR_PING_INTERVAL_MILLISECONDS,
 				onOpen(opened) {
 					void sendHello(host.id, opened);
 				},
--- a/packages/wagtailroute-host/src/host.ts
+++ b/packages/wagtailroute-host/src/host.ts
@@ -144,7 +144,7 @@
 		address: settings.peerAddress,
 		secret: settings.fleetSecret,
 		isCut: fakes.isCut,
-		onRefused: createRefusalLog(logs('host')),
+		onHandshakeRefused: createRefusalLog(logs('host')),
 	});
 	const metrics = createMetrics(settings.hostId, settings.statsd);
 	const checked = checkPeer(opened, ({method, from = 'unknown'}) => {
--- a/packages/wagtailroute-lab/src/fleet.ts
+++ b/packages/wagtailroute-lab/src/fleet.ts
@@ -362,7 +362,7 @@
 	#listHeard(askers: ReturnType<typeof fleet.createRequestingHosts>): ReadonlyArray<Parameters<fleet.AbsenceTracker['recordLinkClosed']>[0]> {
 		return this.#entries.flatMap(({id}) => {
 			const over = askers.find(id);
-			return over === undefined ? [] : [{id, isReady: true, silenceMilliseconds: over.getSilence()}];
+			return over === undefined ? [] : [{id, isReady: true, silenceMilliseconds: over.getSilenceMilliseconds()}];
 		});
 	}
 
--- a/packages/wagtailroute-lab/src/links.ts
+++ b/packages/wagtailroute-lab/src/links.ts
@@ -86,7 +86,7 @@
 		}
 	}
 
-	getSilence(): number {
+	getSilenceMilliseconds(): number {
 		const peer = this.peer!.#end;
 		if (peer.state !== 'up') {
 			return this.#clock.now() - this.#heardAt;
--- a/packages/wagtailroute-link/src/__tests__/unit/fixture.ts
+++ b/packages/wagtailroute-link/src/__tests__/unit/fixture.ts
@@ -40,7 +40,7 @@
 		methods: METHODS,
 		now,
 		random: () => 0.5,
-		pingMilliseconds: () => 100,
+		getPingIntervalMilliseconds: () => 100,
 		onOpen: resolve,
 		onClose: () => undefined,
 		onDefect,
--- a/packages/wagtailroute-link/src/__tests__/unit/link.test.ts
+++ b/packages/wagtailroute-link/src/__tests__/unit/link.test.ts
@@ -60,23 +60,23 @@
 // Only the call that is never answered runs into its limit: the others have one that no busy machine reaches.
 const FAILURES = [
 	{
-		method: 'refuse', limitMilliseconds: 60_000, kind: 'call-refused', isPossiblyTaken: true,
+		method: 'refuse', timeoutMilliseconds: 60_000, kind: 'call-refused', isPossiblyDelivered: true,
 	},
 	{
-		method: 'missing', limitMilliseconds: 60_000, kind: 'call-refused', isPossiblyTaken: true,
+		method: 'missing', timeoutMilliseconds: 60_000, kind: 'call-refused', isPossiblyDelivered: true,
 	},
 	{
-		method: 'never', limitMilliseconds: 50, kind: 'call-timeout', isPossiblyTaken: true,
+		method: 'never', timeoutMilliseconds: 50, kind: 'call-timeout', isPossiblyDelivered: true,
 	},
 ] as const;
 
-for (const {method, limitMilliseconds, kind, isPossiblyTaken} of FAILURES) {
+for (const {method, timeoutMilliseconds, kind, isPossiblyDelivered} of FAILURES) {
 	test(`the call ${method} fails as ${kind}`, async t => {
 		const pair = await openPair(t);
-		const answer = await pair.link.call(method, {}, limitMilliseconds);
+		const answer = await pair.link.call(method, {}, timeoutMilliseconds);
 		const failure = answer.unwrapErr();
 		t.is(failure.kind, kind);
-		t.is(link.isPossiblyTaken(failure), isPossiblyTaken);
+		t.is(link.isPossiblyDelivered(failure), isPossiblyDelivered);
 	});
 }
 
@@ -115,28 +115,28 @@
 
 test('a call that waits ends as lost when the connection ends, the next one is not sent', async t => {
 	const pair = await openPair(t);
-	const waiting = pair.link.call('never', {}, 60_000);
+	const pending = pair.link.call('never', {}, 60_000);
 	await timers.setTimeout(20);
 	pair.link.close();
-	const lost = await waiting;
+	const lost = await pending;
 	t.is(lost.unwrapErr().kind, 'call-lost');
 	const next = await pair.link.call('echo', {}, 1000);
 	t.is(next.unwrapErr().kind, 'link-closed');
 });
 
-const GARBAGE = ['null\n', '{\n', '[1]\n', '"text"\n', 'z\n', 'zAAAA\n', 'z{}\n'];
+const INVALID_MESSAGES = ['null\n', '{\n', '[1]\n', '"text"\n', 'z\n', 'zAAAA\n', 'z{}\n'];
 
-for (const text of GARBAGE) {
+for (const text of INVALID_MESSAGES) {
 	test(`${JSON.stringify(text)} from a stranger ends its connection and nothing else`, async t => {
 		// Symptom: a control host ends, and with it all its dispatching.
 		// Sequence: something that is no message comes over a connection.
 		// Cause: the library reads members of whatever it is given; a rejection that nobody handles ends the process.
 		const pair = await openPair(t);
-		const stranger = net.connect({host: pair.server.address.ip, port: pair.server.address.port});
-		stranger.on('error', () => undefined);
-		stranger.write(text);
+		const client = net.connect({host: pair.server.address.ip, port: pair.server.address.port});
+		client.on('error', () => undefined);
+		client.write(text);
 		await waitUntil(() => pair.defects.length > 0);
-		stranger.destroy();
+		client.destroy();
 		const answer = await pair.link.call('echo', {}, 5000);
 		t.true(answer.isOk());
 	});
@@ -144,23 +144,23 @@
 
 test('a lost link is opened again', async t => {
 	let opened = 0;
-	const plan = {
+	const options = {
 		address: LOOPBACK, methods: METHODS, now, onClose: () => undefined, onDefect: () => undefined,
 	};
-	const first = await link.openLinkServer(plan);
+	const first = await link.openLinkServer(options);
 	const {address} = first;
 	const dialer = link.startDialer({
-		...plan,
+		...options,
 		address,
 		random: () => 0,
-		pingMilliseconds: () => 100,
+		getPingIntervalMilliseconds: () => 100,
 		onOpen() {
 			opened++;
 		},
 	});
 	await waitUntil(() => opened === 1);
 	await first.close();
-	const second = await link.openLinkServer({...plan, address});
+	const second = await link.openLinkServer({...options, address});
 	t.teardown(async () => {
 		dialer.close();
 		await second.close();
--- a/packages/wagtailroute-link/src/__tests__/unit/order.test.ts
+++ b/packages/wagtailroute-link/src/__tests__/unit/order.test.ts
@@ -20,12 +20,12 @@
 	}
 }
 
-const LANES = [
+const CASES = [
 	{name: 'on its own link', isOwnLink: true},
 	{name: 'on the link that the others came over', isOwnLink: false},
 ] as const;
 
-for (const {name, isOwnLink} of LANES) {
+for (const {name, isOwnLink} of CASES) {
 	test(`an urgent call ${name} is answered before ordinary messages that came earlier`, async t => {
 		// Guards against a group of replicas that elects nobody, and reads that nobody answers, while hosts that start send more than a process can handle.
 		let handled = 0;
@@ -35,7 +35,7 @@
 				handled++;
 				keepBusy(BUSY_MILLISECONDS);
 			}], ['vote', () => handled]]),
-			order: {urgent: new Set(['vote']), limits: new Map(), onDropped: () => undefined},
+			order: {urgentMethods: new Set(['vote']), queueTimeLimits: new Map(), onDropped: () => undefined},
 			now,
 			onClose: () => undefined,
 			onDefect: () => undefined,
@@ -63,7 +63,7 @@
 			keepBusy(BUSY_MILLISECONDS);
 		}])),
 		order: {
-			urgent: new Set(), limits: new Map([['ask', 50]]), onDropped() {
+			urgentMethods: new Set(), queueTimeLimits: new Map([['ask', 50]]), onDropped() {
 				dropped++;
 			},
 		},
--- a/packages/wagtailroute-link/src/packing.ts
+++ b/packages/wagtailroute-link/src/compression.ts
@@ -9,33 +9,33 @@
 */
 import * as buffer from 'node:buffer';
 import * as zlib from 'node:zlib';
-import {MESSAGE_BYTES, PACKED_CHARACTERS, PACKING_LEVEL} from './constants.ts';
+import {MAX_MESSAGE_BYTES, MIN_COMPRESSED_CHARACTERS, COMPRESSION_LEVEL} from './constants.ts';
 
 /**
 First character of a packed line. JSON-RPC messages begin with a brace or a bracket.
 */
-const MARK = 'z';
+const COMPRESSED_PREFIX = 'z';
 
 /**
 Returns the line as it travels.
 */
-export function packLine(line: string): string {
-	return line.length < PACKED_CHARACTERS
+export function compressLine(line: string): string {
+	return line.length < MIN_COMPRESSED_CHARACTERS
 		? line
-		: MARK + zlib.deflateRawSync(line, {level: PACKING_LEVEL}).toString('base64');
+		: COMPRESSED_PREFIX + zlib.deflateRawSync(line, {level: COMPRESSION_LEVEL}).toString('base64');
 }
 
 /**
 Returns the line as it was before it was packed; undefined for one that can't be unpacked, or would be longer than a message may be.
 */
-export function unpackLine(line: string): string | undefined {
-	if (!line.startsWith(MARK)) {
+export function decompressLine(line: string): string | undefined {
+	if (!line.startsWith(COMPRESSED_PREFIX)) {
 		return line;
 	}
 
 	try {
-		const packed = buffer.Buffer.from(line.slice(MARK.length), 'base64');
-		return zlib.inflateRawSync(packed, {maxOutputLength: MESSAGE_BYTES}).toString();
+		const compressed = buffer.Buffer.from(line.slice(COMPRESSED_PREFIX.length), 'base64');
+		return zlib.inflateRawSync(compressed, {maxOutputLength: MAX_MESSAGE_BYTES}).toString();
 	} catch {
 		// Not deflated, cut, or beyond the bound: the caller closes the link and says so.
 		return undefined;
--- a/packages/wagtailroute-link/src/dialer.ts
+++ b/packages/wagtailroute-link/src/dialer.ts
@@ -4,12 +4,12 @@
 import * as net from 'node:net';
 import type * as core from 'wagtailroute-core';
 import {
-	CONNECT_LEAST_MILLISECONDS,
-	CONNECT_MOST_MILLISECONDS,
-	RECONNECT_LEAST_MILLISECONDS,
-	RECONNECT_MOST_MILLISECONDS,
-	RECONNECT_SOON_MILLISECONDS,
-	RECONNECT_SOON_MOST_MILLISECONDS,
+	MIN_CONNECT_TIMEOUT_MILLISECONDS,
+	MAX_CONNECT_TIMEOUT_MILLISECONDS,
+	MIN_RECONNECT_DELAY_MILLISECONDS,
+	MAX_RECONNECT_DELAY_MILLISECONDS,
+	FAST_RECONNECT_PERIOD_MILLISECONDS,
+	MAX_FAST_RECONNECT_DELAY_MILLISECONDS,
 } from './constants.ts';
 import {
 	type Link,
@@ -21,7 +21,7 @@
 /**
 What a dialer needs.
 */
-export type DialerPlan = {
+export type DialerOptions = {
 	readonly address: core.Address;
 	readonly methods: LinkMethods;
 	readonly order?: MessageOrder;
@@ -29,7 +29,7 @@
 	/**
 	Milliseconds without a message of this side after which it sends an empty one.
 	*/
-	readonly pingMilliseconds: () => number;
+	readonly getPingIntervalMilliseconds: () => number;
 	/**
 	Uniform in [0, 1): spreads the attempts of many hosts that lost the same peer.
 	*/
@@ -53,66 +53,66 @@
 /**
 Starts dialing.
 */
-export function startDialer(plan: DialerPlan): Dialer {
+export function startDialer(options: DialerOptions): Dialer {
 	let link: Link | undefined;
 	let socket: net.Socket | undefined;
 	let timer: NodeJS.Timeout | undefined;
-	let isWanted = true;
-	let waitMilliseconds = RECONNECT_LEAST_MILLISECONDS;
-	let connectMilliseconds = CONNECT_LEAST_MILLISECONDS;
-	let lostAt = plan.now();
+	let isRunning = true;
+	let reconnectDelayMilliseconds = MIN_RECONNECT_DELAY_MILLISECONDS;
+	let connectTimeoutMilliseconds = MIN_CONNECT_TIMEOUT_MILLISECONDS;
+	let disconnectedAt = options.now();
 
-	const dialLater = () => {
-		if (!isWanted) {
+	const scheduleDial = () => {
+		if (!isRunning) {
 			return;
 		}
 
-		timer = setTimeout(dial, waitMilliseconds * (0.5 + plan.random()));
-		waitMilliseconds = getNextWait(waitMilliseconds, plan.now() - lostAt);
+		timer = setTimeout(dial, reconnectDelayMilliseconds * (0.5 + options.random()));
+		reconnectDelayMilliseconds = getNextReconnectDelay(reconnectDelayMilliseconds, options.now() - disconnectedAt);
 	};
 
 	const open = (connected: net.Socket) => {
-		waitMilliseconds = RECONNECT_LEAST_MILLISECONDS;
-		connectMilliseconds = CONNECT_LEAST_MILLISECONDS;
+		reconnectDelayMilliseconds = MIN_RECONNECT_DELAY_MILLISECONDS;
+		connectTimeoutMilliseconds = MIN_CONNECT_TIMEOUT_MILLISECONDS;
 		link = runLink({
-			...plan,
+			...options,
 			socket: connected,
 			onClose(closed) {
 				link = undefined;
-				lostAt = plan.now();
-				plan.onClose(closed);
-				dialLater();
+				disconnectedAt = options.now();
+				options.onClose(closed);
+				scheduleDial();
 			},
 		});
-		plan.onOpen(link);
+		options.onOpen(link);
 	};
 
 	const dial = () => {
-		const dialed = net.connect({host: plan.address.ip, port: plan.address.port});
-		socket = dialed;
+		const dialedSocket = net.connect({host: options.address.ip, port: options.address.port});
+		socket = dialedSocket;
 		// Towards a host without power the system would try for minutes.
-		const limit = setTimeout(() => {
+		const connectTimer = setTimeout(() => {
 			// A process that was busy or paused takes its timers before its connections: the connection may be there already.
 			setImmediate(() => {
-				if (!dialed.connecting) {
+				if (!dialedSocket.connecting) {
 					return;
 				}
 
-				connectMilliseconds = getNextLimit(connectMilliseconds);
-				dialed.destroy();
+				connectTimeoutMilliseconds = getNextConnectTimeout(connectTimeoutMilliseconds);
+				dialedSocket.destroy();
 			});
-		}, connectMilliseconds);
+		}, connectTimeoutMilliseconds);
 		const onFailed = () => {
-			clearTimeout(limit);
-			dialLater();
+			clearTimeout(connectTimer);
+			scheduleDial();
 		};
 
-		dialed.on('error', () => undefined);
-		dialed.once('close', onFailed);
-		dialed.once('connect', () => {
-			clearTimeout(limit);
-			dialed.off('close', onFailed);
-			open(dialed);
+		dialedSocket.on('error', () => undefined);
+		dialedSocket.once('close', onFailed);
+		dialedSocket.once('connect', () => {
+			clearTimeout(connectTimer);
+			dialedSocket.off('close', onFailed);
+			open(dialedSocket);
 		});
 	};
 
@@ -120,7 +120,7 @@
 	return {
 		getLink: () => link,
 		close() {
-			isWanted = false;
+			isRunning = false;
 			clearTimeout(timer);
 			link?.close();
 			socket?.destroy();
@@ -131,19 +131,19 @@
 /**
 Returns the milliseconds to wait before the next try.
 
-@param waited Those before this one.
-@param away Milliseconds since the link was lost, or since the start.
+@param previousDelay Those before this one.
+@param disconnectedMilliseconds Milliseconds since the link was lost, or since the start.
 */
-export function getNextWait(waited: number, away: number): number {
-	const most = away < RECONNECT_SOON_MILLISECONDS ? RECONNECT_SOON_MOST_MILLISECONDS : RECONNECT_MOST_MILLISECONDS;
-	return Math.min(most, waited * 2);
+export function getNextReconnectDelay(previousDelay: number, disconnectedMilliseconds: number): number {
+	const maxDelay = disconnectedMilliseconds < FAST_RECONNECT_PERIOD_MILLISECONDS ? MAX_FAST_RECONNECT_DELAY_MILLISECONDS : MAX_RECONNECT_DELAY_MILLISECONDS;
+	return Math.min(maxDelay, previousDelay * 2);
 }
 
 /**
 Returns the milliseconds that the next try at a connection may take, after one that ran into its limit.
 
-@param limit That of the try before.
+@param previousTimeout That of the try before.
 */
-export function getNextLimit(limit: number): number {
-	return Math.min(CONNECT_MOST_MILLISECONDS, limit * 2);
+export function getNextConnectTimeout(previousTimeout: number): number {
+	return Math.min(MAX_CONNECT_TIMEOUT_MILLISECONDS, previousTimeout * 2);
 }
--- a/packages/wagtailroute-link/src/failures.ts
+++ b/packages/wagtailroute-link/src/failures.ts
@@ -14,7 +14,7 @@
 */
 export type LinkFailure = core.Failure<LinkFailureKind>;
 
-const POSSIBLY_TAKEN: Readonly<Record<LinkFailureKind, boolean>> = {
+const POSSIBLY_DELIVERED: Readonly<Record<LinkFailureKind, boolean>> = {
 	'link-closed': false,
 	'call-timeout': true,
 	'call-lost': true,
@@ -24,8 +24,8 @@
 /**
 Says whether the other side may have acted on the call.
 */
-export function isPossiblyTaken(failure: LinkFailure): boolean {
-	return POSSIBLY_TAKEN[failure.kind];
+export function isPossiblyDelivered(failure: LinkFailure): boolean {
+	return POSSIBLY_DELIVERED[failure.kind];
 }
 
 /**
--- a/packages/wagtailroute-link/src/lines.ts
+++ b/packages/wagtailroute-link/src/lines.ts
@@ -18,29 +18,29 @@
 /**
 Creates a reader.
 
-@param limitBytes Longest line in bytes.
+@param maxLineBytes Longest line in bytes.
 */
-export function createLineReader(limitBytes: number): LineReader {
-	let waiting: buffer.Buffer[] = [];
-	let size = 0;
+export function createLineReader(maxLineBytes: number): LineReader {
+	let pendingChunks: buffer.Buffer[] = [];
+	let pendingBytes = 0;
 	return {
 		read(chunk) {
 			const lines: string[] = [];
 			let start = 0;
 			for (let end = chunk.indexOf(LINE_FEED); end !== -1; end = chunk.indexOf(LINE_FEED, start)) {
-				waiting.push(chunk.subarray(start, end));
-				lines.push(waiting.length === 1 ? waiting[0]!.toString() : buffer.Buffer.concat(waiting).toString());
-				waiting = [];
-				size = 0;
+				pendingChunks.push(chunk.subarray(start, end));
+				lines.push(pendingChunks.length === 1 ? pendingChunks[0]!.toString() : buffer.Buffer.concat(pendingChunks).toString());
+				pendingChunks = [];
+				pendingBytes = 0;
 				start = end + 1;
 			}
 
 			if (start < chunk.length) {
-				waiting.push(chunk.subarray(start));
-				size += chunk.length - start;
+				pendingChunks.push(chunk.subarray(start));
+				pendingBytes += chunk.length - start;
 			}
 
-			return size > limitBytes ? undefined : lines;
+			return pendingBytes > maxLineBytes ? undefined : lines;
 		},
 	};
 }
--- a/packages/wagtailroute-link/src/link.ts
+++ b/packages/wagtailroute-link/src/link.ts
@@ -10,17 +10,17 @@
 import * as results from 'ts-results-es';
 import type * as utils from 'wagtailroute-utils';
 import {
-	MESSAGE_BYTES,
-	SILENT_MILLISECONDS,
-	WAITING_BYTES,
-	WAITING_MESSAGES,
+	MAX_MESSAGE_BYTES,
+	MAX_SILENCE_MILLISECONDS,
+	MAX_UNSENT_BYTES,
+	MAX_QUEUED_MESSAGES,
 } from './constants.ts';
 import {createLinkFailure, type LinkFailure} from './failures.ts';
 import {createLineReader} from './lines.ts';
-import {writeNotification} from './notifications.ts';
-import {packLine, unpackLine} from './packing.ts';
+import {encodeNotification} from './notifications.ts';
+import {compressLine, decompressLine} from './compression.ts';
 import {runInTurn} from './turns.ts';
-import {registerWatch} from './watch.ts';
+import {registerCheck} from './link-checks.ts';
 
 /**
 One end of a connection.
@@ -34,7 +34,7 @@
 	/**
 	Milliseconds since the other side was last heard.
 	*/
-	readonly getSilence: () => number;
+	readonly getSilenceMilliseconds: () => number;
 	readonly isOpen: () => boolean;
 	/**
 	Bytes sent and received so far, without those of TCP and IP.
@@ -60,11 +60,11 @@
 	/**
 	Methods whose messages do not wait for others that came before, on this link or on another one.
 	*/
-	readonly urgent: ReadonlySet<string>;
+	readonly urgentMethods: ReadonlySet<string>;
 	/**
 	Milliseconds after which a message that waits is dropped, by method: its sender waits no longer for the answer.
 	*/
-	readonly limits: ReadonlyMap<string, number>;
+	readonly queueTimeLimits: ReadonlyMap<string, number>;
 	/**
 	Told of each message that was dropped.
 	*/
@@ -74,11 +74,11 @@
 /**
 What a link needs.
 */
-export type LinkPlan = {
+export type LinkOptions = {
 	/**
 	Milliseconds without a message of this side after which it sends an empty one, so that the other hears that it runs.
 	*/
-	readonly pingMilliseconds: () => number;
+	readonly getPingIntervalMilliseconds: () => number;
 	readonly socket: net.Socket;
 	readonly methods: LinkMethods;
 	/**
@@ -99,53 +99,53 @@
 /**
 Where a message names its method: the library writes it before the parameters.
 */
-const METHOD_CHARACTERS = 100;
+const METHOD_SEARCH_CHARACTERS = 100;
 const METHOD_PATTERN = /"method":"(?<method>[^"]+)"/v;
 
 /**
 Runs a link over a connection that is open.
 */
-export function runLink(plan: LinkPlan): Link {
-	return new SocketLink(plan);
+export function runLink(options: LinkOptions): Link {
+	return new SocketLink(options);
 }
 
 class SocketLink implements Link {
-	readonly #plan: LinkPlan;
-	readonly #ends: rpc.JSONRPCServerAndClient<Link>;
-	readonly #reader = createLineReader(MESSAGE_BYTES);
-	#lines: string[] = [];
+	readonly #options: LinkOptions;
+	readonly #rpc: rpc.JSONRPCServerAndClient<Link>;
+	readonly #reader = createLineReader(MAX_MESSAGE_BYTES);
+	#outgoingLines: string[] = [];
 	#isOpen = true;
-	#waiting = 0;
-	#heardAt: number;
-	#sentAt: number;
-	readonly #stopWatching: utils.Teardown;
-
-	constructor(plan: LinkPlan) {
-		this.#plan = plan;
-		this.#heardAt = plan.now();
-		this.#sentAt = plan.now();
+	#queuedMessages = 0;
+	#lastReceivedAt: number;
+	#lastSentAt: number;
+	readonly #stopChecks: utils.Teardown;
+
+	constructor(options: LinkOptions) {
+		this.#options = options;
+		this.#lastReceivedAt = options.now();
+		this.#lastSentAt = options.now();
 		const server = new rpc.JSONRPCServer<Link>({
 			errorListener(_message, error) {
-				plan.onDefect(error as Error);
+				options.onDefect(error as Error);
 			},
 		});
-		for (const [name, method] of plan.methods) {
+		for (const [name, method] of options.methods) {
 			server.addMethod(name, method as unknown as rpc.SimpleJSONRPCMethod<Link>);
 		}
 
-		this.#ends = new rpc.JSONRPCServerAndClient(server, new rpc.JSONRPCClient(payload => {
-			this.#write(packLine(JSON.stringify(payload)));
+		this.#rpc = new rpc.JSONRPCServerAndClient(server, new rpc.JSONRPCClient(payload => {
+			this.#write(compressLine(JSON.stringify(payload)));
 		}));
-		plan.socket.setNoDelay(true);
-		plan.socket.on('data', (chunk: buffer.Buffer) => {
+		options.socket.setNoDelay(true);
+		options.socket.on('data', (chunk: buffer.Buffer) => {
 			this.#receive(chunk);
 		});
-		plan.socket.on('error', () => undefined);
-		plan.socket.once('close', () => {
+		options.socket.on('error', () => undefined);
+		options.socket.once('close', () => {
 			this.close();
 		});
-		this.#stopWatching = registerWatch(() => {
-			this.#watch();
+		this.#stopChecks = registerCheck(() => {
+			this.#check();
 		});
 	}
 
@@ -154,17 +154,17 @@
 			return results.Err(createLinkFailure('link-closed', method, 'no connection'));
 		}
 
-		let isLate = false;
-		const caller = this.#ends.timeout(Math.max(1, Math.ceil(timeoutMilliseconds)));
+		let isTimedOut = false;
+		const caller = this.#rpc.timeout(Math.max(1, Math.ceil(timeoutMilliseconds)));
 		const timer = setTimeout(() => {
-			isLate = true;
+			isTimedOut = true;
 		}, Math.max(0, timeoutMilliseconds - 1));
 		try {
 			return results.Ok(await caller.request(method, parameters as rpc.JSONRPCParams));
 		} catch (error) {
 			const {message} = error as Error;
 			const kind = this.#isOpen ? 'call-refused' : 'call-lost';
-			return results.Err(createLinkFailure(isLate ? 'call-timeout' : kind, method, message));
+			return results.Err(createLinkFailure(isTimedOut ? 'call-timeout' : kind, method, message));
 		} finally {
 			clearTimeout(timer);
 		}
@@ -172,16 +172,16 @@
 
 	notify(method: string, parameters: unknown): void {
 		if (this.#isOpen) {
-			this.#write(writeNotification(method, parameters));
+			this.#write(encodeNotification(method, parameters));
 		}
 	}
 
-	getSilence(): number {
-		return this.#plan.now() - this.#heardAt;
+	getSilenceMilliseconds(): number {
+		return this.#options.now() - this.#lastReceivedAt;
 	}
 
 	getBytes(): {readonly sent: number; readonly received: number} {
-		const {bytesWritten, bytesRead} = this.#plan.socket;
+		const {bytesWritten, bytesRead} = this.#options.socket;
 		return {sent: bytesWritten, received: bytesRead};
 	}
 
@@ -195,19 +195,19 @@
 		}
 
 		this.#isOpen = false;
-		this.#stopWatching();
-		this.#plan.socket.destroy();
-		this.#ends.rejectAllPendingRequests('the connection ended');
-		this.#plan.onClose(this);
+		this.#stopChecks();
+		this.#options.socket.destroy();
+		this.#rpc.rejectAllPendingRequests('the connection ended');
+		this.#options.onClose(this);
 	}
 
-	#watch(): void {
-		if (this.getSilence() > SILENT_MILLISECONDS || this.#plan.socket.writableLength > WAITING_BYTES) {
+	#check(): void {
+		if (this.getSilenceMilliseconds() > MAX_SILENCE_MILLISECONDS || this.#options.socket.writableLength > MAX_UNSENT_BYTES) {
 			this.close();
 			return;
 		}
 
-		if (this.#plan.now() - this.#sentAt >= this.#plan.pingMilliseconds()) {
+		if (this.#options.now() - this.#lastSentAt >= this.#options.getPingIntervalMilliseconds()) {
 			this.#write('');
 		}
 	}
@@ -216,8 +216,8 @@
 	Collects the messages of one turn of the loop into one write: each write costs a system call and a packet.
 	*/
 	#write(line: string): void {
-		this.#lines.push(line);
-		if (this.#lines.length === 1) {
+		this.#outgoingLines.push(line);
+		if (this.#outgoingLines.length === 1) {
 			setImmediate(() => {
 				this.#flush();
 			});
@@ -225,72 +225,72 @@
 	}
 
 	#flush(): void {
-		const text = `${this.#lines.join('\n')}\n`;
-		this.#lines = [];
+		const text = `${this.#outgoingLines.join('\n')}\n`;
+		this.#outgoingLines = [];
 		if (!this.#isOpen) {
 			return;
 		}
 
-		this.#sentAt = this.#plan.now();
-		this.#plan.socket.write(text);
+		this.#lastSentAt = this.#options.now();
+		this.#options.socket.write(text);
 	}
 
 	#receive(chunk: buffer.Buffer): void {
-		this.#heardAt = this.#plan.now();
+		this.#lastReceivedAt = this.#options.now();
 		const lines = this.#reader.read(chunk);
 		if (lines === undefined) {
-			this.#plan.onDefect(new Error(`A message is longer than ${MESSAGE_BYTES} bytes.`));
+			this.#options.onDefect(new Error(`A message is longer than ${MAX_MESSAGE_BYTES} bytes.`));
 			this.close();
 			return;
 		}
 
 		for (const line of lines) {
 			if (line !== '') {
-				this.#order(line);
+				this.#scheduleLine(line);
 			}
 		}
 	}
 
-	#order(packed: string): void {
-		const line = unpackLine(packed);
+	#scheduleLine(compressed: string): void {
+		const line = decompressLine(compressed);
 		const method = findMethod(line);
-		const {order, now} = this.#plan;
+		const {order, now} = this.#options;
 		// Answers to this side's calls are urgent: somebody waits for them, and they are as many as the calls.
-		if (method === undefined || order?.urgent.has(method) === true) {
-			this.#take(line);
+		if (method === undefined || order?.urgentMethods.has(method) === true) {
+			this.#handleLine(line);
 			return;
 		}
 
-		const droppedAt = now() + (order?.limits.get(method) ?? Infinity);
-		this.#waiting++;
+		const expiresAt = now() + (order?.queueTimeLimits.get(method) ?? Infinity);
+		this.#queuedMessages++;
 		runInTurn(() => {
-			this.#waiting--;
-			if (now() > droppedAt) {
+			this.#queuedMessages--;
+			if (now() > expiresAt) {
 				order?.onDropped(method);
 			} else if (this.#isOpen) {
-				this.#take(line);
+				this.#handleLine(line);
 			}
 
-			if (this.#plan.socket.isPaused() && this.#waiting <= WAITING_MESSAGES / 2) {
-				this.#plan.socket.resume();
+			if (this.#options.socket.isPaused() && this.#queuedMessages <= MAX_QUEUED_MESSAGES / 2) {
+				this.#options.socket.resume();
 			}
 		});
-		if (this.#waiting > WAITING_MESSAGES) {
-			this.#plan.socket.pause();
+		if (this.#queuedMessages > MAX_QUEUED_MESSAGES) {
+			this.#options.socket.pause();
 		}
 	}
 
-	#take(line: string | undefined): void {
+	#handleLine(line: string | undefined): void {
 		const payload = parseLine(line);
 		// The library reads members of whatever it is given: a bare `null` would be a rejection that nobody handles.
 		if (typeof payload !== 'object' || payload === null) {
-			this.#plan.onDefect(new Error('A message is no JSON-RPC.'));
+			this.#options.onDefect(new Error('A message is no JSON-RPC.'));
 			this.close();
 			return;
 		}
 
-		this.#ends.receiveAndSend(payload, this).catch((error: unknown) => {
-			this.#plan.onDefect(error as Error);
+		this.#rpc.receiveAndSend(payload, this).catch((error: unknown) => {
+			this.#options.onDefect(error as Error);
 		});
 	}
 }
@@ -299,7 +299,7 @@
 Returns the method that a message names; undefined for an answer, and for what is no message.
 */
 function findMethod(line: string | undefined): string | undefined {
-	return line === undefined ? undefined : METHOD_PATTERN.exec(line.slice(0, METHOD_CHARACTERS))?.groups?.method;
+	return line === undefined ? undefined : METHOD_PATTERN.exec(line.slice(0, METHOD_SEARCH_CHARACTERS))?.groups?.method;
 }
 
 function parseLine(line: string | undefined): unknown {
--- a/packages/wagtailroute-link/src/notifications.ts
+++ b/packages/wagtailroute-link/src/notifications.ts
@@ -2,31 +2,31 @@
 Notifications as they travel. One that goes to many hosts in a row is written and packed once: a list of a hundred hosts takes longer to write than to send.
 */
 import * as rpc from 'json-rpc-2.0';
-import {packLine} from './packing.ts';
+import {compressLine} from './compression.ts';
 
-type Written = {
+type EncodedNotification = {
 	readonly method: string;
 	readonly parameters: unknown;
 	readonly line: string;
 };
 
-let last: Written | undefined;
+let lastEncoded: EncodedNotification | undefined;
 
 /**
 Returns the line of a notification. The same parameters must not change before the next microtask.
 */
-export function writeNotification(method: string, parameters: unknown): string {
-	if (last?.method === method && last.parameters === parameters) {
-		return last.line;
+export function encodeNotification(method: string, parameters: unknown): string {
+	if (lastEncoded?.method === method && lastEncoded.parameters === parameters) {
+		return lastEncoded.line;
 	}
 
-	const line = packLine(JSON.stringify(rpc.createJSONRPCNotification(method, parameters as rpc.JSONRPCParams)));
-	if (last === undefined) {
+	const line = compressLine(JSON.stringify(rpc.createJSONRPCNotification(method, parameters as rpc.JSONRPCParams)));
+	if (lastEncoded === undefined) {
 		queueMicrotask(() => {
-			last = undefined;
+			lastEncoded = undefined;
 		});
 	}
 
-	last = {method, parameters, line};
+	lastEncoded = {method, parameters, line};
 	return line;
 }
--- a/packages/wagtailroute-link/src/server.ts
+++ b/packages/wagtailroute-link/src/server.ts
@@ -4,7 +4,7 @@
 import * as net from 'node:net';
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
-import {ANSWERING_PING_MILLISECONDS} from './constants.ts';
+import {SERVER_PING_INTERVAL_MILLISECONDS} from './constants.ts';
 import {
 	type Link,
 	type LinkMethods,
@@ -15,7 +15,7 @@
 /**
 What the server needs.
 */
-export type LinkServerPlan = {
+export type LinkServerOptions = {
 	readonly address: core.Address;
 	readonly methods: LinkMethods;
 	readonly order?: MessageOrder;
@@ -35,21 +35,21 @@
 /**
 Opens the server.
 */
-export async function openLinkServer(plan: LinkServerPlan): Promise<LinkServer> {
+export async function openLinkServer(options: LinkServerOptions): Promise<LinkServer> {
 	const links = new Set<Link>();
 	const server = net.createServer(socket => {
 		const link = runLink({
-			...plan,
-			pingMilliseconds: () => ANSWERING_PING_MILLISECONDS,
+			...options,
+			getPingIntervalMilliseconds: () => SERVER_PING_INTERVAL_MILLISECONDS,
 			socket,
 			onClose(closed) {
 				links.delete(closed);
-				plan.onClose(closed);
+				options.onClose(closed);
 			},
 		});
 		links.add(link);
 	});
-	const address = await utils.listen(server, plan.address);
+	const address = await utils.listen(server, options.address);
 	return {
 		address,
 		async close() {
--- a/packages/wagtailroute-link/src/turns.ts
+++ b/packages/wagtailroute-link/src/turns.ts
@@ -4,9 +4,9 @@
 What may wait is handled for a slice of time in a row; then the loop looks at all connections again, so that an urgent message waits for one slice at most, however
 much has come before it. A process that is not busy handles everything at once.
 */
-import {IDLE_MILLISECONDS, SLICE_MILLISECONDS} from './constants.ts';
+import {NEW_SLICE_GAP_MILLISECONDS, TIME_SLICE_MILLISECONDS} from './constants.ts';
 
-const waiting: Array<() => void> = [];
+const queue: Array<() => void> = [];
 let isScheduled = false;
 let sliceStartedAt = -Infinity;
 let sliceEndedAt = -Infinity;
@@ -16,17 +16,17 @@
 */
 export function runInTurn(run: () => void): void {
 	const now = performance.now();
-	if (now - sliceEndedAt >= IDLE_MILLISECONDS) {
+	if (now - sliceEndedAt >= NEW_SLICE_GAP_MILLISECONDS) {
 		sliceStartedAt = now;
 	}
 
-	if (waiting.length === 0 && now - sliceStartedAt < SLICE_MILLISECONDS) {
+	if (queue.length === 0 && now - sliceStartedAt < TIME_SLICE_MILLISECONDS) {
 		run();
 		sliceEndedAt = performance.now();
 		return;
 	}
 
-	waiting.push(run);
+	queue.push(run);
 	schedule();
 }
 
@@ -43,14 +43,14 @@
 	isScheduled = false;
 	sliceStartedAt = performance.now();
 	let count = 0;
-	while (count < waiting.length && performance.now() - sliceStartedAt < SLICE_MILLISECONDS) {
-		waiting[count]!();
+	while (count < queue.length && performance.now() - sliceStartedAt < TIME_SLICE_MILLISECONDS) {
+		queue[count]!();
 		count++;
 	}
 
 	sliceEndedAt = performance.now();
-	waiting.splice(0, count);
-	if (waiting.length > 0) {
+	queue.splice(0, count);
+	if (queue.length > 0) {
 		schedule();
 	}
 }
--- a/packages/wagtailroute-peer/src/__tests__/unit/peer.test.ts
+++ b/packages/wagtailroute-peer/src/__tests__/unit/peer.test.ts
@@ -19,7 +19,7 @@
 		self: 'right',
 		address: to,
 		secret: secrets[1],
-		onRefused() {
+		onHandshakeRefused() {
 			refusals++;
 		},
 	});
@@ -106,9 +106,9 @@
 
 test('a forged datagram is dropped, an authentic one is taken', async t => {
 	const {left, right, to} = await openPair(t, ['s', 's']);
-	const stranger = dgram.createSocket('udp4');
+	const forger = dgram.createSocket('udp4');
 	t.teardown(() => {
-		stranger.close();
+		forger.close();
 	});
 	const seen: unknown[] = [];
 	const done = new Promise<void>(resolve => {
@@ -118,7 +118,7 @@
 		});
 	});
 	await new Promise(resolve => {
-		stranger.send('0123456789abcdef{"jsonrpc":"2.0","method":"probe"}', to.port, to.ip, resolve);
+		forger.send('0123456789abcdef{"jsonrpc":"2.0","method":"probe"}', to.port, to.ip, resolve);
 	});
 	left.sendDatagram(to, 'probe', {sequence: 1});
 	await done;
--- a/packages/wagtailroute-peer/src/bench/alone.bench.ts
+++ b/packages/wagtailroute-peer/src/bench/alone.bench.ts
@@ -13,7 +13,7 @@
 const MESSAGES = 300;
 const CONNECTIONS = 100;
 const TIMEOUT_MILLISECONDS = 5000;
-const CUT_MILLISECONDS = 5;
+const CLOSE_DELAY_MILLISECONDS = 5;
 const PAUSE_MILLISECONDS = 3;
 const IP_AND_UDP_BYTES = 28;
 const TAG_BYTES = 16;
@@ -21,7 +21,7 @@
 /**
 A datagram may cost at most this part of a call.
 */
-const DATAGRAM_BOUND = 0.7;
+const MAX_DATAGRAM_COST_FRACTION = 0.7;
 
 type Address = {readonly ip: string; readonly port: number};
 
@@ -52,8 +52,8 @@
 	await Promise.all([bench.left.close(), bench.right.close()]);
 	await bench.relay.close();
 	const broken = rows
-		.filter(row => row.datagramMicroseconds > row.callMicroseconds * DATAGRAM_BOUND)
-		.map(row => `a datagram of ${row.contentBytes} bytes costs more than ${DATAGRAM_BOUND} of a call`);
+		.filter(row => row.datagramMicroseconds > row.callMicroseconds * MAX_DATAGRAM_COST_FRACTION)
+		.map(row => `a datagram of ${row.contentBytes} bytes costs more than ${MAX_DATAGRAM_COST_FRACTION} of a call`);
 	return {title: 'Messages between hosts that come alone: cost by size of content', rows, broken};
 }
 
@@ -125,8 +125,8 @@
 
 async function measureConnections({left, relay, relayed}: Bench, size: number): Promise<Cost> {
 	return measure(relay, CONNECTIONS, async () => {
-		relay.cutAll();
-		await timers.setTimeout(CUT_MILLISECONDS);
+		relay.closeConnections();
+		await timers.setTimeout(CLOSE_DELAY_MILLISECONDS);
 		const answer = await left.call(relayed, 'echo', {text: 'x'.repeat(size)}, TIMEOUT_MILLISECONDS);
 		answer.unwrap();
 	});
@@ -150,7 +150,7 @@
 }
 
 async function measure(relay: Relay, count: number, work: () => Promise<void>): Promise<Cost> {
-	relay.takeBytes();
+	relay.collectBytes();
 	const before = process.cpuUsage();
 	for (let index = 0; index < count; index++) {
 		// eslint-disable-next-line no-await-in-loop -- One after the other: they come alone.
@@ -161,5 +161,5 @@
 	}
 
 	const used = process.cpuUsage(before);
-	return {microseconds: (used.user + used.system) / count, bytes: relay.takeBytes() / count};
+	return {microseconds: (used.user + used.system) / count, bytes: relay.collectBytes() / count};
 }
--- a/packages/wagtailroute-peer/src/bench/peer.bench.ts
+++ b/packages/wagtailroute-peer/src/bench/peer.bench.ts
@@ -13,20 +13,20 @@
 /**
 A notification in a batch may cost at most this part of a call.
 */
-const NOTIFICATION_BOUND = 0.5;
+const MAX_NOTIFICATION_COST_FRACTION = 0.5;
 
 /**
 Measures all sizes through a relay that counts bytes.
 */
 export async function run() {
-	const to = await findFreePort();
-	const right = await peer.openPeer({self: 'right', address: {ip: '127.0.0.1', port: to}, secret: 's'});
-	const relay = await openRelay(to);
+	const targetPort = await findFreePort();
+	const right = await peer.openPeer({self: 'right', address: {ip: '127.0.0.1', port: targetPort}, secret: 's'});
+	const relay = await openRelay(targetPort);
 	const left = await peer.openPeer({self: 'left', address: {ip: '127.0.0.1', port: await findFreePort()}, secret: 's'});
 	right.registerMethod('echo', () => ({}));
 	const address = {ip: '127.0.0.1', port: relay.port};
 	await left.call(address, 'echo', {}, TIMEOUT_MILLISECONDS);
-	const handshakeBytes = relay.takeBytes();
+	const handshakeBytes = relay.collectBytes();
 	const rows = [];
 	for (const size of CONTENT_BYTES) {
 		const content = {text: 'x'.repeat(size)};
@@ -55,8 +55,8 @@
 	await right.close();
 	await relay.close();
 	const broken = rows
-		.filter(row => row.notificationMicroseconds > row.callMicroseconds * NOTIFICATION_BOUND)
-		.map(row => `a notification of ${row.contentBytes} bytes costs more than ${NOTIFICATION_BOUND} of a call`);
+		.filter(row => row.notificationMicroseconds > row.callMicroseconds * MAX_NOTIFICATION_COST_FRACTION)
+		.map(row => `a notification of ${row.contentBytes} bytes costs more than ${MAX_NOTIFICATION_COST_FRACTION} of a call`);
 	return {title: 'Calls between hosts: cost by size of content', rows, broken};
 }
 
@@ -79,9 +79,9 @@
 }
 
 async function measure(relay: Relay, work: () => Promise<void>): Promise<{microseconds: number; bytes: number}> {
-	relay.takeBytes();
+	relay.collectBytes();
 	const before = process.cpuUsage();
 	await work();
 	const used = process.cpuUsage(before);
-	return {microseconds: (used.user + used.system) / CALLS, bytes: relay.takeBytes() / CALLS};
+	return {microseconds: (used.user + used.system) / CALLS, bytes: relay.collectBytes() / CALLS};
 }
--- a/packages/wagtailroute-peer/src/bench/relay.ts
+++ b/packages/wagtailroute-peer/src/bench/relay.ts
@@ -11,21 +11,21 @@
 	/**
 	Returns the bytes relayed since the last time, both ways.
 	*/
-	readonly takeBytes: () => number;
+	readonly collectBytes: () => number;
 	/**
 	Ends all connections, so that the next call opens one.
 	*/
-	readonly cutAll: () => void;
+	readonly closeConnections: () => void;
 	readonly close: () => Promise<void>;
 };
 
 /**
 Opens a relay to a port of this machine.
 */
-export async function openRelay(to: number): Promise<Relay> {
+export async function openRelay(targetPort: number): Promise<Relay> {
 	let bytes = 0;
 	const sockets = new Set<net.Socket>();
-	const watch = (socket: net.Socket) => {
+	const track = (socket: net.Socket) => {
 		sockets.add(socket);
 		socket.setNoDelay(true);
 		socket.on('error', () => undefined);
@@ -34,7 +34,7 @@
 		});
 	};
 
-	const cutAll = () => {
+	const closeConnections = () => {
 		for (const socket of sockets) {
 			socket.destroy();
 		}
@@ -43,9 +43,9 @@
 	};
 
 	const server = net.createServer(inbound => {
-		const outbound = net.connect(to, '127.0.0.1');
-		watch(inbound);
-		watch(outbound);
+		const outbound = net.connect(targetPort, '127.0.0.1');
+		track(inbound);
+		track(outbound);
 		inbound.pipe(outbound);
 		outbound.pipe(inbound);
 	});
@@ -54,14 +54,14 @@
 	});
 	return {
 		port: (server.address() as net.AddressInfo).port,
-		takeBytes() {
-			const taken = bytes;
+		collectBytes() {
+			const collected = bytes;
 			bytes = 0;
-			return taken;
+			return collected;
 		},
-		cutAll,
+		closeConnections,
 		async close() {
-			cutAll();
+			closeConnections();
 			await new Promise(resolve => {
 				server.close(resolve);
 			});
--- a/packages/wagtailroute-peer/src/channel.ts
+++ b/packages/wagtailroute-peer/src/channel.ts
@@ -11,13 +11,13 @@
 import * as undici from 'undici';
 import {
 	CALL_CONNECTIONS,
-	CONNECT_MILLISECONDS,
-	FROM_HEADER,
-	KEEP_ALIVE_MILLISECONDS,
-	MAXIMUM_BATCH,
-	MAXIMUM_CALLS,
-	MAXIMUM_WAITING_NOTIFICATIONS,
-	NOTIFY_MILLISECONDS,
+	CONNECT_TIMEOUT_MILLISECONDS,
+	CALLER_HEADER,
+	KEEP_ALIVE_TIMEOUT_MILLISECONDS,
+	MAX_BATCH_NOTIFICATIONS,
+	MAX_CALLS_IN_FLIGHT,
+	MAX_QUEUED_NOTIFICATIONS,
+	NOTIFY_TIMEOUT_MILLISECONDS,
 	RPC_PATH,
 } from './constants.ts';
 import {createPeerFailure, type PeerFailure, type PeerFailureKind} from './failures.ts';
@@ -33,10 +33,10 @@
 	/**
 	Notifications dropped because too many waited.
 	*/
-	readonly getDropped: () => number;
+	readonly getDroppedCount: () => number;
 };
 
-type Sender = {
+type ChannelOptions = {
 	readonly address: core.Address;
 	readonly self: core.HostId;
 	readonly isCut: () => boolean;
@@ -45,21 +45,21 @@
 /**
 Opens the way to an address. No connection is made before the first message.
 */
-export function openChannel(sender: Sender, keys: FleetKeys): Channel {
-	const calls = createPool(sender, keys, CALL_CONNECTIONS);
-	const notifications = createPool(sender, keys, 1);
-	const waiting: rpc.JSONRPCRequest[] = [];
+export function openChannel(options: ChannelOptions, keys: FleetKeys): Channel {
+	const callPool = createPool(options, keys, CALL_CONNECTIONS);
+	const notificationPool = createPool(options, keys, 1);
+	const queue: rpc.JSONRPCRequest[] = [];
 	let callsInFlight = 0;
 	let dropped = 0;
 	let isSending = false;
 	let nextId = 1;
 
-	async function sendWaiting(): Promise<void> {
+	async function sendQueued(): Promise<void> {
 		isSending = true;
-		while (waiting.length > 0) {
-			const batch = waiting.splice(0, MAXIMUM_BATCH);
+		while (queue.length > 0) {
+			const batch = queue.splice(0, MAX_BATCH_NOTIFICATIONS);
 			// eslint-disable-next-line no-await-in-loop -- One batch at a time keeps the order.
-			await post(notifications, sender, batch, NOTIFY_MILLISECONDS);
+			await post(notificationPool, options, batch, NOTIFY_TIMEOUT_MILLISECONDS);
 		}
 
 		isSending = false;
@@ -67,68 +67,68 @@
 
 	return {
 		async call(method, parameters, timeoutMilliseconds) {
-			if (callsInFlight >= MAXIMUM_CALLS) {
-				return results.Err(createPeerFailure('peer-overloaded', sender.address, `${MAXIMUM_CALLS} calls are in flight`));
+			if (callsInFlight >= MAX_CALLS_IN_FLIGHT) {
+				return results.Err(createPeerFailure('peer-overloaded', options.address, `${MAX_CALLS_IN_FLIGHT} calls are in flight`));
 			}
 
 			callsInFlight++;
 			const request = rpc.createJSONRPCRequest(nextId++, method, parameters);
-			const answer = await post(calls, sender, request, timeoutMilliseconds);
+			const answer = await post(callPool, options, request, timeoutMilliseconds);
 			callsInFlight--;
-			return answer.andThen(value => readAnswer(sender, value));
+			return answer.andThen(value => readAnswer(options, value));
 		},
 		notify(method, parameters) {
-			if (waiting.length >= MAXIMUM_WAITING_NOTIFICATIONS) {
+			if (queue.length >= MAX_QUEUED_NOTIFICATIONS) {
 				dropped++;
 				return;
 			}
 
-			waiting.push(rpc.createJSONRPCNotification(method, parameters));
+			queue.push(rpc.createJSONRPCNotification(method, parameters));
 			if (!isSending) {
-				void sendWaiting();
+				void sendQueued();
 			}
 		},
 		async close() {
-			waiting.length = 0;
-			await Promise.all([calls.destroy(), notifications.destroy()]);
+			queue.length = 0;
+			await Promise.all([callPool.destroy(), notificationPool.destroy()]);
 		},
-		getDropped: () => dropped,
+		getDroppedCount: () => dropped,
 	};
 }
 
-function createPool(sender: Sender, keys: FleetKeys, connections: number): undici.Pool {
-	const {ip, port} = sender.address;
+function createPool(options: ChannelOptions, keys: FleetKeys, connections: number): undici.Pool {
+	const {ip, port} = options.address;
 	const authority = ip.includes(':') ? `[${ip}]:${port}` : `${ip}:${port}`;
 	return new undici.Pool(`https://${authority}`, {
 		connections,
-		connectTimeout: CONNECT_MILLISECONDS,
-		keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
-		connect: getClientTls(keys, sender.self) as undici.buildConnector.BuildOptions,
+		connectTimeout: CONNECT_TIMEOUT_MILLISECONDS,
+		keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
+		connect: getClientTls(keys, options.self) as undici.buildConnector.BuildOptions,
 	});
 }
 
 async function post(
 	pool: undici.Pool,
-	sender: Sender,
+	options: ChannelOptions,
 	body: unknown,
 	timeoutMilliseconds: number,
 ): Promise<results.Result<unknown, PeerFailure>> {
-	if (sender.isCut()) {
-		return results.Err(createPeerFailure('peer-timeout', sender.address, 'cut off'));
+	if (options.isCut()) {
+		return results.Err(createPeerFailure('peer-timeout', options.address, 'cut off'));
 	}
 
 	try {
 		const answer = await pool.request({
 			path: RPC_PATH,
 			method: 'POST',
-			headers: {'content-type': 'application/json', [FROM_HEADER]: sender.self},
+			headers: {'content-type': 'application/json', [CALLER_HEADER]: options.self},
 			body: JSON.stringify(body),
 			signal: AbortSignal.timeout(Math.ceil(timeoutMilliseconds)),
 		});
 		const text = await answer.body.text();
 		return results.Ok(text === '' ? undefined : JSON.parse(text) as unknown);
 	} catch (error) {
-		return results.Err(describeError(sender.address, error));
+		return results.Err(toPeerFailure(options.address, error));
 	}
 }
 
@@ -139,7 +139,7 @@
 	['UND_ERR_CONNECT_TIMEOUT', 'peer-unreachable'],
 ]);
 
-function describeError(address: core.Address, error: unknown): PeerFailure {
+function toPeerFailure(address: core.Address, error: unknown): PeerFailure {
 	if (!(error instanceof Error)) {
 		return createPeerFailure('peer-error', address, 'failed');
 	}
@@ -152,13 +152,13 @@
 	return createPeerFailure(FAILURE_KINDS.get(code) ?? 'peer-disconnected', address, code);
 }
 
-function readAnswer(sender: Sender, value: unknown): results.Result<unknown, PeerFailure> {
+function readAnswer(options: ChannelOptions, value: unknown): results.Result<unknown, PeerFailure> {
 	// A refused body is answered with an empty one, and the library reads members of whatever it is given.
 	if (typeof value !== 'object' || value === null || !rpc.isJSONRPCResponse(value)) {
-		return results.Err(createPeerFailure('peer-error', sender.address, 'the answer is not JSON-RPC'));
+		return results.Err(createPeerFailure('peer-error', options.address, 'the answer is not JSON-RPC'));
 	}
 
 	return value.error === undefined
 		? results.Ok(value.result as unknown)
-		: results.Err(createPeerFailure('peer-error', sender.address, value.error.message));
+		: results.Err(createPeerFailure('peer-error', options.address, value.error.message));
 }
--- a/packages/wagtailroute-peer/src/constants.ts
+++ b/packages/wagtailroute-peer/src/constants.ts
@@ -25,27 +25,27 @@
 /**
 Largest datagram, so that it is never fragmented on an Ethernet path.
 */
-export const MAXIMUM_DATAGRAM_BYTES = 1400;
+export const MAX_DATAGRAM_BYTES = 1400;
 
 /**
 Largest body of a call or its answer, in bytes.
 */
-export const MAXIMUM_BODY_BYTES = 67_108_864;
+export const MAX_BODY_BYTES = 67_108_864;
 
 /**
 Notifications that may wait for one address; more are dropped, as on a lossy network.
 */
-export const MAXIMUM_WAITING_NOTIFICATIONS = 2000;
+export const MAX_QUEUED_NOTIFICATIONS = 2000;
 
 /**
 Notifications sent in one batch.
 */
-export const MAXIMUM_BATCH = 200;
+export const MAX_BATCH_NOTIFICATIONS = 200;
 
 /**
 Calls in flight to one address; one more is refused at once.
 */
-export const MAXIMUM_CALLS = 256;
+export const MAX_CALLS_IN_FLIGHT = 256;
 
 /**
 Connections to one address for calls; one further carries the notifications in order.
@@ -55,17 +55,17 @@
 /**
 Milliseconds after which an unused connection is closed.
 */
-export const KEEP_ALIVE_MILLISECONDS = 30_000;
+export const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 30_000;
 
 /**
 Milliseconds that opening a connection may take.
 */
-export const CONNECT_MILLISECONDS = 2000;
+export const CONNECT_TIMEOUT_MILLISECONDS = 2000;
 
 /**
 Milliseconds that a batch of notifications may take.
 */
-export const NOTIFY_MILLISECONDS = 3000;
+export const NOTIFY_TIMEOUT_MILLISECONDS = 3000;
 
 /**
 Path of the one endpoint.
@@ -75,4 +75,4 @@
 /**
 Header that names the calling host.
 */
-export const FROM_HEADER = 'wagtailroute-host';
+export const CALLER_HEADER = 'wagtailroute-host';
--- a/packages/wagtailroute-peer/src/datagrams.ts
+++ b/packages/wagtailroute-peer/src/datagrams.ts
@@ -9,7 +9,7 @@
 import * as dgram from 'node:dgram';
 import type * as core from 'wagtailroute-core';
 import * as rpc from 'json-rpc-2.0';
-import {MAXIMUM_DATAGRAM_BYTES, TAG_BYTES} from './constants.ts';
+import {MAX_DATAGRAM_BYTES, TAG_BYTES} from './constants.ts';
 import {createTag, type FleetKeys, isTagValid} from './secret.ts';
 
 /**
@@ -64,7 +64,7 @@
 	notification: rpc.JSONRPCRequest,
 ): boolean {
 	const payload = buffer.Buffer.from(JSON.stringify(notification));
-	if (payload.length + TAG_BYTES > MAXIMUM_DATAGRAM_BYTES) {
+	if (payload.length + TAG_BYTES > MAX_DATAGRAM_BYTES) {
 		return false;
 	}
 
--- a/packages/wagtailroute-peer/src/peer.ts
+++ b/packages/wagtailroute-peer/src/peer.ts
@@ -46,7 +46,7 @@
 	/**
 	Told when a connection was refused because its key is another one: a host of another fleet, or a wrong secret.
 	*/
-	readonly onRefused?: () => void;
+	readonly onHandshakeRefused?: () => void;
 	/**
 	A fake network for tests: true drops whatever this host sends to the address.
 	*/
@@ -61,7 +61,7 @@
 	const isCut = settings.isCut ?? (() => false);
 	const channels = new Map<string, Channel>();
 	const handlers = new Set<DatagramHandler>();
-	const server = await openRpcServer(settings.address, keys, settings.onRefused);
+	const server = await openRpcServer(settings.address, keys, settings.onHandshakeRefused);
 	const socket = await openDatagramSocket(settings.address, keys, (method, parameters) => {
 		for (const handler of handlers) {
 			handler(method, parameters);
@@ -69,10 +69,10 @@
 	});
 
 	function getChannel(address: core.Address): Channel {
-		const name = `${address.ip} ${address.port}`;
-		const channel = channels.get(name)
+		const key = `${address.ip} ${address.port}`;
+		const channel = channels.get(key)
 			?? openChannel({address, self: settings.self, isCut: () => isCut(address)}, keys);
-		channels.set(name, channel);
+		channels.set(key, channel);
 		return channel;
 	}
 
--- a/packages/wagtailroute-peer/src/secret.ts
+++ b/packages/wagtailroute-peer/src/secret.ts
@@ -32,8 +32,8 @@
 	};
 }
 
-function deriveKey(secret: string, use: string): buffer.Buffer {
-	return buffer.Buffer.from(crypto.hkdfSync('sha256', secret, SALT, use, KEY_BYTES));
+function deriveKey(secret: string, purpose: string): buffer.Buffer {
+	return buffer.Buffer.from(crypto.hkdfSync('sha256', secret, SALT, purpose, KEY_BYTES));
 }
 
 /**
--- a/packages/wagtailroute-peer/src/server.ts
+++ b/packages/wagtailroute-peer/src/server.ts
@@ -7,7 +7,7 @@
 import type * as core from 'wagtailroute-core';
 import * as rpc from 'json-rpc-2.0';
 import * as utils from 'wagtailroute-utils';
-import {FROM_HEADER, MAXIMUM_BODY_BYTES, RPC_PATH} from './constants.ts';
+import {CALLER_HEADER, MAX_BODY_BYTES, RPC_PATH} from './constants.ts';
 import {type FleetKeys, getServerTls} from './secret.ts';
 
 /**
@@ -31,17 +31,17 @@
 export async function openRpcServer(
 	address: core.Address,
 	keys: FleetKeys,
-	onRefused: () => void = () => undefined,
+	onHandshakeRefused: () => void = () => undefined,
 ): Promise<RpcServer> {
 	const methods = new rpc.JSONRPCServer<Caller>({errorListener: () => undefined});
 	const server = https.createServer(getServerTls(keys), (request, response) => {
-		void answer(methods, request, response);
+		void handleRequest(methods, request, response);
 	});
 	server.keepAliveTimeout = 0;
 	server.on('tlsClientError', (error: NodeJS.ErrnoException) => {
 		// A peer that ends in the midst of a handshake is no stranger: only what the TLS library itself refused counts.
 		if (error.code?.startsWith('ERR_SSL') === true) {
-			onRefused();
+			onHandshakeRefused();
 		}
 	});
 	await utils.listen(server, address);
@@ -51,7 +51,7 @@
 	};
 }
 
-async function answer(
+async function handleRequest(
 	methods: rpc.JSONRPCServer<Caller>,
 	request: http.IncomingMessage,
 	response: http.ServerResponse,
@@ -63,7 +63,7 @@
 		return;
 	}
 
-	const from = String(request.headers[FROM_HEADER] ?? '');
+	const from = String(request.headers[CALLER_HEADER] ?? '');
 	const result = await receive(methods, call, from);
 	if (result === null) {
 		response.writeHead(204).end();
@@ -104,20 +104,20 @@
 */
 async function readBody(request: http.IncomingMessage): Promise<string | undefined> {
 	request.setEncoding('utf8');
-	const parts: string[] = [];
+	const chunks: string[] = [];
 	let size = 0;
 	try {
-		for await (const part of request as AsyncIterable<string>) {
-			size += part.length;
-			if (size > MAXIMUM_BODY_BYTES) {
+		for await (const chunk of request as AsyncIterable<string>) {
+			size += chunk.length;
+			if (size > MAX_BODY_BYTES) {
 				return undefined;
 			}
 
-			parts.push(part);
+			chunks.push(chunk);
 		}
 	} catch {
 		return undefined;
 	}
 
-	return parts.join('');
+	return chunks.join('');
 }
--- a/packages/wagtailroute-telemetry/src/__tests__/unit/telemetry.test.ts
+++ b/packages/wagtailroute-telemetry/src/__tests__/unit/telemetry.test.ts
@@ -5,13 +5,13 @@
 import test from 'ava';
 import * as telemetry from '../../index.ts';
 
-type Lines = {
+type LogCapture = {
 	readonly logs: telemetry.Logs;
 	readonly read: () => ReadonlyArray<Readonly<Record<string, unknown>>>;
-	readonly pass: (milliseconds: number) => void;
+	readonly advance: (milliseconds: number) => void;
 };
 
-function createLines(): Lines {
+function createLogCapture(): LogCapture {
 	const texts: string[] = [];
 	let time = 0;
 	const output = new stream.Writable({
@@ -25,14 +25,14 @@
 			output, level: 'info', now: () => time, fields: {host: 'a'},
 		}),
 		read: () => texts.join('').split('\n').filter(text => text !== '').map(text => JSON.parse(text) as Readonly<Record<string, unknown>>),
-		pass(milliseconds) {
+		advance(milliseconds) {
 			time += milliseconds;
 		},
 	};
 }
 
 test('a line is JSON with its part, level and fields', t => {
-	const lines = createLines();
+	const lines = createLogCapture();
 	lines.logs('entry').warn('Failed.', {request: 'r'});
 	const [line] = lines.read();
 	t.like(line, {
@@ -42,7 +42,7 @@
 });
 
 test('below the level nothing is written', t => {
-	const lines = createLines();
+	const lines = createLogCapture();
 	lines.logs('entry').debug('Detail.');
 	t.deepEqual(lines.read(), []);
 });
@@ -51,7 +51,7 @@
 	// Symptom: a burst fills the log, the memory or the time of the process, and the failures in it are not found.
 	// Sequence: thousands of requests fail alike within a second.
 	// Cause: every request wrote its line.
-	const lines = createLines();
+	const lines = createLogCapture();
 	const log = lines.logs('request');
 	for (let count = 0; count < 1000; count++) {
 		log.info('Answered.');
@@ -61,7 +61,7 @@
 	const before = lines.read();
 	t.true(before.length < 200);
 	t.is(before.at(-1)?.message, 'request: Failed.');
-	lines.pass(1000);
+	lines.advance(1000);
 	log.info('Answered.');
 	t.is(lines.read().at(-1)?.leftOut, 1000 - (before.length - 1));
 });
--- a/packages/wagtailroute-telemetry/src/index.ts
+++ b/packages/wagtailroute-telemetry/src/index.ts
@@ -6,7 +6,7 @@
 	type Log,
 	type LogFields,
 	type LogLevel,
-	type LogPlan,
+	type LogOptions,
 	type Logs,
 } from './logs.ts';
 export {
--- a/packages/wagtailroute-telemetry/src/logs.ts
+++ b/packages/wagtailroute-telemetry/src/logs.ts
@@ -7,11 +7,11 @@
 import type * as stream from 'node:stream';
 import * as winston from 'winston';
 import {
-	LINES_PER_SECOND,
-	LINES_SAVED,
+	MAX_LINES_PER_SECOND,
+	BURST_SECONDS,
 	MILLISECONDS_PER_SECOND,
-	URGENT_LINES_PER_SECOND,
-	WAITING_LOG_BYTES,
+	MAX_URGENT_LINES_PER_SECOND,
+	MAX_BUFFERED_LOG_BYTES,
 } from './constants.ts';
 
 /**
@@ -37,7 +37,7 @@
 /**
 What logs are made with.
 */
-export type LogPlan = {
+export type LogOptions = {
 	readonly output: stream.Writable;
 	readonly level: LogLevel;
 	/**
@@ -50,16 +50,16 @@
 	readonly fields: LogFields;
 };
 
-type Allowance = {
-	credit: number;
-	at: number;
+type LineRateLimit = {
+	tokens: number;
+	refilledAt: number;
 	leftOut: number;
 };
 
 /**
 Creates the logs of a process.
 */
-export function createLogs({output, level, now, fields}: LogPlan): Logs {
+export function createLogs({output, level, now, fields}: LogOptions): Logs {
 	// A log that cannot be written must not end the process: lines come again when there is room.
 	output.on('error', () => undefined);
 	const logger = winston.createLogger({
@@ -68,21 +68,21 @@
 		format: winston.format.combine(winston.format.timestamp(), winston.format.json()),
 		transports: [new winston.transports.Stream({stream: output})],
 	});
-	const allowances = new Map<string, Allowance>();
+	const rateLimits = new Map<string, LineRateLimit>();
 
-	const takeAllowance = (kind: string, perSecond: number) => {
-		const allowance = allowances.get(kind) ?? {credit: LINES_SAVED * perSecond, at: now(), leftOut: 0};
-		allowances.set(kind, allowance);
-		const earned = (now() - allowance.at) * perSecond / MILLISECONDS_PER_SECOND;
-		allowance.credit = Math.min(LINES_SAVED * perSecond, allowance.credit + earned);
-		allowance.at = now();
-		if (allowance.credit < 1 || output.writableLength > WAITING_LOG_BYTES) {
-			allowance.leftOut++;
+	const consumeToken = (kind: string, perSecond: number) => {
+		const rateLimit = rateLimits.get(kind) ?? {tokens: BURST_SECONDS * perSecond, refilledAt: now(), leftOut: 0};
+		rateLimits.set(kind, rateLimit);
+		const refilled = (now() - rateLimit.refilledAt) * perSecond / MILLISECONDS_PER_SECOND;
+		rateLimit.tokens = Math.min(BURST_SECONDS * perSecond, rateLimit.tokens + refilled);
+		rateLimit.refilledAt = now();
+		if (rateLimit.tokens < 1 || output.writableLength > MAX_BUFFERED_LOG_BYTES) {
+			rateLimit.leftOut++;
 			return undefined;
 		}
 
-		allowance.credit--;
-		return allowance;
+		rateLimit.tokens--;
+		return rateLimit;
 	};
 
 	const write = (part: string, lineLevel: LogLevel) => (sentence: string, details: LogFields = {}) => {
@@ -91,13 +91,13 @@
 		}
 
 		const isUrgent = lineLevel === 'error' || lineLevel === 'warn';
-		const allowance = takeAllowance(`${part} ${lineLevel} ${sentence}`, isUrgent ? URGENT_LINES_PER_SECOND : LINES_PER_SECOND);
-		if (allowance === undefined) {
+		const rateLimit = consumeToken(`${part} ${lineLevel} ${sentence}`, isUrgent ? MAX_URGENT_LINES_PER_SECOND : MAX_LINES_PER_SECOND);
+		if (rateLimit === undefined) {
 			return;
 		}
 
-		const {leftOut} = allowance;
-		allowance.leftOut = 0;
+		const {leftOut} = rateLimit;
+		rateLimit.leftOut = 0;
 		logger.log(lineLevel, `${part}: ${sentence}`, leftOut === 0 ? details : {...details, leftOut});
 	};
 
--- a/packages/wagtailroute-telemetry/src/metrics.ts
+++ b/packages/wagtailroute-telemetry/src/metrics.ts
@@ -5,7 +5,7 @@
 import type * as core from 'wagtailroute-core';
 import * as prometheus from 'prom-client';
 import * as utils from 'wagtailroute-utils';
-import {LATENCY_BUCKETS} from './constants.ts';
+import {LATENCY_BUCKETS_MILLISECONDS} from './constants.ts';
 
 /**
 Labels of a measurement. Their values must be few: one time series is kept for each.
@@ -31,31 +31,31 @@
 
 const PREFIX = 'wagtailroute_';
 
-type Reader = {
+type GaugeReader = {
 	readonly labels: Labels;
 	readonly read: () => number;
 };
 
-type Registered = {
+type RegisteredMetrics = {
 	readonly registry: prometheus.Registry;
 	readonly counters: Map<string, prometheus.Counter>;
 	readonly histograms: Map<string, prometheus.Histogram>;
 	/**
 	The readers of each gauge: the parts of a process may have one each.
 	*/
-	readonly readers: Map<string, Reader[]>;
+	readonly readers: Map<string, GaugeReader[]>;
 };
 
 /**
 Creates the metrics of a process.
 */
 export function createMetrics(): Metrics {
-	return createLabelled({
+	return createLabelledMetrics({
 		registry: new prometheus.Registry(), counters: new Map(), histograms: new Map(), readers: new Map(),
 	}, {});
 }
 
-function createLabelled(registered: Registered, common: Labels): Metrics {
+function createLabelledMetrics(registered: RegisteredMetrics, common: Labels): Metrics {
 	const {registry, counters, histograms} = registered;
 	return {
 		count(name, labels = {}) {
@@ -69,23 +69,23 @@
 		observe(name, milliseconds, labels = {}) {
 			const all = {...common, ...labels};
 			const histogram = histograms.get(name) ?? new prometheus.Histogram({
-				name: `${PREFIX}${name}_milliseconds`, help: name, labelNames: Object.keys(all), buckets: LATENCY_BUCKETS, registers: [registry],
+				name: `${PREFIX}${name}_milliseconds`, help: name, labelNames: Object.keys(all), buckets: LATENCY_BUCKETS_MILLISECONDS, registers: [registry],
 			});
 			histograms.set(name, histogram);
 			histogram.observe(all, milliseconds);
 		},
 		registerGauge(name, read) {
-			registerReader(registered, name, {labels: common, read});
+			registerGaugeReader(registered, name, {labels: common, read});
 		},
-		label: labels => createLabelled(registered, {...common, ...labels}),
+		label: labels => createLabelledMetrics(registered, {...common, ...labels}),
 		getText: async () => registry.metrics(),
 	};
 }
 
-function registerReader({registry, readers}: Registered, name: string, reader: Reader): void {
-	const known = readers.get(name);
-	if (known !== undefined) {
-		known.push(reader);
+function registerGaugeReader({registry, readers}: RegisteredMetrics, name: string, reader: GaugeReader): void {
+	const registeredReaders = readers.get(name);
+	if (registeredReaders !== undefined) {
+		registeredReaders.push(reader);
 		return;
 	}
 
@@ -109,7 +109,7 @@
 */
 export async function openMetricsServer(address: core.Address, metrics: Metrics): Promise<{readonly close: () => Promise<void>}> {
 	const server = http.createServer((_request, response) => {
-		void answer(metrics, response);
+		void respond(metrics, response);
 	});
 	await utils.listen(server, address);
 	return {
@@ -117,7 +117,7 @@
 	};
 }
 
-async function answer(metrics: Metrics, response: http.ServerResponse): Promise<void> {
+async function respond(metrics: Metrics, response: http.ServerResponse): Promise<void> {
 	const text = await metrics.getText();
 	response.writeHead(200, {'content-type': 'text/plain; version=0.0.4'}).end(text);
 }
--- a/packages/wagtailroute-utils/src/__tests__/unit/utils.test.ts
+++ b/packages/wagtailroute-utils/src/__tests__/unit/utils.test.ts
@@ -43,17 +43,17 @@
 test('what is asked for several times runs once, and again when it is asked for again', t => {
 	const due: Array<() => void> = [];
 	let runs = 0;
-	const ask = utils.coalesce((_milliseconds, run) => {
+	const request = utils.coalesce((_milliseconds, run) => {
 		due.push(run);
 		return () => undefined;
 	}, 10, () => {
 		runs++;
 	});
-	ask();
-	ask();
+	request();
+	request();
 	t.is(due.length, 1);
 	due[0]!();
-	ask();
+	request();
 	due[1]!();
 	t.is(runs, 2);
 });
--- a/packages/wagtailroute-utils/src/bounded.ts
+++ b/packages/wagtailroute-utils/src/bounded.ts
@@ -8,11 +8,11 @@
 /**
 Sets an entry as the newest and forgets the oldest beyond the number.
 */
-export function setBounded<Key, Value>(map: Map<Key, Value>, key: Key, value: Value, most: number): void {
+export function setBounded<Key, Value>(map: Map<Key, Value>, key: Key, value: Value, maxSize: number): void {
 	// Deleted first: a map keeps the place of a key that it has.
 	map.delete(key);
 	map.set(key, value);
-	if (map.size > most) {
+	if (map.size > maxSize) {
 		map.delete(map.keys().next().value!);
 	}
 }
--- a/packages/wagtailroute-utils/src/timers.ts
+++ b/packages/wagtailroute-utils/src/timers.ts
@@ -26,18 +26,18 @@
 /**
 Runs some time after it was first asked for, once for all that asked until then.
 
-@param later Runs once after a delay in milliseconds.
+@param scheduleOnce Runs once after a delay in milliseconds.
 */
-export function coalesce(later: typeof schedule, milliseconds: number, run: () => void): () => void {
-	let isWaiting = false;
+export function coalesce(scheduleOnce: typeof schedule, milliseconds: number, run: () => void): () => void {
+	let isScheduled = false;
 	return () => {
-		if (isWaiting) {
+		if (isScheduled) {
 			return;
 		}
 
-		isWaiting = true;
-		later(milliseconds, () => {
-			isWaiting = false;
+		isScheduled = true;
+		scheduleOnce(milliseconds, () => {
+			isScheduled = false;
 			run();
 		});
 	};
@@ -46,13 +46,13 @@
 /**
 Makes a repeating timer of one that runs once, for clocks that are not the system's.
 
-@param later Runs once after a delay in milliseconds.
+@param scheduleOnce Runs once after a delay in milliseconds.
 */
-export function createRepeat(later: typeof schedule): typeof repeat {
+export function createRepeat(scheduleOnce: typeof schedule): typeof repeat {
 	return (milliseconds, run) => {
 		let cancel: Teardown = () => undefined;
 		const next = () => {
-			cancel = later(milliseconds, () => {
+			cancel = scheduleOnce(milliseconds, () => {
 				next();
 				run();
 			});
