--- a/packages/wagtailroute-host/src/__tests__/unit/burn.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/burn.test.ts
@@ -6,7 +6,7 @@
 import type * as proxy from 'wagtailroute-proxy';
 import type * as report from 'wagtailroute-report';
 import type {AdminRequest} from '../../admin-routes.ts';
-import {startBurn} from '../../burn.ts';
+import {startBurnReporter} from '../../burn.ts';
 import type {HostContext, Member} from '../../context.ts';
 
 const MINUTE = 60_000;
@@ -30,7 +30,7 @@
 type Method = (parameters: unknown) => unknown;
 
 type FakeHost = {
-	readonly burn: ReturnType<typeof startBurn>;
+	readonly burn: ReturnType<typeof startBurnReporter>;
 	readonly tick: () => void;
 	readonly methods: Map<string, Method>;
 	readonly boot: string;
@@ -74,7 +74,7 @@
 				}),
 			},
 		} as unknown as HostContext;
-		const burn = startBurn(context);
+		const burn = startBurnReporter(context);
 		this.hosts.set(name, {
 			burn, tick, methods, startedAt, boot: `boot-${this.#boots++}`,
 		});
@@ -91,7 +91,7 @@
 
 	serve(name: Name, requests: number): void {
 		for (let request = 0; request < requests; request++) {
-			this.hosts.get(name)!.burn.note(NOTE);
+			this.hosts.get(name)!.burn.recordRequest(NOTE);
 		}
 	}
 
@@ -207,8 +207,8 @@
 
 test('a request that another host forwarded is counted by that host alone', async t => {
 	const fleet = await createFleet();
-	fleet.hosts.get('a')!.burn.note(NOTE);
-	fleet.hosts.get('b')!.burn.note({...NOTE, isForwarded: true});
+	fleet.hosts.get('a')!.burn.recordRequest(NOTE);
+	fleet.hosts.get('b')!.burn.recordRequest({...NOTE, isForwarded: true});
 	t.is(await fleet.count('c'), 1);
 });
 
--- a/packages/wagtailroute-host/src/__tests__/unit/admitting.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/service-admission.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava';
 import * as catalogue from 'wagtailroute-catalogue';
 import type * as proxy from 'wagtailroute-proxy';
-import {createAdmitter} from '../../admitting.ts';
+import {createServiceAdmission} from '../../service-admission.ts';
 import {startSharing} from '../../sharing.ts';
 import {createFakeCell, type FakeCell} from './fake-cell.ts';
 
@@ -20,7 +20,7 @@
 
 function createHost(cell: FakeCell, name: string, entry: catalogue.Entry, carriers = 1) {
 	const context = cell.createContext(name);
-	const admitter = createAdmitter(context, entry, startSharing(context, cell.propose));
+	const admitter = createServiceAdmission(context, entry, startSharing(context, cell.propose));
 	admitter.setCapacity(1000, carriers);
 	return admitter;
 }
--- a/packages/wagtailroute-host/src/admin.ts
+++ b/packages/wagtailroute-host/src/admin.ts
@@ -17,8 +17,8 @@
 	readonly close: () => Promise<void>;
 };
 
-const HEADER_BYTES = 16_384;
-const REQUEST_MILLISECONDS = 30_000;
+const MAX_HEADER_BYTES = 16_384;
+const REQUEST_TIMEOUT_MILLISECONDS = 30_000;
 
 /**
 Opens the server with its routes.
@@ -30,12 +30,12 @@
 ): Promise<AdminServer> {
 	const log = context.log('admin');
 	const server = http.createServer({
-		maxHeaderSize: HEADER_BYTES,
-		requestTimeout: REQUEST_MILLISECONDS,
+		maxHeaderSize: MAX_HEADER_BYTES,
+		requestTimeout: REQUEST_TIMEOUT_MILLISECONDS,
 	}, (message, response) => {
 		message.on('error', () => undefined);
 		response.on('error', () => undefined);
-		void serve({context, routes, getFailures}, message, response).catch((error: unknown) => {
+		void handleRequest({context, routes, getFailures}, message, response).catch((error: unknown) => {
 			log.error('Request failed.', {error: error instanceof Error ? error.stack : String(error)});
 			response.destroy();
 		});
@@ -51,14 +51,14 @@
 	};
 }
 
-type Served = {
+type ServeOptions = {
 	readonly context: HostContext;
 	readonly routes: readonly AdminRoute[];
 	readonly getFailures: () => Readonly<Record<string, string>>;
 };
 
-async function serve(
-	{context, routes, getFailures}: Served,
+async function handleRequest(
+	{context, routes, getFailures}: ServeOptions,
 	message: http.IncomingMessage,
 	response: http.ServerResponse,
 ): Promise<void> {
--- a/packages/wagtailroute-host/src/announcing.ts
+++ b/packages/wagtailroute-host/src/announcer.ts
@@ -5,21 +5,21 @@
 import * as core from 'wagtailroute-core';
 import * as results from 'ts-results-es';
 import * as utils from 'wagtailroute-utils';
-import {CALL_MILLISECONDS, TICK_MILLISECONDS} from './constants.ts';
+import {CALL_TIMEOUT_MILLISECONDS, TICK_INTERVAL_MILLISECONDS} from './constants.ts';
 import {findPeerAddress, type HostContext} from './context.ts';
 import {runMachine} from './events.ts';
 
 /**
 Why an announcement was not taken.
 */
-export type AnnouncingFailure =
+export type AnnouncerFailure =
 	| announcements.AnnouncementFailure
 	| core.Failure<'service-unknown' | 'carriers-unreachable'>;
 
 /**
 What an upstream tells: that it serves or drains, or that it leaves.
 */
-export type Telling = {
+export type AnnouncementRequest = {
 	readonly service: core.ServiceName;
 	readonly id: core.UpstreamId;
 	/**
@@ -35,11 +35,11 @@
 /**
 The announcements of a host.
 */
-export type Announcing = {
+export type Announcer = {
 	/**
 	Takes what an upstream tells, or passes it to a host that carries the service.
 	*/
-	readonly tell: (telling: Telling) => Promise<results.Result<void, AnnouncingFailure>>;
+	readonly submit: (request: AnnouncementRequest) => Promise<results.Result<void, AnnouncerFailure>>;
 	readonly getUpstreams: (service: core.ServiceName) => readonly announcements.Upstream[];
 	readonly registerChangeListener: (listener: (service: core.ServiceName) => void) => utils.Teardown;
 	readonly teardown: utils.Teardown;
@@ -50,17 +50,17 @@
 	readonly message: announcements.Message;
 };
 
-type TellAnswer = {readonly failure?: AnnouncingFailure};
+type AnnouncementResponse = {readonly failure?: AnnouncerFailure};
 
 /**
 Starts the part. Its methods: `announcements.message` between carriers, `announcements.tell` from a host that does not
 carry the service.
 */
-export function startAnnouncing(context: HostContext): Announcing {
+export function startAnnouncer(context: HostContext): Announcer {
 	const {settings, peer, store} = context;
 	const log = context.log('announcements');
 	const listeners = new Set<(service: core.ServiceName) => void>();
-	let refusal: announcements.AnnouncementFailure | undefined;
+	let lastRefusal: announcements.AnnouncementFailure | undefined;
 
 	const machine = runMachine<announcements.AnnouncementState, announcements.Event, announcements.Effect>({
 		initial: announcements.createAnnouncements(settings.hostId),
@@ -81,10 +81,10 @@
 				}
 			},
 			accepted() {
-				refusal = undefined;
+				lastRefusal = undefined;
 			},
 			refused({failure}) {
-				refusal = failure;
+				lastRefusal = failure;
 			},
 		},
 	});
@@ -92,31 +92,31 @@
 	const isCarried = (service: core.ServiceName) =>
 		store.read(state => state.carriers.get(service)?.includes(settings.hostId) ?? false);
 
-	const tellHere = ({service, id, announcement}: Telling): results.Result<void, AnnouncingFailure> => {
-		refusal = undefined;
+	const applyLocally = ({service, id, announcement}: AnnouncementRequest): results.Result<void, AnnouncerFailure> => {
+		lastRefusal = undefined;
 		machine.send(announcement === undefined
 			? {kind: 'leave', service, id}
 			: {
 				kind: 'announce', service, id, announcement,
 			});
-		return refusal === undefined ? results.Ok(undefined) : results.Err(refusal);
+		return lastRefusal === undefined ? results.Ok(undefined) : results.Err(lastRefusal);
 	};
 
-	const tell = async (telling: Telling): Promise<results.Result<void, AnnouncingFailure>> => {
-		if (!store.read(state => state.view.entries.has(telling.service))) {
-			return results.Err(core.createFailure('service-unknown', `There is no service ${telling.service}.`));
+	const submit = async (request: AnnouncementRequest): Promise<results.Result<void, AnnouncerFailure>> => {
+		if (!store.read(state => state.view.entries.has(request.service))) {
+			return results.Err(core.createFailure('service-unknown', `There is no service ${request.service}.`));
 		}
 
-		return isCarried(telling.service) || telling.isForwarded ? tellHere(telling) : passOn(context, telling);
+		return isCarried(request.service) || request.isForwarded ? applyLocally(request) : forwardToCarriers(context, request);
 	};
 
 	const teardown = utils.mergeTeardowns(
 		peer.registerMethod('announcements.message', ({from, message}: Envelope) => {
 			machine.send({kind: 'receive', from, message});
 		}),
-		peer.registerMethod('announcements.tell', async (telling: Telling): Promise<TellAnswer> => {
-			const told = await tell({...telling, isForwarded: true});
-			return told.isOk() ? {} : {failure: told.error};
+		peer.registerMethod('announcements.tell', async (request: AnnouncementRequest): Promise<AnnouncementResponse> => {
+			const outcome = await submit({...request, isForwarded: true});
+			return outcome.isOk() ? {} : {failure: outcome.error};
 		}),
 		store.registerUpdateListener((state, previous, dirty) => {
 			if (dirty.has('carriers')) {
@@ -142,7 +142,7 @@
 				}
 			}
 		}),
-		context.repeat(TICK_MILLISECONDS, () => {
+		context.repeat(TICK_INTERVAL_MILLISECONDS, () => {
 			machine.send({kind: 'tick'});
 		}),
 		() => {
@@ -151,7 +151,7 @@
 	);
 
 	return {
-		tell,
+		submit,
 		getUpstreams: service => announcements.getUpstreams(machine.read(), service),
 		registerChangeListener(listener) {
 			listeners.add(listener);
@@ -166,8 +166,8 @@
 /**
 Passes an announcement to the carriers, one after the other until one takes it.
 */
-async function passOn(context: HostContext, telling: Telling): Promise<results.Result<void, AnnouncingFailure>> {
-	const carriers = context.store.read(state => state.carriers.get(telling.service) ?? []);
+async function forwardToCarriers(context: HostContext, request: AnnouncementRequest): Promise<results.Result<void, AnnouncerFailure>> {
+	const carriers = context.store.read(state => state.carriers.get(request.service) ?? []);
 	for (const carrier of carriers) {
 		const address = findPeerAddress(context, carrier);
 		if (address === undefined) {
@@ -175,12 +175,12 @@
 		}
 
 		// eslint-disable-next-line no-await-in-loop -- One carrier after the other; each tells the rest.
-		const answer = await context.peer.call(address, 'announcements.tell', telling, CALL_MILLISECONDS);
+		const answer = await context.peer.call(address, 'announcements.tell', request, CALL_TIMEOUT_MILLISECONDS);
 		if (answer.isOk()) {
-			const {failure} = answer.value as TellAnswer;
+			const {failure} = answer.value as AnnouncementResponse;
 			return failure === undefined ? results.Ok(undefined) : results.Err(failure);
 		}
 	}
 
-	return results.Err(core.createFailure('carriers-unreachable', `No host that carries ${telling.service} can be reached.`));
+	return results.Err(core.createFailure('carriers-unreachable', `No host that carries ${request.service} can be reached.`));
 }
--- a/packages/wagtailroute-host/src/burn-copies.ts
+++ b/packages/wagtailroute-host/src/burn-copy-sender.ts
@@ -6,20 +6,20 @@
 */
 import * as report from 'wagtailroute-report';
 import type * as utils from 'wagtailroute-utils';
-import type {CopyMessage, HeldCopies} from './burn-held.ts';
+import type {CopyMessage, HeldCopies} from './burn-held-copies.ts';
 import {
-	BURN_COPIES,
-	BURN_RECALL_ATTEMPTS,
+	BURN_COPY_HOLDERS,
+	MAX_BURN_RECALL_ATTEMPTS,
 	BURN_RECALL_CANDIDATES,
-	BURN_TICK_MILLISECONDS,
-	CALL_MILLISECONDS,
+	BURN_TICK_INTERVAL_MILLISECONDS,
+	CALL_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
 import {getOtherMembers, type HostContext, type Member} from './context.ts';
 
 /**
 The sending of copies.
 */
-export type BurnCopies = {
+export type BurnCopySender = {
 	/**
 	Hands over everything up to now. Nothing counted later is handed over.
 	*/
@@ -30,14 +30,14 @@
 /**
 Starts to hand out copies, after the counts of an earlier process were taken back: a copy sent before would replace them.
 */
-export function startBurnCopies(context: HostContext, own: report.BurnCounters, held: HeldCopies): BurnCopies {
+export function startBurnCopySender(context: HostContext, ownCounters: report.BurnCounters, held: HeldCopies): BurnCopySender {
 	const sender = createSender(context);
-	const self: report.Holder = {id: context.settings.hostId, failureDomain: context.settings.failureDomain};
-	const recall = createRecall(context, own, self);
-	let working: Promise<void> | undefined;
+	const ownHolder: report.Holder = {id: context.settings.hostId, failureDomain: context.settings.failureDomain};
+	const recall = createRecovery(context, ownCounters, ownHolder);
+	let activeRun: Promise<void> | undefined;
 
 	const sendAll = async () => {
-		await sender.send({subject: self, counters: own}, true);
+		await sender.send({subject: ownHolder, counters: ownCounters}, true);
 		const running = new Set(getOtherMembers(context).map(({id}) => id));
 		// A copy of a host that is gone has no sender any more: whoever holds one hands it to the holders of the day.
 		const orphans = held.list().filter(({subject}) => !running.has(subject.id));
@@ -47,7 +47,7 @@
 		}
 	};
 
-	const work = async () => {
+	const run = async () => {
 		if (await recall()) {
 			await sendAll();
 		}
@@ -55,28 +55,28 @@
 
 	const tick = () => {
 		// One at a time: two at once would hand over the same buckets, and they would count twice.
-		working ??= work().finally(() => {
-			working = undefined;
+		activeRun ??= run().finally(() => {
+			activeRun = undefined;
 		});
 	};
 
-	const stop = context.repeat(BURN_TICK_MILLISECONDS, tick);
+	const stop = context.repeat(BURN_TICK_INTERVAL_MILLISECONDS, tick);
 	return {
 		async handOver() {
 			stop();
-			await working;
+			await activeRun;
 			if (!await recall()) {
 				return;
 			}
 
-			await sender.send({subject: self, counters: own}, true);
-			await sender.sendLast({subject: self, counters: own});
+			await sender.send({subject: ownHolder, counters: ownCounters}, true);
+			await sender.sendLast({subject: ownHolder, counters: ownCounters});
 		},
 		teardown: stop,
 	};
 }
 
-type Source = {
+type HostCounters = {
 	readonly subject: report.Holder;
 	readonly counters: report.BurnCounters;
 };
@@ -88,16 +88,16 @@
 function createSender(context: HostContext) {
 	const {now, peer} = context;
 	// Subject to holder's process to the first bucket that it has not got.
-	const sent = new Map<string, Map<string, number>>();
+	const sentBuckets = new Map<string, Map<string, number>>();
 
-	const findHolders = (subject: report.Holder) => report.chooseHolders(subject, getOtherMembers(context), BURN_COPIES);
+	const findHolders = (subject: report.Holder) => report.chooseHolders(subject, getOtherMembers(context), BURN_COPY_HOLDERS);
 
-	const hand = async (holder: Member, message: CopyMessage): Promise<boolean> => {
-		const answer = await peer.call(holder.peerAddress, 'report.copy', message, CALL_MILLISECONDS);
+	const sendCopy = async (holder: Member, message: CopyMessage): Promise<boolean> => {
+		const answer = await peer.call(holder.peerAddress, 'report.copy', message, CALL_TIMEOUT_MILLISECONDS);
 		return answer.isOk() && answer.value === true;
 	};
 
-	const sendTo = async ({subject, counters}: Source, isOwn: boolean, holder: Member, from: number | undefined): Promise<number | undefined> => {
+	const sendTo = async ({subject, counters}: HostCounters, isOwn: boolean, holder: Member, from: number | undefined): Promise<number | undefined> => {
 		const present = counters.getBucket(now());
 		const isWhole = from === undefined || !counters.canCopyFrom(from, now());
 		if (from === present || !(isOwn || isWhole)) {
@@ -105,15 +105,15 @@
 		}
 
 		const copy = counters.copy(now(), isWhole ? undefined : from);
-		const isTaken = copy.length === 0 || await hand(holder, {
+		const isAccepted = copy.length === 0 || await sendCopy(holder, {
 			subject, isOwn, isWhole, copy,
 		});
 		// A copy whose answer was lost may have been taken, and taken twice it would count twice: the whole replaces either.
-		return isTaken && !(isWhole && copy.length === 0) ? present : undefined;
+		return isAccepted && !(isWhole && copy.length === 0) ? present : undefined;
 	};
 
-	const send = async (source: Source, isOwn: boolean) => {
-		const before = sent.get(source.subject.id);
+	const send = async (source: HostCounters, isOwn: boolean) => {
+		const before = sentBuckets.get(source.subject.id);
 		const after = new Map<string, number>();
 		for (const holder of findHolders(source.subject)) {
 			const key = `${holder.id} ${holder.boot}`;
@@ -124,14 +124,14 @@
 			}
 		}
 
-		sent.set(source.subject.id, after);
+		sentBuckets.set(source.subject.id, after);
 	};
 
-	const sendLast = async ({subject, counters}: Source) => {
+	const sendLast = async ({subject, counters}: HostCounters) => {
 		const copy = counters.copyLast(now());
 		const isWhole = counters.copy(now()).length === 0;
-		const holders = findHolders(subject).filter(({id, boot}) => isWhole || sent.get(subject.id)?.has(`${id} ${boot}`));
-		await Promise.all(holders.map(async holder => copy.length === 0 || hand(holder, {
+		const holders = findHolders(subject).filter(({id, boot}) => isWhole || sentBuckets.get(subject.id)?.has(`${id} ${boot}`));
+		await Promise.all(holders.map(async holder => copy.length === 0 || sendCopy(holder, {
 			subject, isOwn: true, isWhole, copy,
 		})));
 	};
@@ -142,26 +142,26 @@
 /**
 Returns what takes the counts of an earlier process back, once. It resolves to true when that is done or given up.
 */
-function createRecall(context: HostContext, own: report.BurnCounters, self: report.Holder): () => Promise<boolean> {
+function createRecovery(context: HostContext, ownCounters: report.BurnCounters, ownHolder: report.Holder): () => Promise<boolean> {
 	let isDone = false;
 	let attempts = 0;
 
 	return async () => {
-		const candidates = report.chooseHolders(self, getOtherMembers(context), BURN_RECALL_CANDIDATES);
+		const candidates = report.chooseHolders(ownHolder, getOtherMembers(context), BURN_RECALL_CANDIDATES);
 		if (isDone || candidates.length === 0) {
 			return isDone;
 		}
 
 		attempts++;
-		const offers = await askForOffers(context, candidates);
-		const best = offers.toSorted((left, right) => right.total - left.total)[0];
+		const sizes = await fetchCopySizes(context, candidates);
+		const best = sizes.toSorted((left, right) => right.total - left.total)[0];
 		const copy = best === undefined || best.total === 0 ? undefined : await fetchCopy(context, best.holder);
 		if (copy !== undefined && !isDone) {
-			own.add(copy, context.now());
+			ownCounters.add(copy, context.now());
 		}
 
-		const isNowhere = offers.length === candidates.length && best?.total === 0;
-		isDone ||= copy !== undefined || isNowhere || attempts >= BURN_RECALL_ATTEMPTS;
+		const hasNoCopy = sizes.length === candidates.length && best?.total === 0;
+		isDone ||= copy !== undefined || hasNoCopy || attempts >= MAX_BURN_RECALL_ATTEMPTS;
 		return isDone;
 	};
 }
@@ -169,7 +169,7 @@
 /**
 A holder, and the number of requests in its copy of this host's counts.
 */
-type Offer = {
+type CopySize = {
 	readonly holder: Member;
 	readonly total: number;
 };
@@ -177,10 +177,10 @@
 /**
 Asks how much each candidate holds: copies are large, and only one is needed.
 */
-async function askForOffers(context: HostContext, candidates: readonly Member[]): Promise<readonly Offer[]> {
+async function fetchCopySizes(context: HostContext, candidates: readonly Member[]): Promise<readonly CopySize[]> {
 	const host = context.settings.hostId;
 	const offers = await Promise.all(candidates.map(async holder => {
-		const answer = await context.peer.call(holder.peerAddress, 'report.total', {host}, CALL_MILLISECONDS);
+		const answer = await context.peer.call(holder.peerAddress, 'report.total', {host}, CALL_TIMEOUT_MILLISECONDS);
 		return answer.isOk() ? [{holder, total: answer.value as number}] : [];
 	}));
 	return offers.flat();
@@ -188,6 +188,6 @@
 
 async function fetchCopy(context: HostContext, holder: Member): Promise<report.Copy | undefined> {
 	const host = context.settings.hostId;
-	const answer = await context.peer.call(holder.peerAddress, 'report.recall', {host}, CALL_MILLISECONDS);
+	const answer = await context.peer.call(holder.peerAddress, 'report.recall', {host}, CALL_TIMEOUT_MILLISECONDS);
 	return answer.isOk() ? answer.value as report.Copy : undefined;
 }
--- a/packages/wagtailroute-host/src/burn-gathering.ts
+++ b/packages/wagtailroute-host/src/burn-gathering.ts
@@ -4,8 +4,8 @@
 import type * as core from 'wagtailroute-core';
 import * as report from 'wagtailroute-report';
 import * as utils from 'wagtailroute-utils';
-import type {HeldCopies} from './burn-held.ts';
-import {BURN_CONCURRENCY, CALL_MILLISECONDS} from './constants.ts';
+import type {HeldCopies} from './burn-held-copies.ts';
+import {BURN_CONCURRENCY, CALL_TIMEOUT_MILLISECONDS} from './constants.ts';
 import {getOtherMembers, type HostContext, type Member} from './context.ts';
 
 /**
@@ -16,7 +16,7 @@
 	readonly held: HeldCopies;
 };
 
-type CountersAnswer = {
+type CountersResponse = {
 	readonly summary: report.Summary;
 	/**
 	The hosts of which the answering host holds copies, with the number of requests in each.
@@ -24,7 +24,7 @@
 	readonly held: ReadonlyArray<readonly [host: core.HostId, total: number]>;
 };
 
-const NOTHING: report.Summary = {services: [], untracked: 0};
+const EMPTY_SUMMARY: report.Summary = {services: [], untracked: 0};
 
 /**
 Registers the methods `report.counters`, which returns a host's own summary, and `report.held`, which returns that of a copy.
@@ -34,12 +34,12 @@
 	return utils.mergeTeardowns(
 		peer.registerMethod('report.counters', ({span}: {span: number}) => answerCounters(context, sources, span)),
 		peer.registerMethod('report.held', ({host, span}: {host: core.HostId; span: number}) => (
-			sources.held.find(host)?.counters.summarize(span, now()) ?? NOTHING
+			sources.held.find(host)?.counters.summarize(span, now()) ?? EMPTY_SUMMARY
 		)),
 	);
 }
 
-function answerCounters(context: HostContext, {counters, held}: BurnSources, span: number): CountersAnswer {
+function answerCounters(context: HostContext, {counters, held}: BurnSources, span: number): CountersResponse {
 	const now = context.now();
 	return {
 		summary: counters.summarize(span, now),
@@ -66,7 +66,7 @@
 	const answered = new Set<core.HostId>();
 	const copies = new Map<core.HostId, BestCopy>();
 
-	const take = (host: core.HostId, holder: Member | undefined, {summary, held}: CountersAnswer) => {
+	const addAnswer = (host: core.HostId, holder: Member | undefined, {summary, held}: CountersResponse) => {
 		merging.add(summary);
 		answered.add(host);
 		for (const [subject, total] of held) {
@@ -77,37 +77,37 @@
 	};
 
 	const others = getOtherMembers(context);
-	take(context.settings.hostId, undefined, answerCounters(context, sources, span));
-	await askAll(others, async member => {
-		const answer = await context.peer.call(member.peerAddress, 'report.counters', {span}, CALL_MILLISECONDS);
+	addAnswer(context.settings.hostId, undefined, answerCounters(context, sources, span));
+	await runConcurrently(others, async member => {
+		const answer = await context.peer.call(member.peerAddress, 'report.counters', {span}, CALL_TIMEOUT_MILLISECONDS);
 		if (answer.isOk()) {
-			take(member.id, member, answer.value as CountersAnswer);
+			addAnswer(member.id, member, answer.value as CountersResponse);
 		}
 	});
 
-	const copied = new Set<core.HostId>();
-	const wanted = [...copies].filter(([host]) => !answered.has(host));
-	await askAll(wanted, async ([host, {holder}]) => {
-		const summary = await fetchCopy(context, sources, {host, holder, span});
+	const hostsFromCopies = new Set<core.HostId>();
+	const unansweredCopies = [...copies].filter(([host]) => !answered.has(host));
+	await runConcurrently(unansweredCopies, async ([host, {holder}]) => {
+		const summary = await fetchCopySummary(context, sources, {host, holder, span});
 		if (summary === undefined) {
 			return;
 		}
 
 		merging.add(summary);
-		copied.add(host);
+		hostsFromCopies.add(host);
 	});
 
-	const unanswered = new Set([...others.map(({id}) => id), ...wanted.map(([host]) => host)]).difference(answered);
+	const hostsWithoutAnswer = new Set([...others.map(({id}) => id), ...unansweredCopies.map(([host]) => host)]).difference(answered);
 	const hosts = {
 		answered: answered.size,
-		copied: [...copied].toSorted(),
-		missing: [...unanswered.difference(copied)].toSorted(),
+		copied: [...hostsFromCopies].toSorted(),
+		missing: [...hostsWithoutAnswer.difference(hostsFromCopies)].toSorted(),
 	};
 	const entries = context.store.read(({view}) => view.entries.values().map(({entry}) => entry).toArray());
 	return report.createReport({host: context.settings.hostId, windowMilliseconds: span, hosts}, merging.read(), entries);
 }
 
-async function fetchCopy(
+async function fetchCopySummary(
 	context: HostContext,
 	{held}: BurnSources,
 	{host, holder, span}: {host: core.HostId; holder: Member | undefined; span: number},
@@ -116,21 +116,21 @@
 		return held.find(host)?.counters.summarize(span, context.now());
 	}
 
-	const answer = await context.peer.call(holder.peerAddress, 'report.held', {host, span}, CALL_MILLISECONDS);
+	const answer = await context.peer.call(holder.peerAddress, 'report.held', {host, span}, CALL_TIMEOUT_MILLISECONDS);
 	return answer.isOk() ? answer.value as report.Summary : undefined;
 }
 
 /**
 Asks a bounded number at a time.
 */
-async function askAll<Item>(items: readonly Item[], ask: (item: Item) => Promise<void>): Promise<void> {
-	const waiting = [...items];
-	const askNext = async () => {
-		for (let item = waiting.pop(); item !== undefined; item = waiting.pop()) {
+async function runConcurrently<Item>(items: readonly Item[], run: (item: Item) => Promise<void>): Promise<void> {
+	const remaining = [...items];
+	const runNext = async () => {
+		for (let item = remaining.pop(); item !== undefined; item = remaining.pop()) {
 			// eslint-disable-next-line no-await-in-loop -- Each of the askers takes one after the other.
-			await ask(item);
+			await run(item);
 		}
 	};
 
-	await Promise.all(Array.from({length: BURN_CONCURRENCY}, askNext));
+	await Promise.all(Array.from({length: BURN_CONCURRENCY}, runNext));
 }
--- a/packages/wagtailroute-host/src/burn-held.ts
+++ b/packages/wagtailroute-host/src/burn-held-copies.ts
@@ -4,7 +4,7 @@
 import type * as core from 'wagtailroute-core';
 import * as report from 'wagtailroute-report';
 import * as utils from 'wagtailroute-utils';
-import {BURN_HELD_HOSTS} from './constants.ts';
+import {MAX_BURN_HELD_HOSTS} from './constants.ts';
 import type {HostContext} from './context.ts';
 
 /**
@@ -45,16 +45,16 @@
 	const {now, peer, settings} = context;
 	const held = new Map<core.HostId, HeldCopy>();
 
-	const keep = (copy: HeldCopy) => {
+	const store = (copy: HeldCopy) => {
 		// The map is in the order of the last renewal: the first is the copy that nobody renews.
 		held.delete(copy.subject.id);
 		held.set(copy.subject.id, copy);
-		if (held.size > BURN_HELD_HOSTS) {
+		if (held.size > MAX_BURN_HELD_HOSTS) {
 			held.delete(held.keys().next().value!);
 		}
 	};
 
-	const take = ({subject, isOwn, isWhole, copy}: CopyMessage): boolean => {
+	const receiveCopy = ({subject, isOwn, isWhole, copy}: CopyMessage): boolean => {
 		const known = held.get(subject.id);
 		const counters = isWhole ? report.createBurnCounters() : known?.counters;
 		if (counters === undefined || subject.id === settings.hostId) {
@@ -64,7 +64,7 @@
 		counters.add(copy, now());
 		// Of two copies that others made, the one with fewer requests has missed some.
 		if (isOwn || known === undefined || counters.getTotal(now()) > known.counters.getTotal(now())) {
-			keep({subject, counters});
+			store({subject, counters});
 		}
 
 		return true;
@@ -78,7 +78,7 @@
 		list: () => held.values().toArray(),
 		find: host => held.get(host),
 		teardown: utils.mergeTeardowns(
-			peer.registerMethod('report.copy', take),
+			peer.registerMethod('report.copy', receiveCopy),
 			peer.registerMethod('report.total', getTotal),
 			peer.registerMethod('report.recall', recall),
 		),
--- a/packages/wagtailroute-host/src/burn.ts
+++ b/packages/wagtailroute-host/src/burn.ts
@@ -12,20 +12,20 @@
 import * as report from 'wagtailroute-report';
 import * as utils from 'wagtailroute-utils';
 import type {AdminRoute} from './admin-routes.ts';
-import {startBurnCopies} from './burn-copies.ts';
+import {startBurnCopySender} from './burn-copy-sender.ts';
 import {type BurnSources, gatherBurn, registerBurnMethods} from './burn-gathering.ts';
-import {registerHeldCopies} from './burn-held.ts';
+import {registerHeldCopies} from './burn-held-copies.ts';
 import type {HostContext} from './context.ts';
 import {answerProblem} from './problems.ts';
 
 /**
 The part that counts requests and writes the report.
 */
-export type Burn = {
+export type BurnReporter = {
 	/**
 	Counts one answered request.
 	*/
-	readonly note: (note: proxy.RequestReport) => void;
+	readonly recordRequest: (request: proxy.RequestReport) => void;
 	/**
 	`GET /report/burn?window=1h&format=text`.
 	*/
@@ -42,15 +42,15 @@
 /**
 Starts the part.
 */
-export function startBurn(context: HostContext): Burn {
+export function startBurnReporter(context: HostContext): BurnReporter {
 	const counters = report.createBurnCounters();
 	const held = registerHeldCopies(context);
-	const copies = startBurnCopies(context, counters, held);
+	const copies = startBurnCopySender(context, counters, held);
 	const sources: BurnSources = {counters, held};
 	const teardown = utils.mergeTeardowns(held.teardown, copies.teardown, registerBurnMethods(context, sources));
 	return {
-		note(note) {
-			record(context, counters, note);
+		recordRequest(request) {
+			countRequest(context, counters, request);
 		},
 		route: {
 			method: 'GET',
@@ -66,22 +66,22 @@
 A request that another host forwarded is counted there, where its caller is: counted here too it would stand twice, and a
 host that forwards to a sick carrier would be told only half of it.
 */
-function record(context: HostContext, counters: report.BurnCounters, note: proxy.RequestReport): void {
-	const versioned = context.store.read(({view}) => view.entries.get(note.service));
-	if (versioned === undefined || note.isForwarded) {
+function countRequest(context: HostContext, counters: report.BurnCounters, request: proxy.RequestReport): void {
+	const versioned = context.store.read(({view}) => view.entries.get(request.service));
+	if (versioned === undefined || request.isForwarded) {
 		return;
 	}
 
 	const {
 		service, outcome, status, milliseconds, isCancelled, failure,
-	} = note;
+	} = request;
 	const result = {
 		outcome, status, milliseconds, isCancelled, isFleetMade: failure !== undefined,
 	};
 	counters.record(service, result, versioned.entry.objective, context.now());
 }
 
-type Format = {
+type ReportFormat = {
 	readonly contentType: string;
 	readonly write: (burn: report.BurnReport) => string | Promise<string>;
 };
@@ -92,12 +92,12 @@
 */
 const PLOT_PAUSE_MILLISECONDS = 10;
 
-const pause = async () => timers.setTimeout(PLOT_PAUSE_MILLISECONDS);
+const pauseBetweenPlots = async () => timers.setTimeout(PLOT_PAUSE_MILLISECONDS);
 
-const FORMATS: ReadonlyMap<string, Format> = new Map([
+const FORMATS: ReadonlyMap<string, ReportFormat> = new Map([
 	['text', {contentType: 'text/plain; charset=utf-8', write: report.formatText}],
 	['json', {contentType: 'application/json', write: (burn: report.BurnReport) => JSON.stringify(burn)}],
-	['html', {contentType: 'text/html; charset=utf-8', write: async (burn: report.BurnReport) => report.formatHtml(burn, pause)}],
+	['html', {contentType: 'text/html; charset=utf-8', write: async (burn: report.BurnReport) => report.formatHtml(burn, pauseBetweenPlots)}],
 ]);
 
 async function answerReport(
--- a/packages/wagtailroute-host/src/carriers.ts
+++ b/packages/wagtailroute-host/src/carriers.ts
@@ -9,7 +9,7 @@
 import type * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
 import type * as utils from 'wagtailroute-utils';
-import {PLANNED_SLOTS} from './constants.ts';
+import {ASSUMED_SLOTS_PER_UPSTREAM} from './constants.ts';
 import type {HostContext, HostState, Member} from './context.ts';
 
 /**
@@ -23,24 +23,24 @@
 		}
 
 		const changed = new Set([
-			...updateHosts(index, state, previous),
-			...updateServices(index, state, previous),
+			...updateIndexedHosts(index, state, previous),
+			...updateIndexedServices(index, state, previous),
 		]);
-		publish(context, index, changed);
+		updateCarriers(context, index, changed);
 	});
 }
 
-function updateHosts(index: assignment.CarrierIndex, state: HostState, previous: HostState): readonly core.ServiceName[] {
+function updateIndexedHosts(index: assignment.CarrierIndex, state: HostState, previous: HostState): readonly core.ServiceName[] {
 	if (state.members === previous.members) {
 		return [];
 	}
 
 	const changed: core.ServiceName[] = [];
-	const isEachDraining = areAllDraining(state);
-	const isTurned = isEachDraining !== areAllDraining(previous);
+	const areAllDraining = areAllEntryHostsDraining(state);
+	const hasAllDrainingChanged = areAllDraining !== areAllEntryHostsDraining(previous);
 	for (const member of state.members.values()) {
-		if (isTurned || member !== previous.members.get(member.id)) {
-			changed.push(...isCarrier(member, isEachDraining)
+		if (hasAllDrainingChanged || member !== previous.members.get(member.id)) {
+			changed.push(...isCarrier(member, areAllDraining)
 				? index.setHost({id: member.id, failureDomain: member.failureDomain, weight: 1})
 				: index.removeHost(member.id));
 		}
@@ -54,13 +54,13 @@
 
 	// A fleet that shrank or grew below a service's number of carriers changes that number.
 	const hosts = countCarriers(state);
-	return hosts === countCarriers(previous) ? changed : [...changed, ...resizeAll(index, state, hosts)];
+	return hosts === countCarriers(previous) ? changed : [...changed, ...updateCarrierCounts(index, state, hosts)];
 }
 
 /**
 A suspected host keeps its services: most suspicions are wrong, and moving them would cost more than the wait.
 */
-function isRunningEntry(member: Member): boolean {
+function isRunningEntryHost(member: Member): boolean {
 	return member.roles.includes('entry') && (member.state === 'alive' || member.state === 'suspect');
 }
 
@@ -68,26 +68,26 @@
 Says whether no entry host is left that does not drain. When the whole fleet is stopped, its hosts go on serving until
 callers have heard: without carriers, each request of that time would be refused, although nothing has ended yet.
 */
-function areAllDraining(state: HostState): boolean {
-	return state.members.values().every(member => !isRunningEntry(member) || member.draining);
+function areAllEntryHostsDraining(state: HostState): boolean {
+	return state.members.values().every(member => !isRunningEntryHost(member) || member.draining);
 }
 
-function isCarrier(member: Member, isEachDraining: boolean): boolean {
-	return isRunningEntry(member) && (isEachDraining || !member.draining);
+function isCarrier(member: Member, areAllDraining: boolean): boolean {
+	return isRunningEntryHost(member) && (areAllDraining || !member.draining);
 }
 
 function countCarriers(state: HostState): number {
-	const isEachDraining = areAllDraining(state);
-	return state.members.values().filter(member => isCarrier(member, isEachDraining)).toArray().length;
+	const areAllDraining = areAllEntryHostsDraining(state);
+	return state.members.values().filter(member => isCarrier(member, areAllDraining)).toArray().length;
 }
 
-function resizeAll(index: assignment.CarrierIndex, state: HostState, hosts: number): readonly core.ServiceName[] {
+function updateCarrierCounts(index: assignment.CarrierIndex, state: HostState, hosts: number): readonly core.ServiceName[] {
 	return state.view.entries.values()
-		.flatMap(({entry}) => index.setService(entry.name, getSize(entry, hosts)))
+		.flatMap(({entry}) => index.setService(entry.name, getCarrierCount(entry, hosts)))
 		.toArray();
 }
 
-function updateServices(index: assignment.CarrierIndex, state: HostState, previous: HostState): readonly core.ServiceName[] {
+function updateIndexedServices(index: assignment.CarrierIndex, state: HostState, previous: HostState): readonly core.ServiceName[] {
 	if (state.view === previous.view) {
 		return [];
 	}
@@ -96,7 +96,7 @@
 	const changed: core.ServiceName[] = [];
 	for (const [name, versioned] of state.view.entries) {
 		if (previous.view.entries.get(name) !== versioned) {
-			changed.push(...index.setService(name, getSize(versioned.entry, hosts)));
+			changed.push(...index.setService(name, getCarrierCount(versioned.entry, hosts)));
 		}
 	}
 
@@ -112,17 +112,17 @@
 	return changed;
 }
 
-function getSize(entry: catalogue.Entry, hosts: number): number {
+function getCarrierCount(entry: catalogue.Entry, hosts: number): number {
 	return assignment.getCarrierCount({
-		upstreams: Math.ceil(entry.limits.concurrency / PLANNED_SLOTS),
-		slots: PLANNED_SLOTS,
+		upstreams: Math.ceil(entry.limits.concurrency / ASSUMED_SLOTS_PER_UPSTREAM),
+		slots: ASSUMED_SLOTS_PER_UPSTREAM,
 		connectionsPerUpstream: entry.limits.connectionsPerUpstream,
 		requestsPerSecond: entry.limits.ratePerSecond ?? 0,
 		hosts,
 	});
 }
 
-function publish(context: HostContext, index: assignment.CarrierIndex, changed: ReadonlySet<core.ServiceName>): void {
+function updateCarriers(context: HostContext, index: assignment.CarrierIndex, changed: ReadonlySet<core.ServiceName>): void {
 	if (changed.size === 0) {
 		return;
 	}
--- a/packages/wagtailroute-host/src/catalogue-routes.ts
+++ b/packages/wagtailroute-host/src/catalogue-routes.ts
@@ -8,12 +8,12 @@
 import type {AdminRequest, AdminRoute} from './admin-routes.ts';
 import {readText} from './bodies.ts';
 import {changeCatalogue, type ChangeRequest, fetchHistory} from './changing.ts';
-import {ADMIN_BODY_BYTES} from './constants.ts';
+import {MAX_ADMIN_BODY_BYTES} from './constants.ts';
 import type {HostContext} from './context.ts';
 import {findInForce} from './in-force.ts';
 import {answerProblem, answerUnknownEntry} from './problems.ts';
 
-const MEDIA: ReadonlyMap<string, catalogue.EntryFormat> = new Map([
+const ENTRY_FORMATS: ReadonlyMap<string, catalogue.EntryFormat> = new Map([
 	['application/json', 'json'],
 	['application/yaml', 'yaml'],
 ]);
@@ -48,7 +48,7 @@
 		{
 			method: 'DELETE',
 			pattern: /^\/catalogue\/(?<name>[^\/]+)$/v,
-			handle: async request => change(context, request, undefined),
+			handle: async request => handleChange(context, request, undefined),
 		},
 		{
 			method: 'GET',
@@ -94,19 +94,19 @@
 
 async function putEntry(context: HostContext, request: AdminRequest): Promise<void> {
 	const {message, response, name} = request;
-	const media = MEDIA.get((message.headers['content-type'] ?? '').split(';', 1)[0]!.trim().toLowerCase());
-	if (media === undefined) {
+	const format = ENTRY_FORMATS.get((message.headers['content-type'] ?? '').split(';', 1)[0]!.trim().toLowerCase());
+	if (format === undefined) {
 		answerProblem(response, 415, core.createFailure('media-unknown', 'Content-Type must be application/json or application/yaml.'));
 		return;
 	}
 
-	const text = await readText(message, ADMIN_BODY_BYTES);
+	const text = await readText(message, MAX_ADMIN_BODY_BYTES);
 	if (text.isErr()) {
 		answerProblem(response, 413, text.error);
 		return;
 	}
 
-	const entry = catalogue.parseEntryText(text.value, media);
+	const entry = catalogue.parseEntryText(text.value, format);
 	if (entry.isErr()) {
 		answerProblem(response, 400, entry.error);
 		return;
@@ -117,12 +117,12 @@
 		return;
 	}
 
-	await change(context, request, entry.value);
+	await handleChange(context, request, entry.value);
 }
 
-async function change(context: HostContext, request: AdminRequest, entry: catalogue.Entry | undefined): Promise<void> {
+async function handleChange(context: HostContext, request: AdminRequest, entry: catalogue.Entry | undefined): Promise<void> {
 	const {message, response, name} = request;
-	const expected = readExpected(message.headers);
+	const expected = parseExpectedRevision(message.headers);
 	if (expected === undefined) {
 		answerProblem(response, 428, core.createFailure('revision-missing', 'If-Match: "<revision>" or If-None-Match: * is required.'));
 		return;
@@ -139,7 +139,7 @@
 	});
 }
 
-function readExpected(headers: http.IncomingHttpHeaders): catalogue.Revision | undefined {
+function parseExpectedRevision(headers: http.IncomingHttpHeaders): catalogue.Revision | undefined {
 	const match = headers['if-match'];
 	if (match === undefined) {
 		return headers['if-none-match'] === '*' ? 0 : undefined;
--- a/packages/wagtailroute-host/src/changing.ts
+++ b/packages/wagtailroute-host/src/changing.ts
@@ -4,7 +4,7 @@
 import type * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
 import type * as results from 'ts-results-es';
-import {CALL_MILLISECONDS, CHANGE_MILLISECONDS} from './constants.ts';
+import {CALL_TIMEOUT_MILLISECONDS, CHANGE_MILLISECONDS} from './constants.ts';
 import type {HostContext} from './context.ts';
 import {type ProposalFailure, proposeCommand} from './proposals.ts';
 
@@ -55,7 +55,7 @@
 		.toArray());
 	for (const control of controls) {
 		// eslint-disable-next-line no-await-in-loop -- One control host's answer is enough.
-		const answer = await context.peer.call(control.peerAddress, 'catalogue.history', {name}, CALL_MILLISECONDS);
+		const answer = await context.peer.call(control.peerAddress, 'catalogue.history', {name}, CALL_TIMEOUT_MILLISECONDS);
 		if (answer.isOk()) {
 			return answer.value as readonly catalogue.HistoryItem[];
 		}
--- a/packages/wagtailroute-host/src/constants.ts
+++ b/packages/wagtailroute-host/src/constants.ts
@@ -5,7 +5,7 @@
 /**
 Milliseconds between the ticks of the host's state machines.
 */
-export const TICK_MILLISECONDS = 100;
+export const TICK_INTERVAL_MILLISECONDS = 100;
 
 /**
 Milliseconds between the ticks of membership.
@@ -20,12 +20,12 @@
 /**
 Milliseconds between two comparisons of the catalogue's revision with another host.
 */
-export const COMPARE_MILLISECONDS = 2000;
+export const COMPARE_INTERVAL_MILLISECONDS = 2000;
 
 /**
 Milliseconds between the comparisons of a host that has just started, until one succeeds.
 */
-export const FIRST_COMPARE_MILLISECONDS = 100;
+export const FIRST_COMPARE_INTERVAL_MILLISECONDS = 100;
 
 /**
 Hosts that are told at once of a new revision; each of them tells as many.
@@ -35,7 +35,7 @@
 /**
 Milliseconds that a call between hosts may take.
 */
-export const CALL_MILLISECONDS = 2000;
+export const CALL_TIMEOUT_MILLISECONDS = 2000;
 
 /**
 Milliseconds that a change may take, elections included, before its operator is told that it may have been taken.
@@ -80,12 +80,12 @@
 /**
 Largest body of an operator's request, in bytes.
 */
-export const ADMIN_BODY_BYTES = 262_144;
+export const MAX_ADMIN_BODY_BYTES = 262_144;
 
 /**
 Largest body of an announcement, in bytes.
 */
-export const ANNOUNCEMENT_BODY_BYTES = 4096;
+export const MAX_ANNOUNCEMENT_BODY_BYTES = 4096;
 
 /**
 Hosts asked at the same time which revision they have.
@@ -95,22 +95,22 @@
 /**
 Slots that one upstream is planned with when a service's number of carriers is worked out from its catalogue entry.
 */
-export const PLANNED_SLOTS = 4;
+export const ASSUMED_SLOTS_PER_UPSTREAM = 4;
 
 /**
 Milliseconds between two walks through the queue of requests that wait for admission.
 */
-export const ADMISSION_TICK_MILLISECONDS = 10;
+export const ADMISSION_TICK_INTERVAL_MILLISECONDS = 10;
 
 /**
 Milliseconds that a draining host goes on serving after callers are told other addresses, beside their answers' time to live.
 */
-export const DRAIN_SPREAD_MILLISECONDS = 1000;
+export const DRAIN_MARGIN_MILLISECONDS = 1000;
 
 /**
 Milliseconds after which a host that drains stops waiting for requests in flight.
 */
-export const DRAIN_LIMIT_MILLISECONDS = 3_600_000;
+export const MAX_DRAIN_MILLISECONDS = 3_600_000;
 
 /**
 Milliseconds that a host waits after a crash for the other losses of the same moment.
@@ -175,12 +175,12 @@
 /**
 Milliseconds between two looks whether counts for the burn report are to be handed to their holders.
 */
-export const BURN_TICK_MILLISECONDS = 5000;
+export const BURN_TICK_INTERVAL_MILLISECONDS = 5000;
 
 /**
 Holders of a copy of a host's counts, beside itself.
 */
-export const BURN_COPIES = 2;
+export const BURN_COPY_HOLDERS = 2;
 
 /**
 Hosts asked by a restarted host for its counts. More than the holders, because the choice moves with the hosts that run.
@@ -190,12 +190,12 @@
 /**
 Times that a restarted host asks for its counts before it goes on without them.
 */
-export const BURN_RECALL_ATTEMPTS = 5;
+export const MAX_BURN_RECALL_ATTEMPTS = 5;
 
 /**
 Hosts whose copies one host holds at most: two are expected, and a few of hosts that are gone.
 */
-export const BURN_HELD_HOSTS = 12;
+export const MAX_BURN_HELD_HOSTS = 12;
 
 /**
 Hosts asked for their counts at the same time.
@@ -235,7 +235,7 @@
 /**
 Milliseconds that a carrier may take to list its upstreams for another host's operator.
 */
-export const ASK_MILLISECONDS = 1000;
+export const UPSTREAM_LIST_TIMEOUT_MILLISECONDS = 1000;
 
 /**
 Milliseconds between the ticks of detection: half of what the machine asks for, so that urgent evidence leaves soon.
@@ -250,9 +250,9 @@
 /**
 Milliseconds that a host waits at its start for another host's catalogue before it serves.
 */
-export const FIRST_CATALOGUE_MILLISECONDS = 3000;
+export const MAX_FIRST_CATALOGUE_WAIT_MILLISECONDS = 3000;
 
 /**
 Milliseconds between two log lines on connections with another fleet secret.
 */
-export const REFUSAL_LOG_MILLISECONDS = 60_000;
+export const REFUSAL_LOG_INTERVAL_MILLISECONDS = 60_000;
--- a/packages/wagtailroute-host/src/context.ts
+++ b/packages/wagtailroute-host/src/context.ts
@@ -7,7 +7,7 @@
 import type * as peer from 'wagtailroute-peer';
 import type * as replication from 'wagtailroute-replication';
 import type * as utils from 'wagtailroute-utils';
-import type {Log, Part} from './logs.ts';
+import type {Log, LogPart} from './logs.ts';
 import type {Metrics} from './metrics.ts';
 import type {HostRole, HostSettings} from './settings.ts';
 
@@ -75,7 +75,7 @@
 	The routes of the catalogue in force.
 	*/
 	readonly routes: catalogue.RouteIndex;
-	readonly log: (part: Part) => Log;
+	readonly log: (part: LogPart) => Log;
 	readonly metrics: Metrics;
 	/**
 	Monotonic time in milliseconds.
--- a/packages/wagtailroute-host/src/detecting.ts
+++ b/packages/wagtailroute-host/src/detecting.ts
@@ -7,7 +7,7 @@
 import type * as core from 'wagtailroute-core';
 import * as detection from 'wagtailroute-detection';
 import * as utils from 'wagtailroute-utils';
-import type {Announcing} from './announcing.ts';
+import type {Announcer} from './announcer.ts';
 import {
 	DETECTION_TICK_MILLISECONDS,
 	MILLISECONDS_PER_SECOND,
@@ -18,13 +18,13 @@
 import {startDetectionMail} from './detection-mail.ts';
 import {startEjectionLeases} from './ejection-leases.ts';
 import {createGrants} from './grants.ts';
-import type {Verdicts} from './services.ts';
+import type {UpstreamHealth} from './services.ts';
 import {startWatch, type Watch, type WatchPeriods} from './watches.ts';
 
 /**
 Detection on a host.
 */
-export type Detecting = Verdicts & {
+export type Detecting = UpstreamHealth & {
 	readonly teardown: utils.Teardown;
 };
 
@@ -33,7 +33,7 @@
 /**
 Starts the part.
 */
-export function startDetecting(context: HostContext, announcing: Announcing): Detecting {
+export function startDetecting(context: HostContext, announcing: Announcer): Detecting {
 	const {settings, store} = context;
 	const watches = new Map<core.ServiceName, Watch>();
 	const listeners = new Set<(service: core.ServiceName) => void>();
@@ -123,13 +123,13 @@
 	};
 
 	return {
-		getAdmission: (service, upstream) => watches.get(service)?.getAdmission(upstream) ?? 'in',
+		getEjectionState: (service, upstream) => watches.get(service)?.getAdmission(upstream) ?? 'in',
 		isAvoided: (service, upstream) => watches.get(service)?.isAvoided(upstream) ?? false,
 		getRampStart: (service, upstream) => watches.get(service)?.getRampStart(upstream),
-		begin(service, target) {
+		beginAttempt(service, target) {
 			getWatch(service)?.begin(target);
 		},
-		record(service, report) {
+		recordAttempt(service, report) {
 			watches.get(service)?.end(report);
 		},
 		registerChangeListener(listener) {
--- a/packages/wagtailroute-host/src/detection-mail.ts
+++ b/packages/wagtailroute-host/src/detection-mail.ts
@@ -5,7 +5,7 @@
 import type * as core from 'wagtailroute-core';
 import * as detection from 'wagtailroute-detection';
 import type * as utils from 'wagtailroute-utils';
-import type {Announcing} from './announcing.ts';
+import type {Announcer} from './announcer.ts';
 import {findPeerAddress, type HostContext} from './context.ts';
 
 /**
@@ -32,7 +32,7 @@
 /**
 Starts the mail. Its method: `detection.summary` between carriers.
 */
-export function startDetectionMail(context: HostContext, announcing: Announcing, {epoch, onSummary}: {
+export function startDetectionMail(context: HostContext, announcing: Announcer, {epoch, onSummary}: {
 	readonly epoch: number;
 	readonly onSummary: (service: core.ServiceName, summary: detection.Summary) => void;
 }): DetectionMail {
--- a/packages/wagtailroute-host/src/dev.ts
+++ b/packages/wagtailroute-host/src/dev.ts
@@ -29,9 +29,9 @@
 const STANDINS_PER_SERVICE = 3;
 const STANDIN_SLOTS = 4;
 const STANDIN_CONNECTIONS = 400;
-const WORK_MILLISECONDS = 5;
-const POLL_MILLISECONDS = 20;
-const START_MILLISECONDS = 30_000;
+const STANDIN_WORK_MILLISECONDS = 5;
+const POLL_INTERVAL_MILLISECONDS = 20;
+const START_TIMEOUT_MILLISECONDS = 30_000;
 
 /**
 Starts the fleet. Resolves when a request can be answered.
@@ -99,14 +99,14 @@
 		connections: STANDIN_CONNECTIONS,
 		announceTo: () => [traffic],
 		seed: index,
-		workMilliseconds: WORK_MILLISECONDS,
+		workMilliseconds: STANDIN_WORK_MILLISECONDS,
 	})));
 	await Promise.all(standins.map(async started => started.start()));
 	return standins;
 }
 
 async function waitForAnswer(traffic: core.Address): Promise<void> {
-	const deadline = performance.now() + START_MILLISECONDS;
+	const deadline = performance.now() + START_TIMEOUT_MILLISECONDS;
 	while (performance.now() < deadline) {
 		// eslint-disable-next-line no-await-in-loop -- Polls until the first announcement is in force.
 		const answer = await undici.request(`http://${traffic.ip}:${traffic.port}/archive/ready`);
@@ -117,6 +117,6 @@
 		}
 
 		// eslint-disable-next-line no-await-in-loop -- See above.
-		await timers.setTimeout(POLL_MILLISECONDS);
+		await timers.setTimeout(POLL_INTERVAL_MILLISECONDS);
 	}
 }
--- a/packages/wagtailroute-host/src/distribution.ts
+++ b/packages/wagtailroute-host/src/distribution.ts
@@ -10,9 +10,9 @@
 import type * as core from 'wagtailroute-core';
 import * as utils from 'wagtailroute-utils';
 import {
-	CALL_MILLISECONDS,
-	COMPARE_MILLISECONDS,
-	FIRST_COMPARE_MILLISECONDS,
+	CALL_TIMEOUT_MILLISECONDS,
+	COMPARE_INTERVAL_MILLISECONDS,
+	FIRST_COMPARE_INTERVAL_MILLISECONDS,
 	REVISION_FANOUT,
 } from './constants.ts';
 import {getOtherMembers, getSeeds, type HostContext} from './context.ts';
@@ -42,8 +42,8 @@
 	const log = context.log('catalogue');
 	let isFetching = false;
 	let hasCompared = false;
-	let missed: RevisionNotice | undefined;
-	const {promise: whenCompared, resolve: noteCompared} = Promise.withResolvers<void>();
+	let pendingNotice: RevisionNotice | undefined;
+	const {promise: whenCompared, resolve: resolveCompared} = Promise.withResolvers<void>();
 
 	const getView = () => store.read(state => state.view);
 
@@ -51,24 +51,24 @@
 	A notice that comes while a fetch is under way is kept: the fetched delta may be older, and without it this host would
 	stay behind until its next comparison.
 	*/
-	const follow = async (notice: RevisionNotice) => {
+	const fetchRevision = async (notice: RevisionNotice) => {
 		if (isFetching) {
-			missed = notice.revision > (missed?.revision ?? 0) ? notice : missed;
+			pendingNotice = notice.revision > (pendingNotice?.revision ?? 0) ? notice : pendingNotice;
 			return;
 		}
 
-		await fetchFrom(notice.address);
-		const next = missed;
-		missed = undefined;
+		await fetchDelta(notice.address);
+		const next = pendingNotice;
+		pendingNotice = undefined;
 		if (next !== undefined && next.revision > getView().revision) {
-			await follow(next);
+			await fetchRevision(next);
 		}
 	};
 
-	const fetchFrom = async (address: core.Address) => {
+	const fetchDelta = async (address: core.Address) => {
 		isFetching = true;
 		const since = getView().revision;
-		const answer = await peer.call(address, 'catalogue.delta', {since}, CALL_MILLISECONDS);
+		const answer = await peer.call(address, 'catalogue.delta', {since}, CALL_TIMEOUT_MILLISECONDS);
 		isFetching = false;
 		if (!answer.isOk()) {
 			return;
@@ -76,10 +76,10 @@
 
 		applyDelta(context, answer.value as catalogue.Delta);
 		hasCompared = true;
-		noteCompared();
+		resolveCompared();
 	};
 
-	const tellOthers = () => {
+	const notifyOthers = () => {
 		const others = utils.shuffle(context.random, getOtherMembers(context)).slice(0, REVISION_FANOUT);
 		const notice: RevisionNotice = {revision: getView().revision, address: context.settings.peerAddress};
 		for (const other of others) {
@@ -87,25 +87,25 @@
 		}
 	};
 
-	const compare = () => {
+	const compareWithRandomHost = () => {
 		const others = getOtherMembers(context).map(member => member.peerAddress);
 		const candidates = others.length > 0 ? others : getSeeds(context.settings);
 		const chosen = candidates[utils.pickIndex(context.random, candidates.length)];
 		if (chosen === undefined) {
-			noteCompared();
+			resolveCompared();
 			return;
 		}
 
 		if (!isFetching) {
-			void follow({revision: 0, address: chosen});
+			void fetchRevision({revision: 0, address: chosen});
 		}
 	};
 
-	compare();
+	compareWithRandomHost();
 	const teardown = utils.mergeTeardowns(
 		peer.registerMethod('catalogue.revision', (notice: RevisionNotice) => {
 			if (notice.revision > getView().revision) {
-				void follow(notice);
+				void fetchRevision(notice);
 			}
 		}),
 		peer.registerMethod('catalogue.delta', ({since}: {since: catalogue.Revision}) => catalogue.getDelta(getView(), since)),
@@ -117,17 +117,17 @@
 
 			context.routes.applyViewChange(previous.view, state.view);
 			log.info('Catalogue in force.', {revision: state.view.revision});
-			tellOthers();
+			notifyOthers();
 		}),
 		context.commands.registerCommand('fetch-catalogue', notice => {
-			void follow(notice);
+			void fetchRevision(notice);
 			return true;
 		}, 'normal'),
-		context.repeat(COMPARE_MILLISECONDS, compare),
-		context.repeat(FIRST_COMPARE_MILLISECONDS, () => {
+		context.repeat(COMPARE_INTERVAL_MILLISECONDS, compareWithRandomHost),
+		context.repeat(FIRST_COMPARE_INTERVAL_MILLISECONDS, () => {
 			// Nobody tells a host that has just started of a change: the others do not know it yet.
 			if (!hasCompared) {
-				compare();
+				compareWithRandomHost();
 			}
 		}),
 	);
--- a/packages/wagtailroute-host/src/ejection-leases.ts
+++ b/packages/wagtailroute-host/src/ejection-leases.ts
@@ -7,7 +7,7 @@
 import type * as core from 'wagtailroute-core';
 import * as records from 'wagtailroute-records';
 import * as utils from 'wagtailroute-utils';
-import {CALL_MILLISECONDS, EJECTION_POLL_MILLISECONDS, EJECTION_POLL_TRIES} from './constants.ts';
+import {CALL_TIMEOUT_MILLISECONDS, EJECTION_POLL_MILLISECONDS, EJECTION_POLL_TRIES} from './constants.ts';
 import {findPeerAddress, type HostContext} from './context.ts';
 import {
 	EJECTION_CHANGE_METHOD,
@@ -157,7 +157,7 @@
 	let address = chooseControlHost(context);
 	for (let attempt = 0; address !== undefined && attempt < EJECTION_POLL_TRIES; attempt++) {
 		// eslint-disable-next-line no-await-in-loop -- The next host is known from the answer.
-		const called = await context.peer.call(address, EJECTION_QUESTION_METHOD, {versions}, CALL_MILLISECONDS);
+		const called = await context.peer.call(address, EJECTION_QUESTION_METHOD, {versions}, CALL_TIMEOUT_MILLISECONDS);
 		const answer = called.isOk() ? called.value as EjectionAnswer : undefined;
 		if (answer?.kind === 'tables') {
 			return answer;
--- a/packages/wagtailroute-host/src/events.ts
+++ b/packages/wagtailroute-host/src/events.ts
@@ -72,7 +72,7 @@
 /**
 What a machine is made from.
 */
-export type MachinePlan<State, Event, Effect extends {readonly kind: string}> = {
+export type MachineOptions<State, Event, Effect extends {readonly kind: string}> = {
 	readonly initial: State;
 	readonly step: core.Step<State, Event, Effect>;
 	readonly circumstances: () => core.Circumstances;
@@ -87,43 +87,43 @@
 Runs a machine. An effect's handler may send further events; they are taken after the present one.
 */
 export function runMachine<State, Event, Effect extends {readonly kind: string}>(
-	plan: MachinePlan<State, Event, Effect>,
+	options: MachineOptions<State, Event, Effect>,
 ): Machine<State, Event> {
 	const source = createEventSource<Event>();
-	const waiting: Event[] = [];
-	let state = plan.initial;
-	let isBusy = false;
+	const queue: Event[] = [];
+	let state = options.initial;
+	let isProcessing = false;
 
-	const carryOut = (transition: core.Transition<State, Effect>) => {
+	const applyTransition = (transition: core.Transition<State, Effect>) => {
 		state = transition.state;
 		for (const effect of transition.effects) {
-			plan.handlers[effect.kind as Effect['kind']](effect as never);
+			options.handlers[effect.kind as Effect['kind']](effect as never);
 		}
 	};
 
 	source.stream
 		.loop((seed: State, event: Event) => {
-			const transition = plan.step(seed, event, plan.circumstances());
+			const transition = options.step(seed, event, options.circumstances());
 			return {seed: transition.state, value: transition};
-		}, plan.initial)
-		.observe(carryOut)
+		}, options.initial)
+		.observe(applyTransition)
 		.catch((error: unknown) => {
-			plan.onDefect(error instanceof Error ? error : new TypeError(String(error)));
+			options.onDefect(error instanceof Error ? error : new TypeError(String(error)));
 		});
 
 	return {
 		send(event) {
-			waiting.push(event);
-			if (isBusy) {
+			queue.push(event);
+			if (isProcessing) {
 				return;
 			}
 
-			isBusy = true;
-			for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) {
+			isProcessing = true;
+			for (let next = queue.shift(); next !== undefined; next = queue.shift()) {
 				source.emit(next);
 			}
 
-			isBusy = false;
+			isProcessing = false;
 		},
 		read: () => state,
 		stop() {
--- a/packages/wagtailroute-host/src/fleet-routes.ts
+++ b/packages/wagtailroute-host/src/fleet-routes.ts
@@ -6,39 +6,39 @@
 import * as proxy from 'wagtailroute-proxy';
 import type * as utils from 'wagtailroute-utils';
 import type {AdminRoute} from './admin-routes.ts';
-import type {Announcing} from './announcing.ts';
-import {ASK_MILLISECONDS} from './constants.ts';
+import type {Announcer} from './announcer.ts';
+import {UPSTREAM_LIST_TIMEOUT_MILLISECONDS} from './constants.ts';
 import type {HostContext, Member} from './context.ts';
 import type {Control} from './control.ts';
 import {answerUnknownEntry} from './problems.ts';
-import type {Verdicts} from './services.ts';
+import type {UpstreamHealth} from './services.ts';
 
 /**
 The parts that the routes read.
 */
-export type FleetParts = {
-	readonly announcing: Announcing;
-	readonly verdicts: Verdicts;
+export type FleetRouteOptions = {
+	readonly announcer: Announcer;
+	readonly upstreamHealth: UpstreamHealth;
 	readonly control?: Control;
 };
 
 /**
 Creates the routes.
 */
-export function createFleetRoutes(context: HostContext, parts: FleetParts): readonly AdminRoute[] {
+export function createFleetRoutes(context: HostContext, options: FleetRouteOptions): readonly AdminRoute[] {
 	return [
 		{
 			method: 'GET',
 			pattern: /^\/fleet$/v,
 			handle({response}) {
-				proxy.answerJson(response, 200, describeFleet(context, parts.control));
+				proxy.answerJson(response, 200, describeFleet(context, options.control));
 			},
 		},
 		{
 			method: 'GET',
 			pattern: /^\/services\/(?<name>[^\/]+)\/upstreams$/v,
 			async handle({response, name}) {
-				await answerUpstreams(context, parts, response, name);
+				await answerUpstreams(context, options, response, name);
 			},
 		},
 	];
@@ -82,20 +82,20 @@
 	readonly slots: number;
 };
 
-function listUpstreams(parts: FleetParts, name: core.ServiceName): readonly UpstreamRow[] {
-	return parts.announcing.getUpstreams(name).map(upstream => ({
+function listUpstreams(options: FleetRouteOptions, name: core.ServiceName): readonly UpstreamRow[] {
+	return options.announcer.getUpstreams(name).map(upstream => ({
 		id: upstream.id,
 		address: core.formatAddress(upstream),
 		failureDomain: upstream.failureDomain,
 		state: upstream.state,
-		admission: parts.verdicts.getAdmission(name, upstream.id),
+		admission: options.upstreamHealth.getEjectionState(name, upstream.id),
 		slots: upstream.slots,
 	}));
 }
 
 async function answerUpstreams(
 	context: HostContext,
-	parts: FleetParts,
+	options: FleetRouteOptions,
 	response: http.ServerResponse,
 	name: core.ServiceName,
 ): Promise<void> {
@@ -107,12 +107,12 @@
 
 	const carriers = state.carriers.get(name) ?? [];
 	const upstreams = carriers.includes(context.settings.hostId)
-		? listUpstreams(parts, name)
-		: await askCarriers(context, name);
+		? listUpstreams(options, name)
+		: await fetchUpstreams(context, name);
 	proxy.answerJson(response, 200, {service: name, carriers, upstreams});
 }
 
-async function askCarriers(context: HostContext, name: core.ServiceName): Promise<readonly UpstreamRow[]> {
+async function fetchUpstreams(context: HostContext, name: core.ServiceName): Promise<readonly UpstreamRow[]> {
 	const carriers = context.store.read(state => (state.carriers.get(name) ?? []).map(id => state.members.get(id)));
 	for (const carrier of carriers) {
 		if (carrier === undefined) {
@@ -120,7 +120,7 @@
 		}
 
 		// eslint-disable-next-line no-await-in-loop -- One carrier's answer is enough.
-		const answer = await context.peer.call(carrier.peerAddress, 'upstreams.list', {service: name}, ASK_MILLISECONDS);
+		const answer = await context.peer.call(carrier.peerAddress, 'upstreams.list', {service: name}, UPSTREAM_LIST_TIMEOUT_MILLISECONDS);
 		if (answer.isOk()) {
 			return answer.value as readonly UpstreamRow[];
 		}
@@ -134,7 +134,7 @@
 */
 export function registerUpstreamList(
 	context: HostContext,
-	parts: FleetParts,
+	options: FleetRouteOptions,
 ): utils.Teardown {
-	return context.peer.registerMethod('upstreams.list', ({service}: {service: core.ServiceName}) => listUpstreams(parts, service));
+	return context.peer.registerMethod('upstreams.list', ({service}: {service: core.ServiceName}) => listUpstreams(options, service));
 }
--- a/packages/wagtailroute-host/src/forwarding.ts
+++ b/packages/wagtailroute-host/src/forwarding-port.ts
@@ -9,12 +9,12 @@
 import type * as proxy from 'wagtailroute-proxy';
 import * as utils from 'wagtailroute-utils';
 import type {HostContext, Member} from './context.ts';
-import {createRetryPort} from './retrying.ts';
+import {createRetryPort} from './retry-port.ts';
 
 /**
 Creates the port of a service that other hosts carry.
 */
-export function createForwarding(context: HostContext, entry: catalogue.Entry): proxy.ServicePort {
+export function createForwardingPort(context: HostContext, entry: catalogue.Entry): proxy.ServicePort {
 	const retry = createRetryPort(entry.limits.retryRatio, context.now, () => 0);
 	const chooseCarrier = ({excluded}: proxy.ChoiceRequest) => {
 		const carriers = getRunningCarriers(context, entry.name).filter(member => !excluded.has(member.id));
@@ -25,7 +25,7 @@
 		limits: entry.limits,
 		isCarried: false,
 		admit() {
-			retry.countRequest();
+			retry.creditRequest();
 			return undefined;
 		},
 		release: () => undefined,
--- a/packages/wagtailroute-host/src/grants.ts
+++ b/packages/wagtailroute-host/src/grants.ts
@@ -6,7 +6,7 @@
 import type * as core from 'wagtailroute-core';
 import type * as detection from 'wagtailroute-detection';
 import type * as records from 'wagtailroute-records';
-import type {Announcing} from './announcing.ts';
+import type {Announcer} from './announcer.ts';
 import {GRANT_MILLISECONDS} from './constants.ts';
 import type {HostContext} from './context.ts';
 import {proposeCommand} from './proposals.ts';
@@ -34,7 +34,7 @@
 */
 export function createGrants(
 	context: HostContext,
-	announcing: Pick<Announcing, 'getUpstreams'>,
+	announcing: Pick<Announcer, 'getUpstreams'>,
 	propose: typeof proposeCommand = proposeCommand,
 ): Grants {
 	const createView = (service: core.ServiceName) => {
--- a/packages/wagtailroute-host/src/guarding.ts
+++ b/packages/wagtailroute-host/src/guarding.ts
@@ -13,7 +13,7 @@
 import type * as records from 'wagtailroute-records';
 import * as utils from 'wagtailroute-utils';
 import {
-	CALL_MILLISECONDS,
+	CALL_TIMEOUT_MILLISECONDS,
 	CRASH_COLLECT_MILLISECONDS,
 	CRASH_HOLD_MILLISECONDS,
 	CRASH_PROBE_MILLISECONDS,
@@ -112,7 +112,7 @@
 			return;
 		}
 
-		const answer = await peer.call(address, SUSPECT_QUESTION_METHOD, {versions} satisfies SuspectQuestion, CALL_MILLISECONDS);
+		const answer = await peer.call(address, SUSPECT_QUESTION_METHOD, {versions} satisfies SuspectQuestion, CALL_TIMEOUT_MILLISECONDS);
 		if (answer.isOk()) {
 			suspects.replace(answer.value as SuspectAnswer, now());
 		}
--- a/packages/wagtailroute-host/src/host.ts
+++ b/packages/wagtailroute-host/src/host.ts
@@ -14,16 +14,16 @@
 import {openAdminServer} from './admin.ts';
 import {createCatalogueRoutes} from './catalogue-routes.ts';
 import {createFleetRoutes, registerUpstreamList} from './fleet-routes.ts';
-import {startAnnouncing} from './announcing.ts';
-import {startBurn} from './burn.ts';
+import {startAnnouncer} from './announcer.ts';
+import {startBurnReporter} from './burn.ts';
 import {registerCarriers} from './carriers.ts';
 import {checkPeer} from './checked-peer.ts';
 import {claimKey} from './claims.ts';
 import {
-	DRAIN_LIMIT_MILLISECONDS,
-	DRAIN_SPREAD_MILLISECONDS,
-	FIRST_CATALOGUE_MILLISECONDS,
-	REFUSAL_LOG_MILLISECONDS,
+	MAX_DRAIN_MILLISECONDS,
+	DRAIN_MARGIN_MILLISECONDS,
+	MAX_FIRST_CATALOGUE_WAIT_MILLISECONDS,
+	REFUSAL_LOG_INTERVAL_MILLISECONDS,
 	MILLISECONDS_PER_SECOND,
 } from './constants.ts';
 import {getOtherMembers, type HostContext, type HostState} from './context.ts';
@@ -34,7 +34,7 @@
 import {createLogs, type Log} from './logs.ts';
 import {createMetrics} from './metrics.ts';
 import {startMembership} from './membership.ts';
-import {createReserved} from './reserved.ts';
+import {createReservedPathHandler} from './reserved-paths.ts';
 import {startServices} from './services.ts';
 import type {HostSettings} from './settings.ts';
 import {startSharing} from './sharing.ts';
@@ -79,22 +79,22 @@
 	const log = context.log('host');
 	const carriers = await registerCarriers(context);
 	const distribution = registerDistribution(context);
-	const announcing = startAnnouncing(context);
-	const detecting = startDetecting(context, announcing);
+	const announcer = startAnnouncer(context);
+	const detection = startDetecting(context, announcer);
 	const sharing = startSharing(context);
 	const guarding = startGuarding(context);
-	const services = startServices(context, announcing, {verdicts: detecting, sharing});
-	const burn = startBurn(context);
+	const services = startServices(context, announcer, {upstreamHealth: detection, sharing});
+	const burnReporter = startBurnReporter(context);
 	const teardown = utils.mergeTeardowns(
 		carriers,
 		distribution.teardown,
-		announcing.teardown,
-		detecting.teardown,
+		announcer.teardown,
+		detection.teardown,
 		services.teardown,
 		sharing.teardown,
 		guarding.teardown,
-		burn.teardown,
-		registerUpstreamList(context, {announcing, verdicts: detecting}),
+		burnReporter.teardown,
+		registerUpstreamList(context, {announcer, upstreamHealth: detection}),
 	);
 	const membership = startMembership(context);
 	const control = settings.roles.includes('control') ? startControl(context) : undefined;
@@ -107,14 +107,14 @@
 		claim: async request => claimKey(context, request),
 		guard: guarding.guard,
 		random: context.random,
-		answerReserved: createReserved(context, announcing, membership.hasPathFault),
+		answerReserved: createReservedPathHandler(context, announcer, membership.hasPathFault),
 		isDraining: () => context.store.read(state => state.isDraining),
-		recordRequest: createNoting(context, burn.note),
+		recordRequest: createRequestRecorder(context, burnReporter.recordRequest),
 	});
 	const admin = await openAdminServer(context, [
 		...createCatalogueRoutes(context),
-		...createFleetRoutes(context, {announcing, verdicts: detecting, control}),
-		burn.route,
+		...createFleetRoutes(context, {announcer, upstreamHealth: detection, control}),
+		burnReporter.route,
 	], () => control?.getFailures() ?? {});
 	log.info('Host started.', {id: settings.hostId, traffic: core.formatAddress(settings.trafficAddress)});
 
@@ -123,9 +123,9 @@
 			log.info('Host draining.', {inFlight: traffic.getInFlight()});
 			context.store.update(() => ({isDraining: true}));
 			membership.drain();
-			await waitForCallers(context);
-			await Promise.race([traffic.drain(), timers.setTimeout(DRAIN_LIMIT_MILLISECONDS, undefined, {ref: false})]);
-			await burn.handOver();
+			await waitForDirectoryExpiry(context);
+			await Promise.race([traffic.drain(), timers.setTimeout(MAX_DRAIN_MILLISECONDS, undefined, {ref: false})]);
+			await burnReporter.handOver();
 			await membership.leave();
 			teardown();
 			await control?.close();
@@ -179,7 +179,7 @@
 to answer; when none does, it is the first one, or cut off, and starts with what it has.
 */
 async function waitForCatalogue(whenCompared: Promise<void>): Promise<void> {
-	await Promise.race([whenCompared, timers.setTimeout(FIRST_CATALOGUE_MILLISECONDS, undefined, {ref: false})]);
+	await Promise.race([whenCompared, timers.setTimeout(MAX_FIRST_CATALOGUE_WAIT_MILLISECONDS, undefined, {ref: false})]);
 }
 
 function endProcess(): never {
@@ -193,7 +193,7 @@
 function createRefusalLog(log: Log): () => void {
 	let writtenAt = -Infinity;
 	return () => {
-		if (!(performance.now() - writtenAt > REFUSAL_LOG_MILLISECONDS)) {
+		if (!(performance.now() - writtenAt > REFUSAL_LOG_INTERVAL_MILLISECONDS)) {
 			return;
 		}
 
@@ -206,24 +206,24 @@
 Callers keep the directory's answer for its time to live and come here meanwhile; a host that closed its port at once would
 cut them off. Without other hosts there is nobody they could go to, so there is nothing to wait for.
 */
-async function waitForCallers(context: HostContext): Promise<void> {
+async function waitForDirectoryExpiry(context: HostContext): Promise<void> {
 	const others = getOtherMembers(context).filter(member => member.roles.includes('entry'));
 	if (others.length === 0) {
 		return;
 	}
 
 	const ttl = assignment.ADDRESS_TTL_SECONDS * MILLISECONDS_PER_SECOND;
-	await timers.setTimeout(ttl + DRAIN_SPREAD_MILLISECONDS);
+	await timers.setTimeout(ttl + DRAIN_MARGIN_MILLISECONDS);
 }
 
-function createNoting(context: HostContext, countBurn: (note: proxy.RequestReport) => void): (note: proxy.RequestReport) => void {
-	return note => {
-		countBurn(note);
-		const tags = {service: note.service, outcome: note.outcome, status: String(note.status)};
+function createRequestRecorder(context: HostContext, countBurn: (note: proxy.RequestReport) => void): (note: proxy.RequestReport) => void {
+	return report => {
+		countBurn(report);
+		const tags = {service: report.service, outcome: report.outcome, status: String(report.status)};
 		context.metrics.count('request', tags);
-		context.metrics.time('request.milliseconds', note.milliseconds, {service: note.service});
-		if (note.failure !== undefined) {
-			context.metrics.count('request.failure', {service: note.service, kind: note.failure.kind});
+		context.metrics.time('request.milliseconds', report.milliseconds, {service: report.service});
+		if (report.failure !== undefined) {
+			context.metrics.count('request.failure', {service: report.service, kind: report.failure.kind});
 		}
 	};
 }
--- a/packages/wagtailroute-host/src/in-force.ts
+++ b/packages/wagtailroute-host/src/in-force.ts
@@ -3,13 +3,13 @@
 */
 import type * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
-import {CALL_MILLISECONDS, IN_FORCE_CONCURRENCY} from './constants.ts';
+import {CALL_TIMEOUT_MILLISECONDS, IN_FORCE_CONCURRENCY} from './constants.ts';
 import {getOtherMembers, type HostContext, type Member} from './context.ts';
 
 /**
 Hosts by whether they have a revision in force; one that does not answer is counted as lacking it.
 */
-export type InForce = {
+export type InForceHosts = {
 	readonly have: readonly core.HostId[];
 	readonly lack: readonly core.HostId[];
 };
@@ -17,25 +17,25 @@
 /**
 Asks all running hosts.
 */
-export async function findInForce(context: HostContext, revision: catalogue.Revision): Promise<InForce> {
+export async function findInForce(context: HostContext, revision: catalogue.Revision): Promise<InForceHosts> {
 	const others = [...getOtherMembers(context)];
 	const have: core.HostId[] = [];
 	const lack: core.HostId[] = [];
 	const own = context.store.read(state => state.view.revision);
 	(own >= revision ? have : lack).push(context.settings.hostId);
 
-	const askNext = async () => {
+	const checkNext = async () => {
 		for (let member = others.pop(); member !== undefined; member = others.pop()) {
 			// eslint-disable-next-line no-await-in-loop -- Each of the askers takes one host after the other.
 			(await hasRevision(context, member, revision) ? have : lack).push(member.id);
 		}
 	};
 
-	await Promise.all(Array.from({length: IN_FORCE_CONCURRENCY}, askNext));
+	await Promise.all(Array.from({length: IN_FORCE_CONCURRENCY}, checkNext));
 	return {have: have.toSorted(), lack: lack.toSorted()};
 }
 
 async function hasRevision(context: HostContext, member: Member, revision: catalogue.Revision): Promise<boolean> {
-	const answer = await context.peer.call(member.peerAddress, 'catalogue.in-force', {}, CALL_MILLISECONDS);
+	const answer = await context.peer.call(member.peerAddress, 'catalogue.in-force', {}, CALL_TIMEOUT_MILLISECONDS);
 	return answer.isOk() && (answer.value as {revision: catalogue.Revision}).revision >= revision;
 }
--- a/packages/wagtailroute-host/src/logs.ts
+++ b/packages/wagtailroute-host/src/logs.ts
@@ -7,7 +7,7 @@
 /**
 The parts of a host.
 */
-export type Part = 'host' | 'membership' | 'control' | 'catalogue' | 'announcements' | 'traffic' | 'admin' | 'records' | 'detection';
+export type LogPart = 'host' | 'membership' | 'control' | 'catalogue' | 'announcements' | 'traffic' | 'admin' | 'records' | 'detection';
 
 /**
 Details of a line, for programs.
@@ -24,7 +24,7 @@
 	readonly debug: (sentence: string, fields?: LogFields) => void;
 };
 
-const FORMATS = {
+const LINE_FORMATS = {
 	json: winston.format.combine(winston.format.timestamp(), winston.format.json()),
 	text: winston.format.combine(winston.format.timestamp(), winston.format.printf(line => {
 		const {
@@ -38,13 +38,13 @@
 /**
 Creates the logs of a host.
 */
-export function createLogs(settings: {readonly logFormat: 'text' | 'json'; readonly logLevel: string}): (part: Part) => Log {
+export function createLogs(settings: {readonly logFormat: 'text' | 'json'; readonly logLevel: string}): (part: LogPart) => Log {
 	// Several hosts in one process share the stream.
 	process.stderr.off('error', dropLine);
 	process.stderr.on('error', dropLine);
 	const logger = winston.createLogger({
 		level: settings.logLevel,
-		format: FORMATS[settings.logFormat],
+		format: LINE_FORMATS[settings.logFormat],
 		// Standard output is for the one line that says the host is ready.
 		transports: [new winston.transports.Stream({stream: process.stderr})],
 	});
--- a/packages/wagtailroute-host/src/metrics.ts
+++ b/packages/wagtailroute-host/src/metrics.ts
@@ -14,7 +14,7 @@
 	readonly close: () => Promise<void>;
 };
 
-const NOTHING: Metrics = {
+const NO_OP_METRICS: Metrics = {
 	count: () => undefined,
 	time: () => undefined,
 	gauge: () => undefined,
@@ -26,7 +26,7 @@
 */
 export function createMetrics(host: core.HostId, address: core.Address | undefined): Metrics {
 	if (address === undefined) {
-		return NOTHING;
+		return NO_OP_METRICS;
 	}
 
 	const client = new hotShots.StatsD({
--- a/packages/wagtailroute-host/src/reserved.ts
+++ b/packages/wagtailroute-host/src/reserved-paths.ts
@@ -6,9 +6,9 @@
 import * as assignment from 'wagtailroute-assignment';
 import * as core from 'wagtailroute-core';
 import * as proxy from 'wagtailroute-proxy';
-import type {Announcing, AnnouncingFailure} from './announcing.ts';
+import type {Announcer, AnnouncerFailure} from './announcer.ts';
 import {readText} from './bodies.ts';
-import {ANNOUNCEMENT_BODY_BYTES} from './constants.ts';
+import {MAX_ANNOUNCEMENT_BODY_BYTES} from './constants.ts';
 import type {HostContext} from './context.ts';
 import {answerProblem} from './problems.ts';
 
@@ -18,9 +18,9 @@
 /**
 Creates the handler of the reserved paths.
 */
-export function createReserved(
+export function createReservedPathHandler(
 	context: HostContext,
-	announcing: Announcing,
+	announcer: Announcer,
 	hasPathFault: (host: core.HostId) => boolean,
 ): (message: http.IncomingMessage, response: http.ServerResponse, path: string) => void {
 	return (message, response, path) => {
@@ -30,13 +30,13 @@
 		}
 
 		const groups = UPSTREAM_PATTERN.exec(path)?.groups;
-		const handler = groups === undefined ? undefined : UPSTREAM_METHODS.get(message.method ?? '');
+		const handler = groups === undefined ? undefined : UPSTREAM_HANDLERS.get(message.method ?? '');
 		if (groups === undefined || handler === undefined) {
 			answerProblem(response, 404, core.createFailure('path-unknown', `There is no ${message.method} ${path}.`));
 			return;
 		}
 
-		void handler(announcing, message, response, {service: groups.service!, id: decodeName(groups.id!)});
+		void handler(announcer, message, response, {service: groups.service!, id: decodeName(groups.id!)});
 	};
 }
 
@@ -86,27 +86,27 @@
 	}
 }
 
-type UpstreamName = {readonly service: core.ServiceName; readonly id: core.UpstreamId};
+type UpstreamPath = {readonly service: core.ServiceName; readonly id: core.UpstreamId};
 
 type UpstreamHandler = (
-	announcing: Announcing,
+	announcer: Announcer,
 	message: http.IncomingMessage,
 	response: http.ServerResponse,
-	name: UpstreamName,
+	name: UpstreamPath,
 ) => Promise<void>;
 
-const UPSTREAM_METHODS: ReadonlyMap<string, UpstreamHandler> = new Map([
+const UPSTREAM_HANDLERS: ReadonlyMap<string, UpstreamHandler> = new Map([
 	['PUT', answerAnnouncement],
-	['DELETE', answerLeave],
+	['DELETE', answerWithdrawal],
 ]);
 
 async function answerAnnouncement(
-	announcing: Announcing,
+	announcer: Announcer,
 	message: http.IncomingMessage,
 	response: http.ServerResponse,
-	name: UpstreamName,
+	name: UpstreamPath,
 ): Promise<void> {
-	const text = await readText(message, ANNOUNCEMENT_BODY_BYTES);
+	const text = await readText(message, MAX_ANNOUNCEMENT_BODY_BYTES);
 	if (text.isErr()) {
 		answerProblem(response, 413, text.error);
 		return;
@@ -120,9 +120,9 @@
 		return;
 	}
 
-	const told = await announcing.tell({...name, announcement: announcement.unwrap(), isForwarded: false});
-	if (told.isErr()) {
-		answerProblem(response, STATUSES[told.error.kind], told.error);
+	const result = await announcer.submit({...name, announcement: announcement.unwrap(), isForwarded: false});
+	if (result.isErr()) {
+		answerProblem(response, FAILURE_STATUS_CODES[result.error.kind], result.error);
 		return;
 	}
 
@@ -132,22 +132,22 @@
 	}, {'wagtailroute-outcome': 'ran'});
 }
 
-async function answerLeave(
-	announcing: Announcing,
+async function answerWithdrawal(
+	announcer: Announcer,
 	_message: http.IncomingMessage,
 	response: http.ServerResponse,
-	name: UpstreamName,
+	name: UpstreamPath,
 ): Promise<void> {
-	const told = await announcing.tell({...name, isForwarded: false});
-	if (told.isErr()) {
-		answerProblem(response, STATUSES[told.error.kind], told.error);
+	const result = await announcer.submit({...name, isForwarded: false});
+	if (result.isErr()) {
+		answerProblem(response, FAILURE_STATUS_CODES[result.error.kind], result.error);
 		return;
 	}
 
 	response.writeHead(204, {'wagtailroute-outcome': 'ran'}).end();
 }
 
-const STATUSES: Readonly<Record<AnnouncingFailure['kind'], number>> = {
+const FAILURE_STATUS_CODES: Readonly<Record<AnnouncerFailure['kind'], number>> = {
 	'service-unknown': 404,
 	'carriers-unreachable': 503,
 	'bad-announcement': 400,
--- a/packages/wagtailroute-host/src/retrying.ts
+++ b/packages/wagtailroute-host/src/retry-port.ts
@@ -11,7 +11,7 @@
 	/**
 	Adds what a new request of a caller allows.
 	*/
-	readonly countRequest: () => void;
+	readonly creditRequest: () => void;
 };
 
 /**
@@ -20,7 +20,7 @@
 export function createRetryPort(retryRatio: number, now: () => number, getUsualMilliseconds: () => number): RetryPort {
 	let budget = retries.createRetryBudget(now());
 	return {
-		countRequest() {
+		creditRequest() {
 			budget = retries.creditRequest(budget, {retryRatio, now: now()});
 		},
 		hasBudget: () => retries.hasRetryToken(budget),
--- a/packages/wagtailroute-host/src/admitting.ts
+++ b/packages/wagtailroute-host/src/service-admission.ts
@@ -7,14 +7,14 @@
 import type * as core from 'wagtailroute-core';
 import * as proxy from 'wagtailroute-proxy';
 import type * as utils from 'wagtailroute-utils';
-import {ADMISSION_TICK_MILLISECONDS, MILLISECONDS_PER_SECOND} from './constants.ts';
+import {ADMISSION_TICK_INTERVAL_MILLISECONDS, MILLISECONDS_PER_SECOND} from './constants.ts';
 import type {HostContext} from './context.ts';
 import type {ServiceUse, Sharing} from './sharing.ts';
 
 /**
 Admission to one service.
 */
-export type Admitter = {
+export type ServiceAdmission = {
 	readonly admit: proxy.ServicePort['admit'];
 	readonly release: proxy.ServicePort['release'];
 	/**
@@ -28,7 +28,7 @@
 	readonly stop: utils.Teardown;
 };
 
-const FAILURES: Readonly<Record<admission.AdmissionFailureKind, proxy.RequestFailureKind>> = {
+const FAILURE_KINDS: Readonly<Record<admission.AdmissionFailureKind, proxy.RequestFailureKind>> = {
 	'over-rate': 'rate-limited',
 	'over-share': 'limit-reached',
 	'queue-full': 'limit-reached',
@@ -36,63 +36,63 @@
 	'deadline-before-send': 'deadline-before-send',
 };
 
-type Settle = (failure: proxy.RequestFailure | undefined) => void;
+type CompleteAdmission = (failure: proxy.RequestFailure | undefined) => void;
 
 /**
 Creates the admission of a service.
 */
-export function createAdmitter(context: HostContext, entry: catalogue.Entry, sharing: Sharing): Admitter {
+export function createServiceAdmission(context: HostContext, entry: catalogue.Entry, sharing: Sharing): ServiceAdmission {
 	const {now} = context;
-	const waiting = new Map<admission.Ticket, Settle>();
+	const waiting = new Map<admission.Ticket, CompleteAdmission>();
 	let capacity = {slots: 0, carriers: 1};
-	let tick: utils.Teardown | undefined;
+	let stopTicking: utils.Teardown | undefined;
 	let inFlight = 0;
-	let peak = 0;
-	let asked = 0;
-	let askedSince = now();
+	let peakDemand = 0;
+	let requestCount = 0;
+	let countedSince = now();
 
-	const getUse = (): ServiceUse => ({
-		concurrency: {inUse: inFlight, demand: Math.max(peak, inFlight + waiting.size)},
-		ratePerSecond: {inUse: 0, demand: asked * MILLISECONDS_PER_SECOND / Math.max(MILLISECONDS_PER_SECOND, now() - askedSince)},
+	const getUsage = (): ServiceUse => ({
+		concurrency: {inUse: inFlight, demand: Math.max(peakDemand, inFlight + waiting.size)},
+		ratePerSecond: {inUse: 0, demand: requestCount * MILLISECONDS_PER_SECOND / Math.max(MILLISECONDS_PER_SECOND, now() - countedSince)},
 	});
 
-	const getLimits = (): admission.AdmissionLimits => createLimits(entry.limits, shares.getAmounts(), capacity);
+	const getLimits = (): admission.AdmissionLimits => computeLimits(entry.limits, shares.getAmounts(), capacity);
 
-	const refresh = () => {
+	const updateLimits = () => {
 		const next = getLimits();
 		if (next.concurrency === limits.concurrency && next.ratePerSecond === limits.ratePerSecond && next.slots === limits.slots) {
 			return;
 		}
 
 		limits = next;
-		settle(machine.setLimits(limits, now()));
+		applyResolutions(controller.setLimits(limits, now()));
 	};
 
 	const shares = sharing.open(entry, {
-		getUse,
+		getUse: getUsage,
 		takeUse() {
-			const use = getUse();
-			peak = 0;
-			asked = 0;
-			askedSince = now();
-			return use;
+			const usage = getUsage();
+			peakDemand = 0;
+			requestCount = 0;
+			countedSince = now();
+			return usage;
 		},
 		getCarriers: () => capacity.carriers,
-		onChange: refresh,
+		onChange: updateLimits,
 	});
 	let limits = getLimits();
-	const machine = admission.createAdmissionController(limits, now());
+	const controller = admission.createAdmissionController(limits, now());
 
-	const settle = (changes: readonly admission.TicketResolution[]) => {
-		for (const {ticket, result} of changes) {
-			const tell = waiting.get(ticket);
+	const applyResolutions = (resolutions: readonly admission.TicketResolution[]) => {
+		for (const {ticket, result} of resolutions) {
+			const complete = waiting.get(ticket);
 			waiting.delete(ticket);
 			if (result.kind === 'admitted') {
 				inFlight++;
 			}
 
-			if (tell !== undefined) {
-				tell(result.kind === 'admitted' ? undefined : describe(entry.name, result));
+			if (complete !== undefined) {
+				complete(result.kind === 'admitted' ? undefined : createRefusalFailure(entry.name, result));
 			} else if (result.kind === 'admitted') {
 				// Its caller left just before it was its turn.
 				release({organisation: ticket.organisation, latencyMilliseconds: 0, ending: 'failed'});
@@ -103,20 +103,20 @@
 			return;
 		}
 
-		tick?.();
-		tick = undefined;
+		stopTicking?.();
+		stopTicking = undefined;
 	};
 
 	const release: proxy.ServicePort['release'] = ending => {
 		inFlight--;
-		settle(machine.release({...ending, now: now()}));
+		applyResolutions(controller.release({...ending, now: now()}));
 	};
 
 	const enqueue = (ticket: admission.Ticket): proxy.PendingAdmission => {
 		const {promise, resolve} = Promise.withResolvers<proxy.RequestFailure | undefined>();
 		waiting.set(ticket, resolve);
-		tick ??= context.repeat(ADMISSION_TICK_MILLISECONDS, () => {
-			settle(machine.tick(now()));
+		stopTicking ??= context.repeat(ADMISSION_TICK_INTERVAL_MILLISECONDS, () => {
+			applyResolutions(controller.tick(now()));
 		});
 		return {
 			result: promise,
@@ -125,8 +125,8 @@
 					return;
 				}
 
-				machine.cancel(ticket);
-				resolve(createLeft());
+				controller.cancel(ticket);
+				resolve(createCancelledFailure());
 			},
 		};
 	};
@@ -134,12 +134,12 @@
 	const admitNow = (request: proxy.AdmissionRequest): ReturnType<proxy.ServicePort['admit']> => {
 		const time = now();
 		const {organisation, remainingMilliseconds} = request;
-		const admittance = machine.request({organisation, now: time, deadline: time + remainingMilliseconds});
-		const place = admittance.kind === 'queued' ? enqueue(admittance.ticket) : undefined;
-		inFlight += admittance.kind === 'admitted' ? 1 : 0;
-		asked++;
-		peak = Math.max(peak, inFlight + waiting.size + (admittance.kind === 'refused' ? 1 : 0));
-		return admittance.kind === 'refused' ? describe(entry.name, admittance) : place;
+		const decision = controller.request({organisation, now: time, deadline: time + remainingMilliseconds});
+		const pending = decision.kind === 'queued' ? enqueue(decision.ticket) : undefined;
+		inFlight += decision.kind === 'admitted' ? 1 : 0;
+		requestCount++;
+		peakDemand = Math.max(peakDemand, inFlight + waiting.size + (decision.kind === 'refused' ? 1 : 0));
+		return decision.kind === 'refused' ? createRefusalFailure(entry.name, decision) : pending;
 	};
 
 	return {
@@ -147,10 +147,10 @@
 			return shares.isReady() ? admitNow(request) : waitForShares(shares.ready, request, {now, admitNow});
 		},
 		release,
-		getUsualMilliseconds: () => machine.getStatus().usualMilliseconds,
+		getUsualMilliseconds: () => controller.getStatus().usualMilliseconds,
 		setCapacity(slots, carriers) {
 			capacity = {slots, carriers};
-			refresh();
+			updateLimits();
 		},
 		stop() {
 			shares.close();
@@ -168,32 +168,32 @@
 	{now, admitNow}: {readonly now: () => number; readonly admitNow: proxy.ServicePort['admit']},
 ): proxy.PendingAdmission {
 	const {promise, resolve} = Promise.withResolvers<proxy.RequestFailure | undefined>();
-	const askedAt = now();
-	let place: proxy.PendingAdmission | undefined;
+	const requestedAt = now();
+	let pending: proxy.PendingAdmission | undefined;
 	let isCancelled = false;
-	const goOn = async () => {
+	const admitWhenReady = async () => {
 		await ready;
 		if (isCancelled) {
 			return;
 		}
 
-		const admitted = admitNow({...request, remainingMilliseconds: request.remainingMilliseconds - (now() - askedAt)});
-		place = admitted !== undefined && 'result' in admitted ? admitted : undefined;
+		const admitted = admitNow({...request, remainingMilliseconds: request.remainingMilliseconds - (now() - requestedAt)});
+		pending = admitted !== undefined && 'result' in admitted ? admitted : undefined;
 		resolve(admitted !== undefined && 'result' in admitted ? admitted.result : admitted);
 	};
 
-	void goOn();
+	void admitWhenReady();
 	return {
 		result: promise,
 		cancel() {
 			isCancelled = true;
-			place?.cancel();
-			resolve(createLeft());
+			pending?.cancel();
+			resolve(createCancelledFailure());
 		},
 	};
 }
 
-function createLeft(): proxy.RequestFailure {
+function createCancelledFailure(): proxy.RequestFailure {
 	return proxy.createRequestFailure('deadline-before-send', 'The request was given up while it waited for its turn.');
 }
 
@@ -201,7 +201,7 @@
 This host's part of the limits. It may use more than its even part of the slots, since not all carriers are busy at once;
 the upstreams' own sheds bound what that costs. The shares are never exceeded.
 */
-function createLimits(
+function computeLimits(
 	limits: catalogue.Limits,
 	shares: {readonly concurrency: number; readonly ratePerSecond?: number},
 	{slots, carriers}: {readonly slots: number; readonly carriers: number},
@@ -216,9 +216,9 @@
 	};
 }
 
-function describe(service: core.ServiceName, refusal: admission.Refusal): proxy.RequestFailure {
+function createRefusalFailure(service: core.ServiceName, refusal: admission.Refusal): proxy.RequestFailure {
 	return proxy.createRequestFailure(
-		FAILURES[refusal.failure],
+		FAILURE_KINDS[refusal.failure],
 		`${service} can not take the request now (${refusal.failure}).`,
 		refusal.retryAfterMilliseconds,
 	);
--- a/packages/wagtailroute-host/src/services.ts
+++ b/packages/wagtailroute-host/src/services.ts
@@ -10,11 +10,11 @@
 import * as proxy from 'wagtailroute-proxy';
 import * as selection from 'wagtailroute-selection';
 import * as utils from 'wagtailroute-utils';
-import {createAdmitter} from './admitting.ts';
-import type {Announcing} from './announcing.ts';
+import {createServiceAdmission} from './service-admission.ts';
+import type {Announcer} from './announcer.ts';
 import type {HostContext} from './context.ts';
-import {createForwarding} from './forwarding.ts';
-import {createRetryPort} from './retrying.ts';
+import {createForwardingPort} from './forwarding-port.ts';
+import {createRetryPort} from './retry-port.ts';
 import type {Sharing} from './sharing.ts';
 
 /**
@@ -31,8 +31,8 @@
 /**
 Verdicts of detection on the upstreams of a service.
 */
-export type Verdicts = {
-	readonly getAdmission: (service: core.ServiceName, upstream: core.UpstreamId) => selection.EjectionState;
+export type UpstreamHealth = {
+	readonly getEjectionState: (service: core.ServiceName, upstream: core.UpstreamId) => selection.EjectionState;
 	readonly isAvoided: (service: core.ServiceName, upstream: core.UpstreamId) => boolean;
 	/**
 	Monotonic time at which an upstream's ramp began; undefined when it is warm.
@@ -41,8 +41,8 @@
 	/**
 	Told when an attempt begins; its end comes to `record` with the same target.
 	*/
-	readonly begin: (service: core.ServiceName, target: proxy.Target) => void;
-	readonly record: (service: core.ServiceName, report: proxy.AttemptReport) => void;
+	readonly beginAttempt: (service: core.ServiceName, target: proxy.Target) => void;
+	readonly recordAttempt: (service: core.ServiceName, report: proxy.AttemptReport) => void;
 	readonly registerChangeListener: (listener: (service: core.ServiceName) => void) => utils.Teardown;
 };
 
@@ -58,33 +58,33 @@
 */
 export function startServices(
 	context: HostContext,
-	announcing: Announcing,
-	{verdicts, sharing}: {readonly verdicts: Verdicts; readonly sharing: Sharing},
+	announcer: Announcer,
+	{upstreamHealth, sharing}: {readonly upstreamHealth: UpstreamHealth; readonly sharing: Sharing},
 ): Services {
 	const carried = new Map<core.ServiceName, CarriedService>();
 	const forwarded = new Map<core.ServiceName, proxy.ServicePort>();
 
-	const drop = (name: core.ServiceName) => {
+	const remove = (name: core.ServiceName) => {
 		carried.get(name)?.stop();
 		carried.delete(name);
 		forwarded.delete(name);
 	};
 
 	const getCarried = (entry: catalogue.Entry) => {
-		const present = carried.get(entry.name);
-		if (present?.entry === entry) {
-			return present.port;
+		const existing = carried.get(entry.name);
+		if (existing?.entry === entry) {
+			return existing.port;
 		}
 
-		present?.stop();
-		const created = createCarried(context, entry, {announcing, verdicts, sharing});
+		existing?.stop();
+		const created = createCarried(context, entry, {announcer, upstreamHealth, sharing});
 		carried.set(entry.name, created);
 		return created.port;
 	};
 
 	const getForwarded = (entry: catalogue.Entry) => {
-		const present = forwarded.get(entry.name);
-		const port = present?.limits === entry.limits ? present : createForwarding(context, entry);
+		const existing = forwarded.get(entry.name);
+		const port = existing?.limits === entry.limits ? existing : createForwardingPort(context, entry);
 		forwarded.set(entry.name, port);
 		return port;
 	};
@@ -112,16 +112,16 @@
 				: {match, service};
 		},
 		teardown: utils.mergeTeardowns(
-			announcing.registerChangeListener(name => {
+			announcer.registerChangeListener(name => {
 				carried.get(name)?.refresh();
 			}),
-			verdicts.registerChangeListener(name => {
+			upstreamHealth.registerChangeListener(name => {
 				carried.get(name)?.refresh();
 			}),
 			context.store.registerUpdateListener((state, previous, dirty) => {
 				if (dirty.has('view')) {
 					for (const name of previous.view.entries.keys().filter(known => !state.view.entries.has(known))) {
-						drop(name);
+						remove(name);
 					}
 				}
 
@@ -133,7 +133,7 @@
 			}),
 			() => {
 				for (const name of carried.keys()) {
-					drop(name);
+					remove(name);
 				}
 			},
 		),
@@ -143,44 +143,44 @@
 function createCarried(
 	context: HostContext,
 	entry: catalogue.Entry,
-	{announcing, verdicts, sharing}: {
-		readonly announcing: Announcing;
-		readonly verdicts: Verdicts;
+	{announcer, upstreamHealth, sharing}: {
+		readonly announcer: Announcer;
+		readonly upstreamHealth: UpstreamHealth;
 		readonly sharing: Sharing;
 	},
 ): CarriedService {
 	const {settings, now, random} = context;
 	const selector = selection.createSelector({localFailureDomain: settings.failureDomain});
-	const admitter = createAdmitter(context, entry, sharing);
+	const admitter = createServiceAdmission(context, entry, sharing);
 	let upstreams: ReadonlyMap<core.UpstreamId, announcements.Upstream> = new Map();
 	const retry = createRetryPort(entry.limits.retryRatio, now, admitter.getUsualMilliseconds);
 
-	const refresh = () => {
-		const known = announcing.getUpstreams(entry.name);
+	const updateUpstreams = () => {
+		const announced = announcer.getUpstreams(entry.name);
 		const carriers = context.store.read(state => state.carriers.get(entry.name) ?? []).toSorted();
 		const rank = carriers.indexOf(settings.hostId);
-		upstreams = new Map(known.map(upstream => [upstream.id, upstream]));
+		upstreams = new Map(announced.map(upstream => [upstream.id, upstream]));
 		selector.setUpstreams(
-			known.map(upstream => describeUpstream(upstream, verdicts)),
+			announced.map(upstream => describeUpstream(upstream, upstreamHealth)),
 			rank === -1 ? undefined : {count: carriers.length, rank},
 		);
-		admitter.setCapacity(known.reduce((sum, upstream) => sum + upstream.slots, 0), Math.max(1, carriers.length));
+		admitter.setCapacity(announced.reduce((sum, upstream) => sum + upstream.slots, 0), Math.max(1, carriers.length));
 	};
 
 	const chooseUpstream = ({excluded, requestClass}: proxy.ChoiceRequest) => selector.choose({
 		now: now(), random, excluded, isTrialAllowed: core.isIdempotent(requestClass),
 	});
 
-	refresh();
+	updateUpstreams();
 	return {
 		entry,
-		refresh,
+		refresh: updateUpstreams,
 		stop: admitter.stop,
 		port: {
 			limits: entry.limits,
 			isCarried: true,
 			admit(request) {
-				retry.countRequest();
+				retry.creditRequest();
 				return admitter.admit(request);
 			},
 			release: admitter.release,
@@ -192,7 +192,7 @@
 			hasOtherTarget: choice => chooseUpstream(choice) !== undefined,
 			begin(target) {
 				selector.begin(target.id, now());
-				verdicts.begin(entry.name, target);
+				upstreamHealth.beginAttempt(entry.name, target);
 			},
 			end(report) {
 				selector.end(report.target.id, {
@@ -201,22 +201,22 @@
 					result: SELECTION_RESULTS[report.ending],
 				});
 				// A server that a request has crashed is not sick: ejected for it, it would be lost twice.
-				verdicts.record(entry.name, report.hasCrashed ? {...report, ending: 'cancelled'} : report);
+				upstreamHealth.recordAttempt(entry.name, report.hasCrashed ? {...report, ending: 'cancelled'} : report);
 			},
 			retry,
 		},
 	};
 }
 
-function describeUpstream(upstream: announcements.Upstream, verdicts: Verdicts): selection.Upstream {
+function describeUpstream(upstream: announcements.Upstream, upstreamHealth: UpstreamHealth): selection.Upstream {
 	return {
 		id: upstream.id,
 		failureDomain: upstream.failureDomain,
 		slots: upstream.slots,
 		state: upstream.state,
-		ejectionState: verdicts.getAdmission(upstream.service, upstream.id),
-		isAvoided: verdicts.isAvoided(upstream.service, upstream.id),
-		rampStartedAt: verdicts.getRampStart(upstream.service, upstream.id),
+		ejectionState: upstreamHealth.getEjectionState(upstream.service, upstream.id),
+		isAvoided: upstreamHealth.isAvoided(upstream.service, upstream.id),
+		rampStartedAt: upstreamHealth.getRampStart(upstream.service, upstream.id),
 	};
 }
 
--- a/packages/wagtailroute-host/src/watches.ts
+++ b/packages/wagtailroute-host/src/watches.ts
@@ -8,7 +8,7 @@
 import * as detection from 'wagtailroute-detection';
 import type * as proxy from 'wagtailroute-proxy';
 import type * as selection from 'wagtailroute-selection';
-import type {Announcing} from './announcing.ts';
+import type {Announcer} from './announcer.ts';
 import {KNOWN_MILLISECONDS, VIEW_REPORT_MILLISECONDS} from './constants.ts';
 import type {HostContext} from './context.ts';
 import type {EjectionLeases} from './ejection-leases.ts';
@@ -58,7 +58,7 @@
 	Differs from that of the host's earlier lives.
 	*/
 	readonly epoch: number;
-	readonly announcing: Announcing;
+	readonly announcing: Announcer;
 	readonly grants: Grants;
 	readonly leases: EjectionLeases;
 	readonly sendSummary: (summary: detection.Summary) => void;
--- a/scripts/capacity/entry-roles.ts
+++ b/scripts/capacity/entry-roles.ts
@@ -30,7 +30,7 @@
 Lists what an entry host does apart from the services it carries.
 */
 export function listEntryLines(facts: Facts): readonly RoleLine[] {
-	const compares = SECOND / hostTimes.COMPARE_MILLISECONDS;
+	const compares = SECOND / hostTimes.COMPARE_INTERVAL_MILLISECONDS;
 	return [
 		describeMembership(facts),
 		{
--- a/scripts/capacity/events-page.ts
+++ b/scripts/capacity/events-page.ts
@@ -52,14 +52,14 @@
 	const taken = getAt(facts, 'catalogue-catalogue', ['entries', 'hostMicroseconds'], SIZE.services);
 	const times = ROUND_TRIPS.map(trip => {
 		const spread = sum([multiply(rounds, inOneHost), rounds * (TRIPS_OF_NOTICE + TRIPS_OF_FETCH) * trip]);
-		return {trip, spread, all: sum([spread, hostTimes.COMPARE_MILLISECONDS])};
+		return {trip, spread, all: sum([spread, hostTimes.COMPARE_INTERVAL_MILLISECONDS])};
 	});
 	return [
 		'## Changes of the catalogue\n',
 		writeTable(Object.keys(last), facts.gossip.map(row => Object.values(row).map(String))),
 		[
 			'Simulated spread as in host `distribution.ts`. The hosts that nobody told find out by their own comparison, at most',
-			`${hostTimes.COMPARE_MILLISECONDS} ms later. Worked out from it, with the round trip between hosts as an assumption`,
+			`${hostTimes.COMPARE_INTERVAL_MILLISECONDS} ms later. Worked out from it, with the round trip between hosts as an assumption`,
 			'(each notice and each fetch opens a connection first):\n',
 		].join(' '),
 		writeTable(
