--- a/scripts/build/compile.ts
+++ b/scripts/build/compile.ts
@@ -21,7 +21,7 @@
 	const loaded = {exports: {}};
 	const load = script.runInThisContext() as Loader;
 	load(module.createRequire(import.meta.url), loaded, loaded.exports);
-	await plan.play();
+	await plan.run();
 }
 
 await files.writeFile(codePath, script.createCachedData());
