--- a/packages/wagtailroute-host/src/__tests__/unit/checked-peer.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/checked-peer.test.ts
@@ -2,7 +2,7 @@
 import type * as peer from 'wagtailroute-peer';
 import * as results from 'ts-results-es';
 import {checkPeer} from '../../checked-peer.ts';
-import {ANSWER_SHAPES, METHOD_SHAPES} from '../../method-shapes.ts';
+import {ANSWER_SCHEMAS, METHOD_SCHEMAS} from '../../method-schemas.ts';
 
 const ADDRESS = {ip: '127.0.0.1', port: 9};
 const CALL_MILLISECONDS = 1;
@@ -19,7 +19,7 @@
 	};
 }
 
-for (const method of ANSWER_SHAPES.keys()) {
+for (const method of ANSWER_SCHEMAS.keys()) {
 	// Symptom: a host ends by an unhandled rejection, or answers a backend server with no status.
 	// Sequence: it asks a host that is faulty or of another version, whose answer has another shape.
 	// Cause: the answer was used as it came.
@@ -31,7 +31,7 @@
 			});
 			// eslint-disable-next-line no-await-in-loop -- One after the other.
 			const answer = await checked.call(ADDRESS, method, {}, CALL_MILLISECONDS);
-			const isPossible = ANSWER_SHAPES.get(method)!.safeParse(malformed).success;
+			const isPossible = ANSWER_SCHEMAS.get(method)!.safeParse(malformed).success;
 			t.is(answer.isOk(), isPossible, JSON.stringify(malformed));
 			t.is(refused.length, isPossible ? 0 : 1);
 		}
@@ -39,7 +39,7 @@
 }
 
 test('every method that answers has a shape for its parameters', t => {
-	t.deepEqual(ANSWER_SHAPES.keys().filter(method => !METHOD_SHAPES.has(method)).toArray(), []);
+	t.deepEqual(ANSWER_SCHEMAS.keys().filter(method => !METHOD_SCHEMAS.has(method)).toArray(), []);
 });
 
 test('a method without a shape can not be registered', t => {
--- a/packages/wagtailroute-host/src/__tests__/unit/guarding.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/crash-guard.test.ts
@@ -4,9 +4,9 @@
 import test from 'ava';
 import type * as proxy from 'wagtailroute-proxy';
 import * as utils from 'wagtailroute-utils';
-import {startGuarding} from '../../guarding.ts';
-import {listSuspects, SUSPECT_CHANGE_METHOD} from '../../quarantine-news.ts';
-import {createFakeCell, type FakeCell} from './fake-cell.ts';
+import {startCrashGuard} from '../../crash-guard.ts';
+import {listSuspects, SUSPECT_CHANGE_METHOD} from '../../quarantine-updates.ts';
+import {createFakeRecords, type FakeRecords} from './fake-records.ts';
 
 const SERVICE = 's';
 const HOSTS = ['h1', 'h2', 'h3'];
@@ -14,24 +14,24 @@
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8];
 
 type Fleet = {
-	readonly cell: FakeCell;
+	readonly fakeRecords: FakeRecords;
 	readonly guards: readonly proxy.CrashGuard[];
 	readonly crashed: Set<string>;
 };
 
 function createFleet(): Fleet {
-	const cell = createFakeCell((tables, notice) => {
+	const fakeRecords = createFakeRecords((tables, notice) => {
 		utils.invariant(notice.kind === 'fingerprint', 'nothing is ejected here');
 		const entry = tables.getService(notice.service)?.quarantine.entries.find(({fingerprint}) => fingerprint === notice.change.fingerprint);
 		const milliseconds = (entry?.until ?? 0) - tables.getGroupTime();
 		return {method: SUSPECT_CHANGE_METHOD, parameters: {service: notice.service, ...notice.change, milliseconds}};
 	});
 	const crashed = new Set<string>();
-	const guards = HOSTS.map(host => startGuarding(cell.createContext(host), {
-		propose: cell.propose,
+	const guards = HOSTS.map(host => startCrashGuard(fakeRecords.createContext(host), {
+		propose: fakeRecords.propose,
 		isRefusing: async address => crashed.has(address.ip),
 	}).guard);
-	return {cell, guards, crashed};
+	return {fakeRecords, guards, crashed};
 }
 
 function createTarget(id: string): proxy.Target {
@@ -145,14 +145,14 @@
 
 test('without the records a suspect is not sent, and is free again when they know nothing of it', async t => {
 	const fleet = createFleet();
-	fleet.cell.isUnreachable = true;
+	fleet.fakeRecords.isUnreachable = true;
 	const request = {
 		host: 0, upstream: 'u1', fingerprint: 'boom', isCulprit: true,
 	};
 	await send(fleet, request);
 	t.is(await send(fleet, {...request, upstream: 'u2'}), 'trial-busy');
 	t.is(fleet.crashed.size, 1);
-	fleet.cell.isUnreachable = false;
+	fleet.fakeRecords.isUnreachable = false;
 	t.is(await send(fleet, {...request, upstream: 'u2', isCulprit: false}), 'answered');
 	t.is(fleet.guards[0]!.getQuarantineStatus(SERVICE, 'boom'), 'free');
 });
@@ -162,7 +162,7 @@
 	await send(fleet, {
 		host: 0, upstream: 'u1', fingerprint: 'boom', isCulprit: true,
 	});
-	const {records} = fleet.cell.machine;
+	const {records} = fleet.fakeRecords.machine;
 	t.is(listSuspects(records, {versions: {[SERVICE]: 0}}).services[0]?.suspects[0]?.standing, 'suspect');
 	t.deepEqual(listSuspects(records, {versions: {[SERVICE]: 1}}).services, []);
 });
--- a/packages/wagtailroute-host/src/__tests__/unit/ejections.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/ejections.test.ts
@@ -12,9 +12,9 @@
 import type {HostContext} from '../../context.ts';
 import {type EjectionLeases, startEjectionLeases} from '../../ejection-leases.ts';
 import {registerEjectionTables} from '../../ejection-tables.ts';
-import {createGrants, type Grants} from '../../grants.ts';
-import {startWatch} from '../../watches.ts';
-import {createFakeCell, type FakeCell} from './fake-cell.ts';
+import {createEjectionRequests, type EjectionRequests} from '../../ejection-requests.ts';
+import {startServiceDetection} from '../../service-detection.ts';
+import {createFakeRecords, type FakeRecords} from './fake-records.ts';
 
 const SERVICE = 's';
 const UPSTREAMS = ['u1', 'u2', 'u3', 'u4', 'u5', 'u6'];
@@ -27,7 +27,7 @@
 
 type Host = {
 	readonly context: HostContext;
-	readonly grants: Grants;
+	readonly ejectionRequests: EjectionRequests;
 	readonly leases: EjectionLeases;
 	readonly listed: Set<string>;
 	readonly readmitted: string[];
@@ -35,7 +35,7 @@
 };
 
 type Fleet = {
-	readonly cell: FakeCell;
+	readonly fakeRecords: FakeRecords;
 	readonly hosts: readonly Host[];
 	/**
 	Whether a quorum confirms the leader.
@@ -46,23 +46,23 @@
 type Methods = Map<string, (parameters: unknown) => unknown>;
 
 function createFleet(count: number): Fleet {
-	const cell = createFakeCell();
+	const fakeRecords = createFakeRecords();
 	const methods: Methods = new Map();
-	const fleet: Fleet = {cell, hosts: Array.from({length: count}, (_, index) => createHost(cell, `h${index}`, methods)), isConfirmed: true};
+	const fleet: Fleet = {fakeRecords, hosts: Array.from({length: count}, (_, index) => createHost(fakeRecords, `h${index}`, methods)), isConfirmed: true};
 	const group = {
 		getStatus: () => ({role: 'leader', leader: 'control'}),
 		readBarrier: async () => fleet.isConfirmed ? results.Ok(1) : results.Err({kind: 'no-quorum', message: ''}),
 	} as unknown as replication.Group;
-	const control = createContext(cell, 'control', {methods, isCut: () => false});
-	registerEjectionTables(control, cell.machine.records, () => group);
+	const control = createContext(fakeRecords, 'control', {methods, isCut: () => false});
+	registerEjectionTables(control, fakeRecords.machine.records, () => group);
 	return fleet;
 }
 
-function createHost(cell: FakeCell, id: string, methods: Methods): Host {
+function createHost(fakeRecords: FakeRecords, id: string, methods: Methods): Host {
 	const listed = new Set(UPSTREAMS);
 	const readmitted: string[] = [];
 	const host: {isCut: boolean} = {isCut: false};
-	const context = createContext(cell, id, {methods, isCut: () => host.isCut});
+	const context = createContext(fakeRecords, id, {methods, isCut: () => host.isCut});
 	const leases = startEjectionLeases(context, {
 		getServices: () => [SERVICE],
 		onEjected: () => undefined,
@@ -70,11 +70,11 @@
 			readmitted.push(upstream);
 		},
 	});
-	const grants = createGrants(context, createAnnouncing(listed), async (...parameters) => host.isCut
+	const ejectionRequests = createEjectionRequests(context, createAnnouncing(listed), async (...parameters) => host.isCut
 		? results.Err({kind: 'no-quorum', message: '', isPossiblyTaken: false})
-		: cell.propose(...parameters));
+		: fakeRecords.propose(...parameters));
 	return Object.assign(host, {
-		context, grants, leases, listed, readmitted,
+		context, ejectionRequests, leases, listed, readmitted,
 	});
 }
 
@@ -84,11 +84,11 @@
 	};
 }
 
-function createContext(cell: FakeCell, id: string, {methods, isCut}: {
+function createContext(fakeRecords: FakeRecords, id: string, {methods, isCut}: {
 	readonly methods: Methods;
 	readonly isCut: () => boolean;
 }): HostContext {
-	const context = cell.createContext(id);
+	const context = fakeRecords.createContext(id);
 	const entries = new Map([[SERVICE, {entry: ENTRY}]]) as never;
 	context.store.update(state => ({...state, view: {...state.view, entries}}));
 	const settings: HostContext['settings'] = {...context.settings, initialControl: [{id: 'control', address: CONTROL}]};
@@ -107,8 +107,8 @@
 	return {...context, settings, peer};
 }
 
-async function pass(fleet: Fleet, milliseconds: number): Promise<void> {
-	fleet.cell.advance(milliseconds);
+async function advance(fleet: Fleet, milliseconds: number): Promise<void> {
+	fleet.fakeRecords.advance(milliseconds);
 	await timers.setImmediate();
 	await timers.setImmediate();
 }
@@ -137,11 +137,11 @@
 				const upstream = UPSTREAMS[utils.pickIndex(random, UPSTREAMS.length)]!;
 				const epoch = host.leases.getEpoch(SERVICE, upstream);
 				return epoch === undefined
-					? host.grants.requestEjection(SERVICE, upstream, FINDING)
-					: host.grants.endEjection(SERVICE, upstream, epoch);
+					? host.ejectionRequests.requestEjection(SERVICE, upstream, FINDING)
+					: host.ejectionRequests.endEjection(SERVICE, upstream, epoch);
 			}));
 			// eslint-disable-next-line no-await-in-loop -- See above.
-			await pass(fleet, 1000);
+			await advance(fleet, 1000);
 			const union = new Set(fleet.hosts.flatMap(host => listEjected(host)));
 			most = Math.max(most, union.size);
 			t.true(union.size <= ALLOWED, `round ${round}: ${[...union].join(', ')}`);
@@ -157,18 +157,18 @@
 	// Cause: a table that is believed for ever.
 	const fleet = createFleet(2);
 	const [near, far] = fleet.hosts as readonly [Host, Host];
-	t.is(await near.grants.requestEjection(SERVICE, 'u1', FINDING), 'granted');
-	await pass(fleet, 1000);
+	t.is(await near.ejectionRequests.requestEjection(SERVICE, 'u1', FINDING), 'granted');
+	await advance(fleet, 1000);
 	t.deepEqual(fleet.hosts.map(host => listEjected(host)), [['u1'], ['u1']]);
 	far.isCut = true;
-	await pass(fleet, records.EJECTION_LEASE_MILLISECONDS - 1000);
+	await advance(fleet, records.EJECTION_LEASE_MILLISECONDS - 1000);
 	t.deepEqual(listEjected(far), ['u1']);
-	await pass(fleet, 2000);
+	await advance(fleet, 2000);
 	t.deepEqual(listEjected(far), []);
 	t.deepEqual(far.readmitted, ['u1']);
 	t.deepEqual(listEjected(near), ['u1']);
 	far.isCut = false;
-	await pass(fleet, 1000);
+	await advance(fleet, 1000);
 	t.deepEqual(listEjected(far), ['u1']);
 });
 
@@ -178,13 +178,13 @@
 	// Cause: a table read without asking a quorum.
 	const fleet = createFleet(1);
 	const host = fleet.hosts[0]!;
-	await host.grants.requestEjection(SERVICE, 'u1', FINDING);
-	await pass(fleet, 1000);
+	await host.ejectionRequests.requestEjection(SERVICE, 'u1', FINDING);
+	await advance(fleet, 1000);
 	t.deepEqual(listEjected(host), ['u1']);
 	fleet.isConfirmed = false;
-	await pass(fleet, records.EJECTION_LEASE_MILLISECONDS - 1000);
+	await advance(fleet, records.EJECTION_LEASE_MILLISECONDS - 1000);
 	t.deepEqual(listEjected(host), ['u1']);
-	await pass(fleet, 2000);
+	await advance(fleet, 2000);
 	t.deepEqual(listEjected(host), []);
 });
 
@@ -194,24 +194,24 @@
 	// Cause: an upstream that is new to the machine counts as serving.
 	const fleet = createFleet(1);
 	const host = fleet.hosts[0]!;
-	const watch = startWatch(host.context, {
+	const serviceDetection = startServiceDetection(host.context, {
 		entry: ENTRY as never,
 		epoch: 1,
 		announcing: createAnnouncing(host.listed) as never,
-		grants: host.grants,
+		ejectionRequests: host.ejectionRequests,
 		leases: host.leases,
 		sendSummary: () => undefined,
 		onChange: () => undefined,
 	});
-	await host.grants.requestEjection(SERVICE, 'u1', FINDING);
-	await pass(fleet, 1000);
-	watch.send({kind: 'ejected', upstream: 'u1'});
-	t.is(watch.getAdmission('u1'), 'ejected');
+	await host.ejectionRequests.requestEjection(SERVICE, 'u1', FINDING);
+	await advance(fleet, 1000);
+	serviceDetection.send({kind: 'ejected', upstream: 'u1'});
+	t.is(serviceDetection.getAdmission('u1'), 'ejected');
 	host.listed.delete('u1');
-	watch.refresh();
+	serviceDetection.refresh();
 	host.listed.add('u1');
-	watch.refresh();
-	t.is(watch.getAdmission('u1'), 'ejected');
-	t.is(watch.getAdmission('u2'), 'in');
-	watch.stop();
+	serviceDetection.refresh();
+	t.is(serviceDetection.getAdmission('u1'), 'ejected');
+	t.is(serviceDetection.getAdmission('u2'), 'in');
+	serviceDetection.stop();
 });
--- a/packages/wagtailroute-host/src/__tests__/unit/fake-fleet.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/fake-fleet.ts
@@ -29,7 +29,7 @@
 /**
 What a caller is told.
 */
-export type Told = {
+export type Answer = {
 	readonly status: number;
 	readonly outcome: unknown;
 	readonly text: string;
@@ -40,7 +40,7 @@
 */
 export type FakeFleet = {
 	readonly standins: readonly standin.Standin[];
-	readonly send: (host: number, request: {readonly path: string; readonly key?: string; readonly body?: string}) => Promise<Told>;
+	readonly send: (host: number, request: {readonly path: string; readonly key?: string; readonly body?: string}) => Promise<Answer>;
 	/**
 	Cuts a host off from the other hosts, in both directions.
 	*/
@@ -83,9 +83,9 @@
 /**
 Asks again and again until it is so.
 */
-export async function waitUntil(isSo: () => Promise<boolean>): Promise<void> {
+export async function waitUntil(isFulfilled: () => Promise<boolean>): Promise<void> {
 	// eslint-disable-next-line no-await-in-loop -- Polls.
-	while (!await isSo()) {
+	while (!await isFulfilled()) {
 		// eslint-disable-next-line no-await-in-loop -- See above.
 		await timers.setTimeout(POLL_MILLISECONDS);
 	}
--- a/packages/wagtailroute-host/src/__tests__/unit/fake-cell.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/fake-records.ts
@@ -14,7 +14,7 @@
 /**
 The records of a fake fleet.
 */
-export type FakeCell = {
+export type FakeRecords = {
 	readonly machine: RecordsMachine;
 	readonly propose: typeof proposeCommand;
 	/**
@@ -35,45 +35,45 @@
 /**
 Creates the records. `push` tells the hosts of a notice, by a method that they registered.
 */
-export function createFakeCell(push?: (tables: records.Records, notice: records.Notice) => {method: string; parameters: unknown}): FakeCell {
+export function createFakeRecords(createPush?: (tables: records.Records, notice: records.Notice) => {method: string; parameters: unknown}): FakeRecords {
 	const methods: Array<Map<string, peer.Method>> = [];
 	const repeated = new Set<() => void>();
-	const cell: FakeCell = {
+	const fakeRecords: FakeRecords = {
 		isUnreachable: false,
 		now: 1000,
 		advance(milliseconds) {
-			cell.now += milliseconds;
+			fakeRecords.now += milliseconds;
 			for (const run of repeated) {
 				run();
 			}
 		},
-		machine: createRecordsMachine(() => cell.now, notices => {
-			const news = notices.map(notice => push?.(cell.machine.records, notice));
-			for (const pushed of news) {
+		machine: createRecordsMachine(() => fakeRecords.now, notices => {
+			const pushes = notices.map(notice => createPush?.(fakeRecords.machine.records, notice));
+			for (const pushed of pushes) {
 				for (const registered of methods) {
 					registered.get(pushed?.method ?? '')?.(pushed?.parameters as never, {} as never);
 				}
 			}
 		}),
 		async propose(_context, _group, command) {
-			if (cell.isUnreachable) {
+			if (fakeRecords.isUnreachable) {
 				return results.Err({kind: 'no-quorum', message: 'No quorum.', isPossiblyTaken: false});
 			}
 
-			const answers = cell.machine.prepare(command as records.Command)
-				.map((prepared, index) => cell.machine.stateMachine.apply(prepared, {term: 1, index}));
+			const answers = fakeRecords.machine.prepare(command as records.Command)
+				.map((prepared, index) => fakeRecords.machine.stateMachine.apply(prepared, {term: 1, index}));
 			return results.Ok(answers.at(-1));
 		},
 		createContext(hostId) {
 			const registered = new Map<string, peer.Method>();
 			methods.push(registered);
-			return createFakeContext(cell, hostId, {registered, repeated});
+			return createFakeContext(fakeRecords, hostId, {registered, repeated});
 		},
 	};
-	return cell;
+	return fakeRecords;
 }
 
-function createFakeContext(cell: FakeCell, hostId: core.HostId, {registered, repeated}: {
+function createFakeContext(fakeRecords: FakeRecords, hostId: core.HostId, {registered, repeated}: {
 	readonly registered: Map<string, peer.Method>;
 	readonly repeated: Set<() => void>;
 }): HostContext {
@@ -93,7 +93,7 @@
 		log: () => ({
 			info: () => undefined, warn: () => undefined, error: () => undefined, debug: () => undefined,
 		}),
-		now: () => cell.now,
+		now: () => fakeRecords.now,
 		random: utils.createRandom(1),
 		schedule(_milliseconds, run) {
 			setImmediate(run);
--- a/packages/wagtailroute-host/src/__tests__/unit/held-shares.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/held-shares.test.ts
@@ -31,43 +31,43 @@
 */
 function play(seed: number): {readonly most: number; readonly mean: number} {
 	const random = utils.createRandom(seed);
-	const cell = records.createRecords();
-	const agenda = new Map<number, Array<() => void>>();
+	const tables = records.createRecords();
+	const scheduledActions = new Map<number, Array<() => void>>();
 	const hosts: FakeHost[] = Array.from({length: HOSTS}, () => ({
 		held: heldShares.NO_SHARE, inUse: 0, demand: 0, cut: 0, isAsking: false,
 	}));
 	let most = 0;
 	let sum = 0;
-	cell.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind: 'new'}}});
+	tables.apply({name: 'open-service', stampedAt: 0, payload: {service: 's', origin: {kind: 'new'}}});
 	const renew = (host: FakeHost, name: string, step: number) => {
 		const now = step * STEP_MILLISECONDS;
-		const use = {inUse: host.inUse, demand: host.demand};
-		if (host.isAsking || !heldShares.isDue(host.held, SHARED, {use, now})) {
+		const usage = {inUse: host.inUse, demand: host.demand};
+		if (host.isAsking || !heldShares.isDue(host.held, SHARED, {usage, now})) {
 			return;
 		}
 
-		const asked = heldShares.ask(host.held, SHARED, {use, now});
-		host.held = asked.held;
+		const created = heldShares.createRequest(host.held, SHARED, {usage, now});
+		host.held = created.held;
 		host.isAsking = true;
 		const isAnswerLost = host.cut > 0 || random() < 0.1;
 		const isQuestionLost = host.cut > 0 && random() < 0.5;
 		const delay = 1 + utils.pickIndex(random, 5);
-		agenda.set(step + delay, [...agenda.get(step + delay) ?? [], () => {
+		scheduledActions.set(step + delay, [...scheduledActions.get(step + delay) ?? [], () => {
 			host.isAsking = false;
 			const payload = {
 				requests: [{
-					service: 's', limitName: 'concurrency' as const, host: name, ...asked.request,
+					service: 's', limitName: 'concurrency' as const, host: name, ...created.request,
 				}],
 			};
 			const stampedAt = (step + delay) * STEP_MILLISECONDS;
-			const answer = isQuestionLost ? undefined : cell.apply({name: 'renew-shares', stampedAt, payload}).result.shares[0];
+			const answer = isQuestionLost ? undefined : tables.apply({name: 'renew-shares', stampedAt, payload}).result.shares[0];
 			const share = isAnswerLost || answer === undefined || 'kind' in answer ? undefined : answer;
-			host.held = heldShares.receive({...host.held, isUnanswered: false}, share, {askedAt: now, inUse: host.inUse});
+			host.held = heldShares.applyAnswer({...host.held, isUnanswered: false}, share, {requestedAt: now, inUse: host.inUse});
 		}]);
 	};
 
 	for (let step = 0; step < STEPS; step++) {
-		for (const action of agenda.get(step) ?? []) {
+		for (const action of scheduledActions.get(step) ?? []) {
 			action();
 		}
 
@@ -107,19 +107,19 @@
 
 test('a host uses nothing before its first share, and its safe part when the first question fails', t => {
 	t.is(heldShares.getAmount(heldShares.NO_SHARE, SHARED, 0), 0);
-	const failed = heldShares.receive(heldShares.NO_SHARE, undefined, {askedAt: 0, inUse: 0});
+	const failed = heldShares.applyAnswer(heldShares.NO_SHARE, undefined, {requestedAt: 0, inUse: 0});
 	t.is(heldShares.getAmount(failed, SHARED, 0), 2);
 });
 
 test('a share falls back to its safe part when its lease ends, measured from before it was asked for', t => {
-	const held = heldShares.receive(heldShares.NO_SHARE, {sequence: 1, amount: 20, safe: 2}, {askedAt: 100, inUse: 0});
+	const held = heldShares.applyAnswer(heldShares.NO_SHARE, {sequence: 1, amount: 20, safe: 2}, {requestedAt: 100, inUse: 0});
 	t.is(heldShares.getAmount(held, SHARED, 100 + records.SHARE_LEASE_MILLISECONDS - 1), 20);
 	t.is(heldShares.getAmount(held, SHARED, 100 + records.SHARE_LEASE_MILLISECONDS), 2);
 });
 
 test('a host with more in flight than its new share still holds the grant before it', t => {
-	const first = heldShares.receive(heldShares.NO_SHARE, {sequence: 3, amount: 20, safe: 2}, {askedAt: 0, inUse: 0});
-	const second = heldShares.receive(first, {sequence: 5, amount: 10, safe: 2}, {askedAt: 50, inUse: 15});
-	t.is(heldShares.ask(second, SHARED, {use: {inUse: 15, demand: 15}, now: 60}).request.holds, 3);
-	t.is(heldShares.ask(second, SHARED, {use: {inUse: 10, demand: 15}, now: 60}).request.holds, 5);
+	const first = heldShares.applyAnswer(heldShares.NO_SHARE, {sequence: 3, amount: 20, safe: 2}, {requestedAt: 0, inUse: 0});
+	const second = heldShares.applyAnswer(first, {sequence: 5, amount: 10, safe: 2}, {requestedAt: 50, inUse: 15});
+	t.is(heldShares.createRequest(second, SHARED, {usage: {inUse: 15, demand: 15}, now: 60}).request.holds, 3);
+	t.is(heldShares.createRequest(second, SHARED, {usage: {inUse: 10, demand: 15}, now: 60}).request.holds, 5);
 });
--- a/packages/wagtailroute-host/src/__tests__/unit/lost-hosts.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/lost-hosts.test.ts
@@ -3,7 +3,7 @@
 */
 import test from 'ava';
 import type {Member} from '../../context.ts';
-import {createLossWatch} from '../../lost-hosts.ts';
+import {createLostHostDetector} from '../../lost-hosts.ts';
 
 function createMember(id: string, state: Member['state'], boot: string): Member {
 	const address = {ip: '127.0.0.1', port: 1};
@@ -23,9 +23,9 @@
 
 for (const {title, member, commands} of CASES) {
 	test(title, t => {
-		const watch = createLossWatch();
+		const watch = createLostHostDetector();
 		const members = new Map(member === undefined ? [] : [[member.id, member]]);
-		const found = [1, 2].flatMap(() => watch.find(members, [{host: 'h', bootId: 'b1'}]));
+		const found = [1, 2].flatMap(() => watch.findCommands(members, [{host: 'h', bootId: 'b1'}]));
 		t.deepEqual(found.map(({name, payload}) => [name, ...Object.values(payload)].join(' ')).toSorted(), commands.toSorted());
 	});
 }
@@ -33,15 +33,15 @@
 test('a claim of a new process that came before the news of it is not lost', t => {
 	// Symptom: a running request is told as unknown to its resend. Sequence: a host restarts and claims; the leader still
 	// knows its earlier process. Cause: one look was enough.
-	const watch = createLossWatch();
+	const watch = createLostHostDetector();
 	const holders = [{host: 'h', bootId: 'b2'}];
-	t.deepEqual(watch.find(new Map([['h', createMember('h', 'alive', 'b1')]]), holders), []);
-	t.deepEqual(watch.find(new Map([['h', createMember('h', 'alive', 'b2')]]), holders), []);
+	t.deepEqual(watch.findCommands(new Map([['h', createMember('h', 'alive', 'b1')]]), holders), []);
+	t.deepEqual(watch.findCommands(new Map([['h', createMember('h', 'alive', 'b2')]]), holders), []);
 });
 
 test('a host that was forgotten has left', t => {
-	const watch = createLossWatch();
-	t.deepEqual(watch.find(new Map([['h', createMember('h', 'dead', 'b1')]]), []), []);
-	t.deepEqual(watch.find(new Map(), []).map(({name}) => name), ['forget-host']);
-	t.deepEqual(watch.find(new Map(), []), []);
+	const watch = createLostHostDetector();
+	t.deepEqual(watch.findCommands(new Map([['h', createMember('h', 'dead', 'b1')]]), []), []);
+	t.deepEqual(watch.findCommands(new Map(), []).map(({name}) => name), ['forget-host']);
+	t.deepEqual(watch.findCommands(new Map(), []), []);
 });
--- a/packages/wagtailroute-host/src/__tests__/unit/service-admission.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/service-admission.test.ts
@@ -6,8 +6,8 @@
 import * as catalogue from 'wagtailroute-catalogue';
 import type * as proxy from 'wagtailroute-proxy';
 import {createServiceAdmission} from '../../service-admission.ts';
-import {startSharing} from '../../sharing.ts';
-import {createFakeCell, type FakeCell} from './fake-cell.ts';
+import {startShareLeases} from '../../share-leases.ts';
+import {createFakeRecords, type FakeRecords} from './fake-records.ts';
 
 const REQUEST: proxy.AdmissionRequest = {organisation: 'o', remainingMilliseconds: 1000, requestClass: 'read'};
 const RELEASE: proxy.AdmissionRelease = {organisation: 'o', latencyMilliseconds: 5, ending: 'completed'};
@@ -18,9 +18,9 @@
 	}).unwrap();
 }
 
-function createHost(cell: FakeCell, name: string, entry: catalogue.Entry, carriers = 1) {
+function createHost(cell: FakeRecords, name: string, entry: catalogue.Entry, carriers = 1) {
 	const context = cell.createContext(name);
-	const admitter = createServiceAdmission(context, entry, startSharing(context, cell.propose));
+	const admitter = createServiceAdmission(context, entry, startShareLeases(context, cell.propose));
 	admitter.setCapacity(1000, carriers);
 	return admitter;
 }
@@ -36,7 +36,7 @@
 /**
 Asks for all places at once and lets time go on until each has its answer.
 */
-async function admitAll(cell: FakeCell, admitters: ReadonlyArray<ReturnType<typeof createHost>>): Promise<ReadonlyArray<proxy.RequestFailure | undefined>> {
+async function admitAll(cell: FakeRecords, admitters: ReadonlyArray<ReturnType<typeof createHost>>): Promise<ReadonlyArray<proxy.RequestFailure | undefined>> {
 	const answers: Array<proxy.RequestFailure | undefined> = [];
 	for (const admitter of admitters) {
 		void collect(answers, admitter);
@@ -56,14 +56,14 @@
 }
 
 test('the first request waits for the shares, and finds them', async t => {
-	const admitter = createHost(createFakeCell(), 'h1', createEntry({concurrency: 4}));
+	const admitter = createHost(createFakeRecords(), 'h1', createEntry({concurrency: 4}));
 	t.is(await admit(admitter), undefined);
 });
 
 test('hosts that start together stay within the limit from the first request on', async t => {
 	// Symptom: a limit of 8 lets 24 through when three hosts start. Sequence: each host takes the whole limit until it has
 	// heard of the others. Cause: a limit that is used before it is leased.
-	const cell = createFakeCell();
+	const cell = createFakeRecords();
 	const hosts = ['h1', 'h2', 'h3'].map(name => createHost(cell, name, createEntry({concurrency: 8, queueMilliseconds: 0}), 3));
 	const answers = await admitAll(cell, hosts.flatMap(host => Array.from({length: 8}, () => host)));
 	const admitted = answers.filter(answer => answer === undefined).length;
@@ -71,7 +71,7 @@
 });
 
 test('a queued request that is given up leaves its place to the next', async t => {
-	const admitter = createHost(createFakeCell(), 'h1', createEntry({concurrency: 4, queueMilliseconds: 1000}));
+	const admitter = createHost(createFakeRecords(), 'h1', createEntry({concurrency: 4, queueMilliseconds: 1000}));
 	let inFlight = 0;
 	let queued = await fillUntilQueued(admitter, () => {
 		inFlight++;
@@ -100,7 +100,7 @@
 }
 
 test('a host that can not reach the records from its start goes by its safe part', async t => {
-	const cell = createFakeCell();
+	const cell = createFakeRecords();
 	cell.isUnreachable = true;
 	const admitter = createHost(cell, 'h1', createEntry({concurrency: 8, queueMilliseconds: 0}));
 	const answers = await admitAll(cell, Array.from({length: 8}, () => admitter));
--- a/packages/wagtailroute-host/src/__tests__/unit/detection-mail.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/summary-exchange.test.ts
@@ -5,46 +5,46 @@
 import type * as core from 'wagtailroute-core';
 import type * as detection from 'wagtailroute-detection';
 import type {HostContext} from '../../context.ts';
-import {type DetectionMail, startDetectionMail} from '../../detection-mail.ts';
-import {createFakeCell} from './fake-cell.ts';
+import {type SummaryExchange, startSummaryExchange} from '../../summary-exchange.ts';
+import {createFakeRecords} from './fake-records.ts';
 
 const HOSTS = ['h0', 'h1', 'h2'];
 const UPSTREAMS: Readonly<Record<core.ServiceName, readonly string[]>> = {s: ['u1', 'u2'], t: ['u1', 'v1']};
 const CARRIERS = new Map([['s', HOSTS], ['t', ['h0', 'h1']]]);
 
-type Told = {readonly to: core.HostId; readonly service: core.ServiceName; readonly summary: detection.Summary};
+type ReceivedSummary = {readonly to: core.HostId; readonly service: core.ServiceName; readonly summary: detection.Summary};
 
-function startMails() {
-	const cell = createFakeCell();
-	const told: Told[] = [];
-	const methods = new Map<number, (letter: unknown) => void>();
-	let letters = 0;
-	const mails = HOSTS.map((hostId, index): DetectionMail => {
-		const context = cell.createContext(hostId);
+function startExchanges() {
+	const fakeRecords = createFakeRecords();
+	const received: ReceivedSummary[] = [];
+	const methods = new Map<number, (message: unknown) => void>();
+	let messageCount = 0;
+	const exchanges = HOSTS.map((hostId, index): SummaryExchange => {
+		const context = fakeRecords.createContext(hostId);
 		context.store.update(state => ({...state, carriers: CARRIERS}));
 		const initialControl = HOSTS.map((id, port) => ({id, address: {ip: '127.0.0.1', port}}));
 		const settings: HostContext['settings'] = {...context.settings, failureDomain: `d${index}`, initialControl};
 		const peer = {
-			registerMethod(_name: string, method: (letter: unknown) => void) {
+			registerMethod(_name: string, method: (message: unknown) => void) {
 				methods.set(index, method);
 				return () => undefined;
 			},
-			notify({port}: core.Address, _name: string, letter: unknown) {
-				letters++;
-				methods.get(port)!(structuredClone(letter));
+			notify({port}: core.Address, _name: string, message: unknown) {
+				messageCount++;
+				methods.get(port)!(structuredClone(message));
 			},
 		} as unknown as HostContext['peer'];
 		const announcing = {
 			getUpstreams: (service: core.ServiceName) => UPSTREAMS[service]!.map(id => ({id})) as never,
 		};
-		return startDetectionMail({...context, settings, peer}, announcing as never, {
+		return startSummaryExchange({...context, settings, peer}, announcing as never, {
 			epoch: index + 7,
 			onSummary(service, summary) {
-				told.push({to: hostId, service, summary});
+				received.push({to: hostId, service, summary});
 			},
 		});
 	});
-	return {mails, told, getLetters: () => letters};
+	return {exchanges, received, getMessageCount: () => messageCount};
 }
 
 function createSummary(sequence: number, upstreams: readonly string[]): detection.Summary {
@@ -55,30 +55,30 @@
 	};
 }
 
-test('a summary reaches the other carriers of its service whole, all services in one letter', t => {
-	const {mails, told, getLetters} = startMails();
+test('a summary reaches the other carriers of its service whole, all services in one message', t => {
+	const {exchanges, received, getMessageCount} = startExchanges();
 	const s = createSummary(1, ['u1', 'u2']);
 	const other = createSummary(4, ['v1']);
-	mails[0]!.add('s', s);
-	mails[0]!.add('t', other);
-	t.deepEqual(told, []);
-	mails[0]!.flush();
-	t.deepEqual(told, [
+	exchanges[0]!.queue('s', s);
+	exchanges[0]!.queue('t', other);
+	t.deepEqual(received, []);
+	exchanges[0]!.flush();
+	t.deepEqual(received, [
 		{to: 'h1', service: 's', summary: s},
 		{to: 'h1', service: 't', summary: other},
 		{to: 'h2', service: 's', summary: s},
 	]);
-	t.is(getLetters(), 2);
-	mails[0]!.flush();
-	t.is(getLetters(), 2);
+	t.is(getMessageCount(), 2);
+	exchanges[0]!.flush();
+	t.is(getMessageCount(), 2);
 });
 
 test('evidence about an upstream that the reader does not know counts for none', t => {
 	// Symptom: failures of one upstream are held against another one.
 	// Sequence: an upstream is announced to one host before the other hears of it, and fails there.
-	// Cause: names that are told by their hash.
-	const {mails, told} = startMails();
-	mails[0]!.add('s', createSummary(1, ['unknown', 'u2']));
-	mails[0]!.flush();
-	t.deepEqual(told.map(({summary}) => summary.upstreams.map(({id}) => id)), [['u2'], ['u2']]);
+	// Cause: names that are received by their hash.
+	const {exchanges, received} = startExchanges();
+	exchanges[0]!.queue('s', createSummary(1, ['unknown', 'u2']));
+	exchanges[0]!.flush();
+	t.deepEqual(received.map(({summary}) => summary.upstreams.map(({id}) => id)), [['u2'], ['u2']]);
 });
--- a/packages/wagtailroute-host/src/changing.ts
+++ b/packages/wagtailroute-host/src/catalogue-changes.ts
@@ -4,7 +4,7 @@
 import type * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
 import type * as results from 'ts-results-es';
-import {CALL_TIMEOUT_MILLISECONDS, CHANGE_MILLISECONDS} from './constants.ts';
+import {CALL_TIMEOUT_MILLISECONDS, CHANGE_TIMEOUT_MILLISECONDS} from './constants.ts';
 import type {HostContext} from './context.ts';
 import {type ProposalFailure, proposeCommand} from './proposals.ts';
 
@@ -37,7 +37,7 @@
 		takenAt: Date.now(),
 	};
 	const proposed = await proposeCommand(context, 'catalogue', change, {
-		timeoutMilliseconds: CHANGE_MILLISECONDS,
+		timeoutMilliseconds: CHANGE_TIMEOUT_MILLISECONDS,
 		isRepeatable: true,
 	});
 	return proposed.map(value => value as catalogue.ChangeAnswer);
--- a/packages/wagtailroute-host/src/catalogue-routes.ts
+++ b/packages/wagtailroute-host/src/catalogue-routes.ts
@@ -7,7 +7,7 @@
 import * as proxy from 'wagtailroute-proxy';
 import type {AdminRequest, AdminRoute} from './admin-routes.ts';
 import {readText} from './bodies.ts';
-import {changeCatalogue, type ChangeRequest, fetchHistory} from './changing.ts';
+import {changeCatalogue, type ChangeRequest, fetchHistory} from './catalogue-changes.ts';
 import {MAX_ADMIN_BODY_BYTES} from './constants.ts';
 import type {HostContext} from './context.ts';
 import {findInForce} from './in-force.ts';
--- a/packages/wagtailroute-host/src/checked-peer.ts
+++ b/packages/wagtailroute-host/src/checked-peer.ts
@@ -10,7 +10,7 @@
 import * as results from 'ts-results-es';
 import * as utils from 'wagtailroute-utils';
 import type * as z from 'zod';
-import {ANSWER_SHAPES, DATAGRAM_SHAPES, METHOD_SHAPES} from './method-shapes.ts';
+import {ANSWER_SCHEMAS, DATAGRAM_SCHEMAS, METHOD_SCHEMAS} from './method-schemas.ts';
 
 /**
 Told of each refused message.
@@ -27,12 +27,12 @@
 /**
 Returns the same end with its messages checked.
 */
-export function checkPeer(opened: peer.Peer, onRefused: RefusalListener): peer.Peer {
+export function checkPeer(unchecked: peer.Peer, onRefused: RefusalListener): peer.Peer {
 	return {
-		...opened,
+		...unchecked,
 		async call(to, method, parameters, timeoutMilliseconds) {
-			const answer = await opened.call(to, method, parameters, timeoutMilliseconds);
-			if (answer.isErr() || isShaped(ANSWER_SHAPES.get(method), answer.value)) {
+			const answer = await unchecked.call(to, method, parameters, timeoutMilliseconds);
+			if (answer.isErr() || isValid(ANSWER_SCHEMAS.get(method), answer.value)) {
 				return answer;
 			}
 
@@ -40,10 +40,10 @@
 			return results.Err(core.createFailure('peer-error', `Call to ${core.formatAddress(to)}: the answer is malformed.`));
 		},
 		registerMethod(name, method) {
-			const shape = METHOD_SHAPES.get(name);
-			utils.invariant(shape !== undefined, `the method ${name} has no shape in method-shapes.ts`);
-			return opened.registerMethod(name, (parameters, caller) => {
-				if (!isShaped(shape, parameters)) {
+			const schema = METHOD_SCHEMAS.get(name);
+			utils.invariant(schema !== undefined, `the method ${name} has no schema in method-schemas.ts`);
+			return unchecked.registerMethod(name, (parameters, caller) => {
+				if (!isValid(schema, parameters)) {
 					onRefused({method: name, from: caller.from});
 					throw new MalformedParameters(`The parameters of ${name} are malformed.`);
 				}
@@ -51,9 +51,9 @@
 				return method(parameters, caller);
 			});
 		},
-		registerDatagramHandler: handler => opened.registerDatagramHandler((method, parameters) => {
-			const shape = DATAGRAM_SHAPES.get(method);
-			if (shape !== undefined && isShaped(shape, parameters)) {
+		registerDatagramHandler: handler => unchecked.registerDatagramHandler((method, parameters) => {
+			const schema = DATAGRAM_SCHEMAS.get(method);
+			if (schema !== undefined && isValid(schema, parameters)) {
 				handler(method, parameters);
 			} else {
 				onRefused({method});
@@ -62,6 +62,6 @@
 	};
 }
 
-function isShaped(shape: z.ZodType | undefined, value: unknown): boolean {
-	return shape === undefined || shape.safeParse(value).success;
+function isValid(schema: z.ZodType | undefined, value: unknown): boolean {
+	return schema === undefined || schema.safeParse(value).success;
 }
--- a/packages/wagtailroute-host/src/claims.ts
+++ b/packages/wagtailroute-host/src/claims.ts
@@ -4,20 +4,20 @@
 import * as crypto from 'node:crypto';
 import * as proxy from 'wagtailroute-proxy';
 import * as records from 'wagtailroute-records';
-import {CLAIM_MILLISECONDS, SETTLE_MILLISECONDS} from './constants.ts';
+import {CLAIM_TIMEOUT_MILLISECONDS, SETTLE_TIMEOUT_MILLISECONDS} from './constants.ts';
 import type {HostContext} from './context.ts';
 import {proposeCommand} from './proposals.ts';
 
-type Ungranted = Exclude<records.ClaimResult, {kind: 'granted' | 'ran'}>;
+type UngrantedResult = Exclude<records.ClaimResult, {kind: 'granted' | 'ran'}>;
 
-const REFUSALS: Readonly<Record<records.ClaimRefusal, proxy.RequestFailureKind>> = {
+const FAILURES_BY_REFUSAL: Readonly<Record<records.ClaimRefusal, proxy.RequestFailureKind>> = {
 	'records-full': 'idempotency-records-full',
 	'organisation-full': 'idempotency-records-full',
 	abandoned: 'idempotency-records-unavailable',
 	'not-held': 'idempotency-records-unavailable',
 };
 
-const FAILURES: Readonly<Record<Ungranted['kind'], proxy.RequestFailureKind>> = {
+const FAILURES_BY_RESULT: Readonly<Record<UngrantedResult['kind'], proxy.RequestFailureKind>> = {
 	running: 'idempotency-key-running',
 	unknown: 'idempotency-key-outcome-unknown',
 	mismatch: 'idempotency-key-mismatch',
@@ -28,10 +28,10 @@
 Claims a key for one attempt.
 */
 export async function claimKey(context: HostContext, request: proxy.ClaimRequest): Promise<proxy.ClaimAnswer> {
-	const askedAt = context.now();
+	const requestedAt = context.now();
 	const claim = createClaim(context, request);
 	const proposed = await proposeCommand(context, 'records', {name: 'claim', stampedAt: 0, payload: claim}, {
-		timeoutMilliseconds: Math.min(CLAIM_MILLISECONDS, request.timeoutMilliseconds),
+		timeoutMilliseconds: Math.min(CLAIM_TIMEOUT_MILLISECONDS, request.timeoutMilliseconds),
 		isRepeatable: true,
 	});
 	if (proposed.isErr()) {
@@ -51,14 +51,14 @@
 	if (result.kind === 'granted') {
 		return {
 			kind: 'granted',
-			isSendable: () => context.now() - askedAt < result.validityMilliseconds,
+			isSendable: () => context.now() - requestedAt < result.validityMilliseconds,
 			settle(settlement) {
-				settle(context, claim, createEnding(settlement));
+				settle(context, claim, createSettlementEnding(settlement));
 			},
 		};
 	}
 
-	return result.kind === 'ran' ? answerRan(result.answer) : describeUngranted(result, request.key);
+	return result.kind === 'ran' ? createStoredAnswer(result.answer) : refuseUngranted(result, request.key);
 }
 
 function createClaim(context: HostContext, request: proxy.ClaimRequest): records.Claim {
@@ -78,27 +78,27 @@
 	};
 }
 
-function answerRan(answer: records.StoredAnswer | undefined): proxy.ClaimAnswer {
+function createStoredAnswer(answer: records.StoredAnswer | undefined): proxy.ClaimAnswer {
 	return answer === undefined
 		? refuse('idempotency-answer-not-kept', 'The request ran; its answer was too large to keep.')
-		: {kind: 'stored', answer: {status: answer.status, headers: readHeaders(answer.headers), body: answer.body}};
+		: {kind: 'stored', answer: {status: answer.status, headers: mergeHeaders(answer.headers), body: answer.body}};
 }
 
 /**
 Stored headers are pairs; a name that comes more than once becomes a list.
 */
-function readHeaders(pairs: records.StoredAnswer['headers']): Record<string, string | string[]> {
+function mergeHeaders(pairs: records.StoredAnswer['headers']): Record<string, string | string[]> {
 	const headers: Record<string, string | string[]> = {};
 	for (const [name, value] of pairs) {
-		const present = headers[name];
-		headers[name] = present === undefined ? value : [present, value].flat();
+		const existing = headers[name];
+		headers[name] = existing === undefined ? value : [existing, value].flat();
 	}
 
 	return headers;
 }
 
-function describeUngranted(result: Ungranted, key: string): proxy.ClaimAnswer {
-	const kind = result.kind === 'refused' ? REFUSALS[result.reason] : FAILURES[result.kind];
+function refuseUngranted(result: UngrantedResult, key: string): proxy.ClaimAnswer {
+	const kind = result.kind === 'refused' ? FAILURES_BY_REFUSAL[result.reason] : FAILURES_BY_RESULT[result.kind];
 	return refuse(kind, `The Idempotency-Key ${key} was not granted (${result.kind}).`);
 }
 
@@ -106,7 +106,7 @@
 	return {kind: 'refused', failure: proxy.createRequestFailure(kind, message)};
 }
 
-function createEnding(settlement: proxy.Settlement): records.Settlement['ending'] {
+function createSettlementEnding(settlement: proxy.Settlement): records.Settlement['ending'] {
 	if (settlement.outcome !== 'ran') {
 		return {kind: settlement.outcome};
 	}
@@ -135,7 +135,7 @@
 		service, organisation, key, attempt, ending,
 	};
 	void proposeCommand(context, 'records', {name: 'settle', stampedAt: 0, payload}, {
-		timeoutMilliseconds: SETTLE_MILLISECONDS,
+		timeoutMilliseconds: SETTLE_TIMEOUT_MILLISECONDS,
 		isRepeatable: true,
 	});
 }
--- a/packages/wagtailroute-host/src/command-shapes.ts
+++ b/packages/wagtailroute-host/src/command-schemas.ts
@@ -12,7 +12,7 @@
 	count,
 	name,
 	text,
-} from './message-shapes.ts';
+} from './message-schemas.ts';
 
 const recordName = z.object({service: name, organisation: text, key: text});
 
@@ -58,7 +58,7 @@
 	claimsUnknownUntil: amount,
 });
 
-const PAYLOADS: Readonly<Record<records.CommandName, z.ZodType>> = {
+const PAYLOAD_SCHEMAS: Readonly<Record<records.CommandName, z.ZodType>> = {
 	'open-service': z.object({
 		service: name,
 		origin: z.discriminatedUnion('kind', [
@@ -94,13 +94,13 @@
 	tick: z.object({}),
 };
 
-const payloads: ReadonlyMap<string, z.ZodType> = new Map(Object.entries(PAYLOADS));
+const payloadSchemas: ReadonlyMap<string, z.ZodType> = new Map(Object.entries(PAYLOAD_SCHEMAS));
 
 const namedCommand = z.object({name: text, stampedAt: amount, payload: z.unknown()});
 
 const recordsCommand = z.custom<records.Command>(value => {
 	const command = namedCommand.safeParse(value);
-	return command.success && (payloads.get(command.data.name)?.safeParse(command.data.payload).success ?? false);
+	return command.success && (payloadSchemas.get(command.data.name)?.safeParse(command.data.payload).success ?? false);
 });
 
 const entry = z.custom<catalogue.Entry>(value => catalogue.parseEntry(value).isOk());
@@ -123,12 +123,12 @@
 /**
 Commands by group.
 */
-export const COMMANDS = {catalogue: change, records: recordsCommand} as const;
+export const COMMAND_SCHEMAS = {catalogue: change, records: recordsCommand} as const;
 
 /**
 States of a snapshot by group.
 */
-export const STATES = {
+export const SNAPSHOT_SCHEMAS = {
 	catalogue: z.object({
 		revision: count,
 		entries: z.array(versionedEntry),
--- a/packages/wagtailroute-host/src/constants.ts
+++ b/packages/wagtailroute-host/src/constants.ts
@@ -10,12 +10,12 @@
 /**
 Milliseconds between the ticks of membership.
 */
-export const MEMBERSHIP_TICK_MILLISECONDS = 50;
+export const MEMBERSHIP_TICK_INTERVAL_MILLISECONDS = 50;
 
 /**
 Milliseconds for which the news that a host leaves is given out.
 */
-export const LEAVE_MILLISECONDS = 300;
+export const LEAVE_GOSSIP_MILLISECONDS = 300;
 
 /**
 Milliseconds between two comparisons of the catalogue's revision with another host.
@@ -40,42 +40,42 @@
 /**
 Milliseconds that a change may take, elections included, before its operator is told that it may have been taken.
 */
-export const CHANGE_MILLISECONDS = 8000;
+export const CHANGE_TIMEOUT_MILLISECONDS = 8000;
 
 /**
 Milliseconds between two attempts of the same change or command at control hosts.
 */
-export const CONTROL_RETRY_MILLISECONDS = 100;
+export const CONTROL_RETRY_DELAY_MILLISECONDS = 100;
 
 /**
 Milliseconds that a claim of an idempotency key may take; the caller waits meanwhile.
 */
-export const CLAIM_MILLISECONDS = 2500;
+export const CLAIM_TIMEOUT_MILLISECONDS = 2500;
 
 /**
 Milliseconds for which the settlement of a key is tried again.
 */
-export const SETTLE_MILLISECONDS = 60_000;
+export const SETTLE_TIMEOUT_MILLISECONDS = 60_000;
 
 /**
 Milliseconds between two steps of the leader towards the wanted members of a group.
 */
-export const RECONCILE_MILLISECONDS = 1000;
+export const RECONCILE_INTERVAL_MILLISECONDS = 1000;
 
 /**
 Milliseconds between the stamps by which the leader of the records lets group time go on.
 */
-export const GROUP_TIME_MILLISECONDS = 2000;
+export const GROUP_TIME_INTERVAL_MILLISECONDS = 2000;
 
 /**
 Voters of the control group at most.
 */
-export const MAXIMUM_VOTERS = 5;
+export const MAX_VOTERS = 5;
 
 /**
 Milliseconds after which a control host that is gone is removed from the group.
 */
-export const REPLACE_MILLISECONDS = 60_000;
+export const REPLACE_MEMBER_DELAY_MILLISECONDS = 60_000;
 
 /**
 Largest body of an operator's request, in bytes.
@@ -115,22 +115,22 @@
 /**
 Milliseconds that a host waits after a crash for the other losses of the same moment.
 */
-export const CRASH_COLLECT_MILLISECONDS = 10;
+export const CRASH_COLLECTION_MILLISECONDS = 10;
 
 /**
 Milliseconds for which the answers to what was in flight at a crash are held after the report, so that all carriers know the suspects before anything is sent again.
 */
-export const CRASH_HOLD_MILLISECONDS = 100;
+export const CRASH_ANSWER_DELAY_MILLISECONDS = 100;
 
 /**
 Milliseconds that an upstream may take to accept a connection after one was lost; longer is no crash.
 */
-export const CRASH_PROBE_MILLISECONDS = 250;
+export const CRASH_PROBE_TIMEOUT_MILLISECONDS = 250;
 
 /**
 Milliseconds that the report of a crash may take.
 */
-export const CRASH_REPORT_MILLISECONDS = 1000;
+export const CRASH_REPORT_TIMEOUT_MILLISECONDS = 1000;
 
 /**
 Milliseconds for which a host suspects a request by itself, when the report of its crash may not have arrived.
@@ -140,32 +140,32 @@
 /**
 Milliseconds between two questions of a host for requests that may crash upstreams; it is told of changes at once.
 */
-export const SUSPECT_POLL_MILLISECONDS = 2000;
+export const SUSPECT_POLL_INTERVAL_MILLISECONDS = 2000;
 
 /**
 Milliseconds after which the older half of the survived requests is forgotten.
 */
-export const SURVIVED_MILLISECONDS = 300_000;
+export const SURVIVALS_ROTATION_MILLISECONDS = 300_000;
 
 /**
 Milliseconds that the grant of a trial may take; the caller waits meanwhile.
 */
-export const TRIAL_MILLISECONDS = 2500;
+export const TRIAL_REQUEST_TIMEOUT_MILLISECONDS = 2500;
 
 /**
 Milliseconds between two looks whether shares of limits are to be renewed.
 */
-export const SHARE_TICK_MILLISECONDS = 250;
+export const SHARE_TICK_INTERVAL_MILLISECONDS = 250;
 
 /**
 Milliseconds that a renewal of shares may take.
 */
-export const SHARE_CALL_MILLISECONDS = 1000;
+export const SHARE_RENEWAL_TIMEOUT_MILLISECONDS = 1000;
 
 /**
 Milliseconds between two looks of the records' leader for hosts that are gone.
 */
-export const LOST_HOSTS_MILLISECONDS = 1000;
+export const LOST_HOSTS_CHECK_INTERVAL_MILLISECONDS = 1000;
 
 /**
 Milliseconds in a second.
@@ -205,32 +205,32 @@
 /**
 Milliseconds between two readings of the ejection tables without news; well below their lease.
 */
-export const EJECTION_POLL_MILLISECONDS = 4000;
+export const EJECTION_POLL_INTERVAL_MILLISECONDS = 4000;
 
 /**
 Control hosts asked for the ejection tables in one reading.
 */
-export const EJECTION_POLL_TRIES = 4;
+export const MAX_EJECTION_POLL_ATTEMPTS = 4;
 
 /**
 Milliseconds that a request for an ejection or a readmission may take.
 */
-export const GRANT_MILLISECONDS = 2000;
+export const EJECTION_REQUEST_TIMEOUT_MILLISECONDS = 2000;
 
 /**
 Milliseconds between a host's reports of the upstreams it knows, while any of them is ejected.
 */
-export const VIEW_REPORT_MILLISECONDS = 10_000;
+export const UPSTREAMS_REPORT_INTERVAL_MILLISECONDS = 10_000;
 
 /**
 Milliseconds for which a host takes upstreams of a service that is new to it for warm.
 */
-export const KNOWN_MILLISECONDS = 10_000;
+export const ASSUMED_WARM_MILLISECONDS = 10_000;
 
 /**
 Summaries that a host sends in a second over all services without urgent evidence; at least four for a single service.
 */
-export const SUMMARIES_PER_SECOND = 20;
+export const DETECTION_SUMMARIES_PER_SECOND = 20;
 
 /**
 Milliseconds that a carrier may take to list its upstreams for another host's operator.
@@ -240,12 +240,12 @@
 /**
 Milliseconds between the ticks of detection: half of what the machine asks for, so that urgent evidence leaves soon.
 */
-export const DETECTION_TICK_MILLISECONDS = 50;
+export const DETECTION_TICK_INTERVAL_MILLISECONDS = 50;
 
 /**
 Steps of detection that a host makes in a second over all services without failures; at least ten for a single service.
 */
-export const STEPS_PER_SECOND = 40;
+export const DETECTION_STEPS_PER_SECOND = 40;
 
 /**
 Milliseconds that a host waits at its start for another host's catalogue before it serves.
--- a/packages/wagtailroute-host/src/voters.ts
+++ b/packages/wagtailroute-host/src/control-members.ts
@@ -5,10 +5,10 @@
 */
 import type * as core from 'wagtailroute-core';
 import * as replication from 'wagtailroute-replication';
-import {MAXIMUM_VOTERS, REPLACE_MILLISECONDS} from './constants.ts';
+import {MAX_VOTERS, REPLACE_MEMBER_DELAY_MILLISECONDS} from './constants.ts';
 import type {HostContext, Member} from './context.ts';
 
-const goneSince = new WeakMap<HostContext, Map<core.HostId, number>>();
+const unavailableSince = new WeakMap<HostContext, Map<core.HostId, number>>();
 
 /**
 Returns the hosts that belong into a group.
@@ -20,12 +20,12 @@
 	const running = context.store.read(state => state.members.values()
 		.filter(member => member.roles.includes('control') && isRunning(member))
 		.toArray());
-	noteGone(context, running);
+	recordUnavailable(context, running);
 	return replication.chooseMembers({
 		members: status.members,
 		runningHosts: running.map(({id, failureDomain}) => ({host: id, failureDomain})),
 		isReplaceable: host => isReplaceable(context, host),
-		maxVoters: MAXIMUM_VOTERS,
+		maxVoters: MAX_VOTERS,
 	});
 }
 
@@ -33,20 +33,20 @@
 	return member.state === 'alive' || member.state === 'suspect';
 }
 
-function noteGone(context: HostContext, running: readonly Member[]): void {
-	const times = goneSince.get(context) ?? new Map<core.HostId, number>();
-	goneSince.set(context, times);
+function recordUnavailable(context: HostContext, running: readonly Member[]): void {
+	const since = unavailableSince.get(context) ?? new Map<core.HostId, number>();
+	unavailableSince.set(context, since);
 	const names = new Set(running.map(member => member.id));
 	for (const member of context.store.read(state => state.members.values().toArray())) {
 		if (names.has(member.id)) {
-			times.delete(member.id);
-		} else if (!times.has(member.id)) {
-			times.set(member.id, context.now());
+			since.delete(member.id);
+		} else if (!since.has(member.id)) {
+			since.set(member.id, context.now());
 		}
 	}
 }
 
 function isReplaceable(context: HostContext, host: core.HostId): boolean {
-	const since = goneSince.get(context)?.get(host);
-	return since !== undefined && context.now() - since > REPLACE_MILLISECONDS;
+	const since = unavailableSince.get(context)?.get(host);
+	return since !== undefined && context.now() - since > REPLACE_MEMBER_DELAY_MILLISECONDS;
 }
--- a/packages/wagtailroute-host/src/control.ts
+++ b/packages/wagtailroute-host/src/control.ts
@@ -7,20 +7,20 @@
 import type * as records from 'wagtailroute-records';
 import * as replication from 'wagtailroute-replication';
 import * as utils from 'wagtailroute-utils';
-import {GROUP_TIME_MILLISECONDS, LOST_HOSTS_MILLISECONDS, RECONCILE_MILLISECONDS} from './constants.ts';
+import {GROUP_TIME_INTERVAL_MILLISECONDS, LOST_HOSTS_CHECK_INTERVAL_MILLISECONDS, RECONCILE_INTERVAL_MILLISECONDS} from './constants.ts';
 import {findPeerAddress, type HostContext} from './context.ts';
 import {applyView} from './distribution.ts';
-import {pushEjections, registerEjectionTables} from './ejection-tables.ts';
-import {createLossWatch, type LossWatch} from './lost-hosts.ts';
+import {notifyEjectionChanges, registerEjectionTables} from './ejection-tables.ts';
+import {createLostHostDetector, type LostHostDetector} from './lost-hosts.ts';
 import type {GroupName, ProposalAnswer} from './proposals.ts';
 import {
 	listSuspects,
-	pushSuspects,
-	SUSPECT_QUESTION_METHOD,
-	type SuspectQuestion,
-} from './quarantine-news.ts';
+	notifySuspectChanges,
+	SUSPECTS_METHOD,
+	type SuspectsRequest,
+} from './quarantine-updates.ts';
 import {createRecordsMachine, type RecordsMachine} from './records-machine.ts';
-import {chooseControlMembers} from './voters.ts';
+import {chooseControlMembers} from './control-members.ts';
 
 /**
 A running control role.
@@ -56,10 +56,10 @@
 			return;
 		}
 
-		pushSuspects(context, recordsMachine.records, notices);
-		pushEjections(context, notices);
+		notifySuspectChanges(context, recordsMachine.records, notices);
+		notifyEjectionChanges(context, notices);
 	});
-	const lossWatch = createLossWatch();
+	const lostHostDetector = createLostHostDetector();
 
 	const teardown = utils.mergeTeardowns(
 		peer.registerMethod('control.message', (message: replication.GroupMessage) => {
@@ -67,15 +67,15 @@
 		}),
 		peer.registerMethod('control.propose', async (proposal: Proposal) => propose(groups, recordsMachine, proposal)),
 		peer.registerMethod('catalogue.history', ({name}: {name: core.ServiceName}) => replicated.getHistory(name)),
-		context.repeat(RECONCILE_MILLISECONDS, () => {
+		context.repeat(RECONCILE_INTERVAL_MILLISECONDS, () => {
 			void reconcile(context, groups);
 		}),
 		registerEjectionTables(context, recordsMachine.records, () => groups.records),
-		peer.registerMethod(SUSPECT_QUESTION_METHOD, (question: SuspectQuestion) => listSuspects(recordsMachine.records, question)),
-		context.repeat(LOST_HOSTS_MILLISECONDS, () => {
-			void proposeLosses(context, groups, {recordsMachine, lossWatch});
+		peer.registerMethod(SUSPECTS_METHOD, (request: SuspectsRequest) => listSuspects(recordsMachine.records, request)),
+		context.repeat(LOST_HOSTS_CHECK_INTERVAL_MILLISECONDS, () => {
+			void proposeLostHostCommands(context, groups, {recordsMachine, lostHostDetector});
 		}),
-		context.repeat(GROUP_TIME_MILLISECONDS, () => {
+		context.repeat(GROUP_TIME_INTERVAL_MILLISECONDS, () => {
 			void advanceGroupTime(groups, recordsMachine);
 		}),
 	);
@@ -215,17 +215,17 @@
 	}
 }
 
-async function proposeLosses(
+async function proposeLostHostCommands(
 	context: HostContext,
 	groups: Groups,
-	{recordsMachine, lossWatch}: {readonly recordsMachine: RecordsMachine; readonly lossWatch: LossWatch},
+	{recordsMachine, lostHostDetector}: {readonly recordsMachine: RecordsMachine; readonly lostHostDetector: LostHostDetector},
 ): Promise<void> {
 	if (groups.records?.getStatus().role !== 'leader') {
 		return;
 	}
 
 	const members = context.store.read(state => state.members);
-	for (const command of lossWatch.find(members, recordsMachine.records.getHolders())) {
+	for (const command of lostHostDetector.findCommands(members, recordsMachine.records.getHolders())) {
 		context.log('control').info('Host lost.', {command: command.name, host: command.payload.host});
 		// eslint-disable-next-line no-await-in-loop -- A handful, one after the other.
 		await propose(groups, recordsMachine, {group: 'records', command});
@@ -240,11 +240,11 @@
 			continue;
 		}
 
-		const wanted = chooseControlMembers(context, status);
+		const wantedMembers = chooseControlMembers(context, status);
 		// eslint-disable-next-line no-await-in-loop -- One step at a time keeps each safe.
-		const changed = await group.reconcile(wanted);
-		if (changed.isOk() && changed.value !== undefined) {
-			log.info('Members of a group changed.', {group: name, change: JSON.stringify(changed.value)});
+		const change = await group.reconcile(wantedMembers);
+		if (change.isOk() && change.value !== undefined) {
+			log.info('Members of a group changed.', {group: name, change: JSON.stringify(change.value)});
 		}
 	}
 }
--- a/packages/wagtailroute-host/src/guarding.ts
+++ b/packages/wagtailroute-host/src/crash-guard.ts
@@ -14,31 +14,31 @@
 import * as utils from 'wagtailroute-utils';
 import {
 	CALL_TIMEOUT_MILLISECONDS,
-	CRASH_COLLECT_MILLISECONDS,
-	CRASH_HOLD_MILLISECONDS,
-	CRASH_PROBE_MILLISECONDS,
-	CRASH_REPORT_MILLISECONDS,
+	CRASH_COLLECTION_MILLISECONDS,
+	CRASH_ANSWER_DELAY_MILLISECONDS,
+	CRASH_PROBE_TIMEOUT_MILLISECONDS,
+	CRASH_REPORT_TIMEOUT_MILLISECONDS,
 	LOCAL_SUSPICION_MILLISECONDS,
-	SETTLE_MILLISECONDS,
-	SURVIVED_MILLISECONDS,
-	SUSPECT_POLL_MILLISECONDS,
-	TRIAL_MILLISECONDS,
+	SETTLE_TIMEOUT_MILLISECONDS,
+	SURVIVALS_ROTATION_MILLISECONDS,
+	SUSPECT_POLL_INTERVAL_MILLISECONDS,
+	TRIAL_REQUEST_TIMEOUT_MILLISECONDS,
 } from './constants.ts';
 import type {HostContext} from './context.ts';
 import {chooseControlHost, proposeCommand} from './proposals.ts';
 import {
 	SUSPECT_CHANGE_METHOD,
-	SUSPECT_QUESTION_METHOD,
-	type SuspectAnswer,
+	SUSPECTS_METHOD,
+	type SuspectsAnswer,
 	type SuspectChange,
-	type SuspectQuestion,
-} from './quarantine-news.ts';
+	type SuspectsRequest,
+} from './quarantine-updates.ts';
 import {createSuspects, type Suspects} from './suspects.ts';
 
 /**
 The guard of a host.
 */
-export type Guarding = {
+export type HostCrashGuard = {
 	readonly guard: proxy.CrashGuard;
 	readonly teardown: utils.Teardown;
 };
@@ -46,7 +46,7 @@
 /**
 What tests may replace.
 */
-export type GuardingFakes = {
+export type CrashGuardFakes = {
 	readonly propose?: typeof proposeCommand;
 	readonly isRefusing?: (address: core.Address) => Promise<boolean>;
 };
@@ -60,39 +60,39 @@
 /**
 Starts the part.
 */
-export function startGuarding(context: HostContext, fakes: GuardingFakes = {}): Guarding {
+export function startCrashGuard(context: HostContext, fakes: CrashGuardFakes = {}): HostCrashGuard {
 	const {now, peer} = context;
 	const log = context.log('host');
 	const propose = fakes.propose ?? proposeCommand;
 	const isRefusing = fakes.isRefusing ?? probe;
 	const suspects = createSuspects();
-	const losses = new Map<string, LossGroup>();
+	const lossGroups = new Map<string, LossGroup>();
 
-	const examine = async (loss: proxy.LostAttempt, name: string): Promise<boolean> => {
+	const examineLoss = async (loss: proxy.LostAttempt, upstreamKey: string): Promise<boolean> => {
 		const incarnation = `${suspects.getVersion(loss.service)}`;
-		const hasCrashed = await isRefusing(loss.target.address);
+		const isServerRefusing = await isRefusing(loss.target.address);
 		// What else was in flight there is lost at the same moment, but told one after the other.
-		await wait(context, CRASH_COLLECT_MILLISECONDS);
-		const group = losses.get(name)!;
-		losses.delete(name);
+		await wait(context, CRASH_COLLECTION_MILLISECONDS);
+		const group = lossGroups.get(upstreamKey)!;
+		lossGroups.delete(upstreamKey);
 		// A server that comes back at once does not refuse: a suspect that was on trial there is tied to its loss anyway.
-		if (!hasCrashed && !group.isOnTrial) {
+		if (!isServerRefusing && !group.isOnTrial) {
 			return false;
 		}
 
 		log.warn('Upstream crashed.', {service: loss.service, upstream: loss.target.id, inFlight: group.fingerprints.size});
-		await report(loss, incarnation, group.fingerprints);
-		await wait(context, CRASH_HOLD_MILLISECONDS);
+		await reportCrash(loss, incarnation, group.fingerprints);
+		await wait(context, CRASH_ANSWER_DELAY_MILLISECONDS);
 		return true;
 	};
 
-	const report = async ({service, target}: proxy.LostAttempt, incarnation: string, fingerprints: ReadonlySet<string>) => {
+	const reportCrash = async ({service, target}: proxy.LostAttempt, incarnation: string, fingerprints: ReadonlySet<string>) => {
 		const inFlight = [...fingerprints].map(fingerprint => ({
-			fingerprint, hasCompleted: suspects.takeSurvived(service, fingerprint),
+			fingerprint, hasCompleted: suspects.consumeSurvival(service, fingerprint),
 		}));
 		for (const {fingerprint, hasCompleted} of inFlight) {
 			if (!hasCompleted) {
-				suspects.suspect(service, fingerprint, now() + LOCAL_SUSPICION_MILLISECONDS);
+				suspects.addLocalSuspect(service, fingerprint, now() + LOCAL_SUSPICION_MILLISECONDS);
 			}
 		}
 
@@ -100,7 +100,7 @@
 			service, upstream: target.id, incarnation, inFlight,
 		};
 		await propose(context, 'records', {name: 'report-crash', stampedAt: 0, payload}, {
-			timeoutMilliseconds: CRASH_REPORT_MILLISECONDS,
+			timeoutMilliseconds: CRASH_REPORT_TIMEOUT_MILLISECONDS,
 			isRepeatable: true,
 		});
 	};
@@ -112,38 +112,38 @@
 			return;
 		}
 
-		const answer = await peer.call(address, SUSPECT_QUESTION_METHOD, {versions} satisfies SuspectQuestion, CALL_TIMEOUT_MILLISECONDS);
+		const answer = await peer.call(address, SUSPECTS_METHOD, {versions} satisfies SuspectsRequest, CALL_TIMEOUT_MILLISECONDS);
 		if (answer.isOk()) {
-			suspects.replace(answer.value as SuspectAnswer, now());
+			suspects.applyAnswer(answer.value as SuspectsAnswer, now());
 		}
 	};
 
 	return {
 		guard: {
-			getQuarantineStatus: (service, fingerprint) => suspects.getStanding(service, fingerprint, now()),
+			getQuarantineStatus: (service, fingerprint) => suspects.getQuarantineStatus(service, fingerprint, now()),
 			requestTrial: async request => requestTrial({context, propose, suspects}, request),
 			async detectCrash(loss) {
-				const name = JSON.stringify([loss.service, loss.target.id]);
-				const group = losses.get(name) ?? {fingerprints: new Set<string>(), isOnTrial: false, result: examine(loss, name)};
-				losses.set(name, group);
+				const upstreamKey = JSON.stringify([loss.service, loss.target.id]);
+				const group = lossGroups.get(upstreamKey) ?? {fingerprints: new Set<string>(), isOnTrial: false, result: examineLoss(loss, upstreamKey)};
+				lossGroups.set(upstreamKey, group);
 				group.fingerprints.add(loss.fingerprint);
 				group.isOnTrial ||= loss.isOnTrial;
 				return group.result;
 			},
-			recordSurvival: suspects.noteSurvived,
+			recordSurvival: suspects.recordSurvival,
 		},
 		teardown: utils.mergeTeardowns(
 			peer.registerMethod(SUSPECT_CHANGE_METHOD, (change: SuspectChange) => {
-				suspects.change(change, now());
+				suspects.applyChange(change, now());
 			}),
-			context.repeat(SUSPECT_POLL_MILLISECONDS, () => {
+			context.repeat(SUSPECT_POLL_INTERVAL_MILLISECONDS, () => {
 				void poll();
 			}),
-			context.repeat(SURVIVED_MILLISECONDS, suspects.rotate),
+			context.repeat(SURVIVALS_ROTATION_MILLISECONDS, suspects.rotateSurvivals),
 			context.store.registerUpdateListener((state, previous, dirty) => {
 				if (dirty.has('view')) {
 					for (const service of previous.view.entries.keys().filter(known => !state.view.entries.has(known))) {
-						suspects.forget(service);
+						suspects.removeService(service);
 					}
 				}
 			}),
@@ -160,18 +160,18 @@
 async function requestTrial({context, propose, suspects}: TrialContext, request: proxy.TrialRequest): Promise<proxy.TrialAnswer> {
 	const {service, fingerprint} = request;
 	const attempt = crypto.randomUUID();
-	const askedAt = context.now();
+	const requestedAt = context.now();
 	const end = (ending: records.TrialEnding['ending']) => {
 		const payload: records.CommandPayloads['end-trial'] = {service, attempt, ending};
 		void propose(context, 'records', {name: 'end-trial', stampedAt: 0, payload}, {
-			timeoutMilliseconds: SETTLE_MILLISECONDS,
+			timeoutMilliseconds: SETTLE_TIMEOUT_MILLISECONDS,
 			isRepeatable: true,
 		});
 	};
 
 	const payload: records.CommandPayloads['request-trial'] = {...request, attempt};
 	const proposed = await propose(context, 'records', {name: 'request-trial', stampedAt: 0, payload}, {
-		timeoutMilliseconds: Math.min(TRIAL_MILLISECONDS, request.budgetMilliseconds),
+		timeoutMilliseconds: Math.min(TRIAL_REQUEST_TIMEOUT_MILLISECONDS, request.budgetMilliseconds),
 		isRepeatable: true,
 	});
 	if (proposed.isErr()) {
@@ -182,9 +182,9 @@
 		return refuse('trial-busy', `The request may crash backend servers, and no trial can be granted. ${proposed.error.message}`);
 	}
 
-	return ANSWERS[(proposed.value as TrialResult).kind]({
+	return TRIAL_ANSWERS[(proposed.value as TrialResult).kind]({
 		result: proposed.value as never,
-		isUsable: milliseconds => context.now() - askedAt < milliseconds,
+		isUsable: milliseconds => context.now() - requestedAt < milliseconds,
 		end,
 		clear() {
 			suspects.clear(service, fingerprint);
@@ -194,14 +194,14 @@
 
 type TrialResult = records.CommandResults['request-trial'];
 
-type Granting<Kind extends TrialResult['kind']> = {
+type TrialResultOptions<Kind extends TrialResult['kind']> = {
 	readonly result: Extract<TrialResult, {readonly kind: Kind}>;
 	readonly isUsable: (milliseconds: number) => boolean;
 	readonly end: (ending: records.TrialEnding['ending']) => void;
 	readonly clear: () => void;
 };
 
-const ANSWERS: {readonly [Kind in TrialResult['kind']]: (granting: Granting<Kind>) => proxy.TrialAnswer} = {
+const TRIAL_ANSWERS: {readonly [Kind in TrialResult['kind']]: (granting: TrialResultOptions<Kind>) => proxy.TrialAnswer} = {
 	clear({clear}) {
 		clear();
 		return {kind: 'free'};
@@ -237,7 +237,7 @@
 */
 async function probe(address: core.Address): Promise<boolean> {
 	return new Promise(resolve => {
-		const socket = net.connect({host: address.ip, port: address.port, timeout: CRASH_PROBE_MILLISECONDS});
+		const socket = net.connect({host: address.ip, port: address.port, timeout: CRASH_PROBE_TIMEOUT_MILLISECONDS});
 		const end = (isRefused: boolean) => {
 			socket.destroy();
 			resolve(isRefused);
--- a/packages/wagtailroute-host/src/ejection-leases.ts
+++ b/packages/wagtailroute-host/src/ejection-leases.ts
@@ -7,12 +7,12 @@
 import type * as core from 'wagtailroute-core';
 import * as records from 'wagtailroute-records';
 import * as utils from 'wagtailroute-utils';
-import {CALL_TIMEOUT_MILLISECONDS, EJECTION_POLL_MILLISECONDS, EJECTION_POLL_TRIES} from './constants.ts';
+import {CALL_TIMEOUT_MILLISECONDS, EJECTION_POLL_INTERVAL_MILLISECONDS, MAX_EJECTION_POLL_ATTEMPTS} from './constants.ts';
 import {findPeerAddress, type HostContext} from './context.ts';
 import {
 	EJECTION_CHANGE_METHOD,
-	EJECTION_QUESTION_METHOD,
-	type EjectionAnswer,
+	EJECTION_TABLES_METHOD,
+	type EjectionTablesAnswer,
 	type EjectionTable,
 } from './ejection-tables.ts';
 import {chooseControlHost} from './proposals.ts';
@@ -33,7 +33,7 @@
 /**
 What the leases need.
 */
-export type EjectionLeasePlan = {
+export type EjectionLeasesOptions = {
 	/**
 	Services whose tables this host needs.
 	*/
@@ -42,33 +42,33 @@
 	readonly onReadmitted: (service: core.ServiceName, upstream: core.UpstreamId) => void;
 };
 
-type Held = {
+type HeldTable = {
 	readonly version: number;
 	readonly epochs: ReadonlyMap<core.UpstreamId, number>;
 };
 
-const NOTHING_HELD: Held = {version: 0, epochs: new Map()};
+const EMPTY_TABLE: HeldTable = {version: 0, epochs: new Map()};
 
 /**
 Starts to keep the leases.
 */
-export function startEjectionLeases(context: HostContext, plan: EjectionLeasePlan): EjectionLeases {
+export function startEjectionLeases(context: HostContext, options: EjectionLeasesOptions): EjectionLeases {
 	const log = context.log('detection');
-	const held = new Map<core.ServiceName, Held>();
+	const tables = new Map<core.ServiceName, HeldTable>();
 	let leasedUntil = 0;
 	let isPolling = false;
-	let isAskedAgain = false;
+	let isPollRequested = false;
 
-	const hold = (service: core.ServiceName, next: Held) => {
-		const before = held.get(service) ?? NOTHING_HELD;
-		held.set(service, next);
+	const replaceTable = (service: core.ServiceName, next: HeldTable) => {
+		const before = tables.get(service) ?? EMPTY_TABLE;
+		tables.set(service, next);
 		for (const upstream of before.epochs.keys()) {
 			if (next.epochs.has(upstream)) {
 				continue;
 			}
 
 			log.info('Upstream readmitted.', {service, upstream});
-			plan.onReadmitted(service, upstream);
+			options.onReadmitted(service, upstream);
 		}
 
 		for (const [upstream, epoch] of next.epochs) {
@@ -77,49 +77,49 @@
 			}
 
 			log.warn('Upstream ejected.', {service, upstream, epoch});
-			plan.onEjected(service, upstream);
+			options.onEjected(service, upstream);
 		}
 	};
 
-	const take = (table: EjectionTable) => {
-		hold(table.service, {
+	const applyTable = (table: EjectionTable) => {
+		replaceTable(table.service, {
 			version: table.version,
 			epochs: new Map(table.ejected.map(({upstream, epoch}) => [upstream, epoch])),
 		});
 	};
 
-	const dropAll = () => {
-		for (const service of held.keys()) {
-			hold(service, NOTHING_HELD);
+	const dropAllTables = () => {
+		for (const service of tables.keys()) {
+			replaceTable(service, EMPTY_TABLE);
 		}
 
-		held.clear();
+		tables.clear();
 	};
 
-	const getVersions = () => Object.fromEntries([...plan.getServices()].map(service => [service, held.get(service)?.version ?? 0]));
+	const getVersions = () => Object.fromEntries([...options.getServices()].map(service => [service, tables.get(service)?.version ?? 0]));
 
 	const poll = async () => {
 		if (isPolling) {
-			isAskedAgain = true;
+			isPollRequested = true;
 			return;
 		}
 
 		isPolling = true;
-		const askedAt = context.now();
-		const answer = await ask(context, getVersions());
+		const requestedAt = context.now();
+		const answer = await requestTables(context, getVersions());
 		isPolling = false;
 		if (answer?.kind === 'tables') {
-			leasedUntil = askedAt + records.EJECTION_LEASE_MILLISECONDS;
+			leasedUntil = requestedAt + records.EJECTION_LEASE_MILLISECONDS;
 			for (const table of answer.tables) {
-				take(table);
+				applyTable(table);
 			}
 		}
 
-		if (!isAskedAgain) {
+		if (!isPollRequested) {
 			return;
 		}
 
-		isAskedAgain = false;
+		isPollRequested = false;
 		void poll();
 	};
 
@@ -127,38 +127,38 @@
 		poll() {
 			void poll();
 		},
-		getEpoch: (service, upstream) => held.get(service)?.epochs.get(upstream),
-		hasEjections: service => (held.get(service)?.epochs.size ?? 0) > 0,
+		getEpoch: (service, upstream) => tables.get(service)?.epochs.get(upstream),
+		hasEjections: service => (tables.get(service)?.epochs.size ?? 0) > 0,
 		teardown: utils.mergeTeardowns(
 			context.peer.registerMethod(EJECTION_CHANGE_METHOD, () => {
 				void poll();
 			}),
-			context.repeat(EJECTION_POLL_MILLISECONDS, () => {
+			context.repeat(EJECTION_POLL_INTERVAL_MILLISECONDS, () => {
 				void poll();
-				if (!(held.size > 0 && context.now() > leasedUntil)) {
+				if (!(tables.size > 0 && context.now() > leasedUntil)) {
 					return;
 				}
 
 				log.warn('Ejection lease ended, all upstreams are taken back.');
-				dropAll();
+				dropAllTables();
 			}),
 		),
 	};
 }
 
-async function ask(
+async function requestTables(
 	context: HostContext,
 	versions: Readonly<Record<core.ServiceName, number>>,
-): Promise<EjectionAnswer | undefined> {
+): Promise<EjectionTablesAnswer | undefined> {
 	if (Object.keys(versions).length === 0) {
 		return undefined;
 	}
 
 	let address = chooseControlHost(context);
-	for (let attempt = 0; address !== undefined && attempt < EJECTION_POLL_TRIES; attempt++) {
+	for (let attempt = 0; address !== undefined && attempt < MAX_EJECTION_POLL_ATTEMPTS; attempt++) {
 		// eslint-disable-next-line no-await-in-loop -- The next host is known from the answer.
-		const called = await context.peer.call(address, EJECTION_QUESTION_METHOD, {versions}, CALL_TIMEOUT_MILLISECONDS);
-		const answer = called.isOk() ? called.value as EjectionAnswer : undefined;
+		const called = await context.peer.call(address, EJECTION_TABLES_METHOD, {versions}, CALL_TIMEOUT_MILLISECONDS);
+		const answer = called.isOk() ? called.value as EjectionTablesAnswer : undefined;
 		if (answer?.kind === 'tables') {
 			return answer;
 		}
--- a/packages/wagtailroute-host/src/grants.ts
+++ b/packages/wagtailroute-host/src/ejection-requests.ts
@@ -7,88 +7,88 @@
 import type * as detection from 'wagtailroute-detection';
 import type * as records from 'wagtailroute-records';
 import type {Announcer} from './announcer.ts';
-import {GRANT_MILLISECONDS} from './constants.ts';
+import {EJECTION_REQUEST_TIMEOUT_MILLISECONDS} from './constants.ts';
 import type {HostContext} from './context.ts';
 import {proposeCommand} from './proposals.ts';
 
 /**
 Answer to a request for an ejection; `unreachable` when the records gave none in time.
 */
-export type GrantAnswer = 'granted' | 'floor' | 'not-serving' | 'settling' | 'unreachable';
+export type EjectionRequestAnswer = 'granted' | 'floor' | 'not-serving' | 'settling' | 'unreachable';
 
 /**
 The grantor as this host reaches it. An entry that is no longer in the catalogue asks for nothing.
 */
-export type Grants = {
+export type EjectionRequests = {
 	readonly requestEjection: (
 		service: core.ServiceName,
 		upstream: core.UpstreamId,
 		finding: detection.Finding,
-	) => Promise<GrantAnswer>;
+	) => Promise<EjectionRequestAnswer>;
 	readonly endEjection: (service: core.ServiceName, upstream: core.UpstreamId, epoch: number) => Promise<void>;
-	readonly reportView: (service: core.ServiceName) => void;
+	readonly reportUpstreams: (service: core.ServiceName) => void;
 };
 
 /**
 Creates the way to the grantor. Tests give `propose` to stand for the records.
 */
-export function createGrants(
+export function createEjectionRequests(
 	context: HostContext,
 	announcing: Pick<Announcer, 'getUpstreams'>,
 	propose: typeof proposeCommand = proposeCommand,
-): Grants {
-	const createView = (service: core.ServiceName) => {
+): EjectionRequests {
+	const createUpstreamView = (service: core.ServiceName) => {
 		const entry = context.store.read(state => state.view.entries.get(service)?.entry);
 		if (entry === undefined) {
 			return undefined;
 		}
 
 		const upstreams = announcing.getUpstreams(service);
-		const listIn = (state: announcements.Upstream['state']) =>
+		const listIdsInState = (state: announcements.Upstream['state']) =>
 			upstreams.filter(upstream => upstream.state === state).map(upstream => upstream.id);
 		return {
 			service,
 			host: context.settings.hostId,
-			serving: listIn('serving'),
-			draining: listIn('draining'),
+			serving: listIdsInState('serving'),
+			draining: listIdsInState('draining'),
 			healthyFloor: parseFloor(entry.healthyFloor),
 		};
 	};
 
 	return {
 		async requestEjection(service, upstream, finding) {
-			const view = createView(service);
+			const view = createUpstreamView(service);
 			if (view === undefined) {
 				return 'not-serving';
 			}
 
 			const payload = {...view, upstream, badness: finding.evidence};
-			const result = await ask(context, propose, {name: 'request-ejection', payload});
-			return result === undefined || result.kind === 'not-held' ? 'unreachable' : readResult(result);
+			const result = await proposeRecordsCommand(context, propose, {name: 'request-ejection', payload});
+			return result === undefined || result.kind === 'not-held' ? 'unreachable' : getAnswer(result);
 		},
 		async endEjection(service, upstream, epoch) {
-			await ask(context, propose, {name: 'readmit', payload: {service, upstream, epoch}});
+			await proposeRecordsCommand(context, propose, {name: 'readmit', payload: {service, upstream, epoch}});
 		},
-		reportView(service) {
-			const view = createView(service);
+		reportUpstreams(service) {
+			const view = createUpstreamView(service);
 			if (view !== undefined) {
-				void ask(context, propose, {name: 'report-upstreams', payload: view});
+				void proposeRecordsCommand(context, propose, {name: 'report-upstreams', payload: view});
 			}
 		},
 	};
 }
 
-function readResult(result: records.EjectionResult): GrantAnswer {
+function getAnswer(result: records.EjectionResult): EjectionRequestAnswer {
 	return result.kind === 'granted' ? 'granted' : result.reason;
 }
 
-async function ask<Name extends records.CommandName>(
+async function proposeRecordsCommand<Name extends records.CommandName>(
 	context: HostContext,
 	propose: typeof proposeCommand,
 	{name, payload}: {readonly name: Name; readonly payload: records.CommandPayloads[Name]},
 ): Promise<records.CommandResults[Name] | undefined> {
 	const proposed = await propose(context, 'records', {name, stampedAt: 0, payload}, {
-		timeoutMilliseconds: GRANT_MILLISECONDS,
+		timeoutMilliseconds: EJECTION_REQUEST_TIMEOUT_MILLISECONDS,
 		isRepeatable: true,
 	});
 	return proposed.isOk() ? proposed.value as records.CommandResults[Name] : undefined;
--- a/packages/wagtailroute-host/src/ejection-tables.ts
+++ b/packages/wagtailroute-host/src/ejection-tables.ts
@@ -13,7 +13,7 @@
 /**
 The versions that a host knows, by service.
 */
-export type EjectionQuestion = {readonly versions: Readonly<Record<core.ServiceName, number>>};
+export type EjectionTablesRequest = {readonly versions: Readonly<Record<core.ServiceName, number>>};
 
 /**
 What is ejected of one service.
@@ -27,14 +27,14 @@
 /**
 Answer to a question: the tables whose version is another one. Those left out are as the host knows them.
 */
-export type EjectionAnswer =
+export type EjectionTablesAnswer =
 	| {readonly kind: 'tables'; readonly tables: readonly EjectionTable[]}
 	| {readonly kind: 'not-leader'; readonly leader?: core.HostId};
 
 /**
 Names of the methods.
 */
-export const EJECTION_QUESTION_METHOD = 'ejections.list';
+export const EJECTION_TABLES_METHOD = 'ejections.list';
 export const EJECTION_CHANGE_METHOD = 'ejections.changed';
 
 /**
@@ -45,7 +45,7 @@
 	tables: records.Records,
 	getGroup: () => replication.Group | undefined,
 ): utils.Teardown {
-	return context.peer.registerMethod(EJECTION_QUESTION_METHOD, async (question: EjectionQuestion): Promise<EjectionAnswer> => {
+	return context.peer.registerMethod(EJECTION_TABLES_METHOD, async (request: EjectionTablesRequest): Promise<EjectionTablesAnswer> => {
 		const group = getGroup();
 		const status = group?.getStatus();
 		if (group === undefined || status?.role !== 'leader') {
@@ -53,11 +53,11 @@
 		}
 
 		const confirmed = await group.readBarrier();
-		return confirmed.isOk() ? {kind: 'tables', tables: listTables(tables, question)} : {kind: 'not-leader'};
+		return confirmed.isOk() ? {kind: 'tables', tables: listTables(tables, request)} : {kind: 'not-leader'};
 	});
 }
 
-function listTables(tables: records.Records, {versions}: EjectionQuestion): readonly EjectionTable[] {
+function listTables(tables: records.Records, {versions}: EjectionTablesRequest): readonly EjectionTable[] {
 	return Object.entries(versions).flatMap(([service, known]) => {
 		const ejections = tables.getService(service)?.ejections;
 		return ejections === undefined || ejections.version === known
@@ -73,7 +73,7 @@
 /**
 Tells the carriers of a service that its table changed. Called on the leader, when the change is committed.
 */
-export function pushEjections(context: HostContext, notices: readonly records.Notice[]): void {
+export function notifyEjectionChanges(context: HostContext, notices: readonly records.Notice[]): void {
 	const services = new Set(notices.filter(notice => notice.kind === 'ejection').map(notice => notice.service));
 	for (const service of services) {
 		for (const carrier of context.store.read(state => state.carriers.get(service) ?? [])) {
--- a/packages/wagtailroute-host/src/group-shapes.ts
+++ b/packages/wagtailroute-host/src/group-schemas.ts
@@ -6,24 +6,24 @@
 */
 import type * as replication from 'wagtailroute-replication';
 import * as z from 'zod';
-import {COMMANDS, STATES} from './command-shapes.ts';
-import {count, name} from './message-shapes.ts';
+import {COMMAND_SCHEMAS, SNAPSHOT_SCHEMAS} from './command-schemas.ts';
+import {count, name} from './message-schemas.ts';
 import type {GroupName} from './proposals.ts';
 
 const member = z.object({id: name, role: z.enum(['voter', 'learner'])});
 
-function createShapes(group: GroupName) {
+function createGroupSchemas(group: GroupName) {
 	const envelope = z.object({
 		group: z.literal(group), from: name, to: name, term: count,
 	});
 	const numbered = {index: count, term: count, bytes: count};
 	const entry = z.discriminatedUnion('kind', [
-		z.object({...numbered, kind: z.literal('command'), value: COMMANDS[group]}),
+		z.object({...numbered, kind: z.literal('command'), value: COMMAND_SCHEMAS[group]}),
 		z.object({...numbered, kind: z.literal('members'), value: z.array(member)}),
 		z.object({...numbered, kind: z.literal('empty'), value: z.unknown()}),
 	]);
-	const question = envelope.extend({lastIndex: count, lastTerm: count});
-	const answer = envelope.extend({granted: z.boolean()});
+	const voteRequest = envelope.extend({lastIndex: count, lastTerm: count});
+	const voteAnswer = envelope.extend({granted: z.boolean()});
 	const append = envelope.extend({
 		previousIndex: count, previousTerm: count, entries: z.array(entry), commit: count, round: count,
 	}).refine(isInOrder);
@@ -31,17 +31,17 @@
 		accepted: z.boolean(), previousIndex: count, match: count, round: count,
 	});
 	const install = envelope.extend({
-		snapshot: z.object({...numbered, members: z.array(member), state: STATES[group].nullable()}),
+		snapshot: z.object({...numbered, members: z.array(member), state: SNAPSHOT_SCHEMAS[group].nullable()}),
 		round: count,
 	});
 	const announce = z.object({
 		group: z.literal(group), from: name, to: name.nullable(), isEmpty: z.boolean(),
 	});
 	return new Map<string, z.ZodType>([
-		['pre-vote', question],
-		['vote', question],
-		['pre-vote-answer', answer],
-		['vote-answer', answer],
+		['pre-vote', voteRequest],
+		['vote', voteRequest],
+		['pre-vote-answer', voteAnswer],
+		['vote-answer', voteAnswer],
 		['append', append],
 		['append-answer', appendAnswer],
 		['install', install],
@@ -72,12 +72,12 @@
 export const groupMessage = z.custom<replication.GroupMessage>(value => {
 	const head = messageHead.safeParse(value);
 	// A look-up by kind: a union would try one shape after the other, on the most frequent messages between control hosts.
-	return head.success && (SHAPES[head.data.group].get(head.data.kind)?.safeParse(value).success ?? false);
+	return head.success && (GROUP_SCHEMAS[head.data.group].get(head.data.kind)?.safeParse(value).success ?? false);
 });
 
 const messageHead = z.object({group: z.enum(['catalogue', 'records']), kind: z.string()});
 
-const SHAPES: Readonly<Record<GroupName, ReadonlyMap<string, z.ZodType>>> = {
-	catalogue: createShapes('catalogue'),
-	records: createShapes('records'),
+const GROUP_SCHEMAS: Readonly<Record<GroupName, ReadonlyMap<string, z.ZodType>>> = {
+	catalogue: createGroupSchemas('catalogue'),
+	records: createGroupSchemas('records'),
 };
--- a/packages/wagtailroute-host/src/held-shares.ts
+++ b/packages/wagtailroute-host/src/held-shares.ts
@@ -27,8 +27,8 @@
 	/**
 	Until when the latest share may be used, monotonic.
 	*/
-	readonly until: number;
-	readonly askedAt?: number;
+	readonly expiresAt: number;
+	readonly requestedAt?: number;
 	/**
 	The first question had no answer.
 	*/
@@ -38,7 +38,7 @@
 /**
 How much of the limit is in use. Amounts in the limit's unit.
 */
-export type ShareUse = {
+export type ShareUsage = {
 	/**
 	What can not be given back at once: requests in flight; 0 for a rate.
 	*/
@@ -52,31 +52,31 @@
 /**
 The state before the first question.
 */
-export const NO_SHARE: HeldShare = {holds: 0, until: 0, isUnanswered: false};
+export const NO_SHARE: HeldShare = {holds: 0, expiresAt: 0, isUnanswered: false};
 
 /**
 Milliseconds after which a share that is used is renewed, a third of its lease.
 */
-const RENEW_MILLISECONDS = records.SHARE_LEASE_MILLISECONDS / 3;
+const RENEWAL_INTERVAL_MILLISECONDS = records.SHARE_LEASE_MILLISECONDS / 3;
 
 /**
 Milliseconds between two questions of a host that could use more than it holds.
 */
-const GROW_MILLISECONDS = 250;
+const GROWTH_REQUEST_INTERVAL_MILLISECONDS = 250;
 
 /**
 What is asked for beyond the demand, as a factor, so that it can grow until the next question.
 */
-const HEADROOM = 1.25;
+const DEMAND_HEADROOM_FACTOR = 1.25;
 
 const UNITS: Readonly<Record<records.LimitName, records.ShareUnit>> = {concurrency: 'whole', ratePerSecond: 'fractional'};
 
 /**
 Returns what the host may use now.
 */
-export function getAmount({latest, until, isUnanswered}: HeldShare, {limitName, limit, carriers}: SharedLimit, now: number): number {
+export function getAmount({latest, expiresAt, isUnanswered}: HeldShare, {limitName, limit, carriers}: SharedLimit, now: number): number {
 	if (latest !== undefined) {
-		return Math.min(limit, now < until ? latest.amount : latest.safe);
+		return Math.min(limit, now < expiresAt ? latest.amount : latest.safe);
 	}
 
 	return isUnanswered ? records.getInitialSafePart({limit, carriers, unit: UNITS[limitName]}) : 0;
@@ -86,44 +86,44 @@
 Says whether it is time to ask: at first, when more could be used than is held, and before the lease of a share that is
 used ends. What is not used is left to run out.
 */
-export function isDue(held: HeldShare, limit: SharedLimit, {use, now}: {readonly use: ShareUse; readonly now: number}): boolean {
-	const {askedAt, latest} = held;
-	if (askedAt === undefined) {
+export function isDue(held: HeldShare, limit: SharedLimit, {usage, now}: {readonly usage: ShareUsage; readonly now: number}): boolean {
+	const {requestedAt, latest} = held;
+	if (requestedAt === undefined) {
 		return true;
 	}
 
-	const wanted = Math.min(limit.limit, use.demand);
-	const isShort = wanted > getAmount(held, limit, now);
-	const isUsed = use.demand > 0 || use.inUse > 0 || latest === undefined;
-	return now - askedAt >= (isShort ? GROW_MILLISECONDS : RENEW_MILLISECONDS) && (isShort || isUsed);
+	const usableDemand = Math.min(limit.limit, usage.demand);
+	const isShort = usableDemand > getAmount(held, limit, now);
+	const isUsed = usage.demand > 0 || usage.inUse > 0 || latest === undefined;
+	return now - requestedAt >= (isShort ? GROWTH_REQUEST_INTERVAL_MILLISECONDS : RENEWAL_INTERVAL_MILLISECONDS) && (isShort || isUsed);
 }
 
 /**
 Returns the question to ask now, and the state that has asked it.
 */
-export function ask(held: HeldShare, limit: SharedLimit, {use, now}: {readonly use: ShareUse; readonly now: number}): {
+export function createRequest(held: HeldShare, limit: SharedLimit, {usage, now}: {readonly usage: ShareUsage; readonly now: number}): {
 	readonly held: HeldShare;
 	readonly request: Omit<records.ShareRequest, 'host'>;
 } {
-	const holds = held.latest !== undefined && use.inUse <= getAmount(held, limit, now) ? held.latest.sequence : held.holds;
+	const holds = held.latest !== undefined && usage.inUse <= getAmount(held, limit, now) ? held.latest.sequence : held.holds;
 	// Half of an even part is asked for in any case, so that the first requests of a burst need not wait.
-	const least = limit.limit / limit.carriers / 2;
-	const demand = Math.min(limit.limit, Math.ceil(Math.max(least, use.demand * HEADROOM)));
+	const minDemand = limit.limit / limit.carriers / 2;
+	const demand = Math.min(limit.limit, Math.ceil(Math.max(minDemand, usage.demand * DEMAND_HEADROOM_FACTOR)));
 	return {
-		held: {...held, holds, askedAt: now},
+		held: {...held, holds, requestedAt: now},
 		request: {
-			holds, demand, inUse: use.inUse, limit: limit.limit, carriers: limit.carriers,
+			holds, demand, inUse: usage.inUse, limit: limit.limit, carriers: limit.carriers,
 		},
 	};
 }
 
 /**
-Takes the answer to a question asked at `askedAt`; undefined when there was none.
+Takes the answer to a question asked at `requestedAt`; undefined when there was none.
 */
-export function receive(
+export function applyAnswer(
 	held: HeldShare,
 	share: records.Share | undefined,
-	{askedAt, inUse}: {readonly askedAt: number; readonly inUse: number},
+	{requestedAt, inUse}: {readonly requestedAt: number; readonly inUse: number},
 ): HeldShare {
 	if (share === undefined) {
 		return {...held, isUnanswered: true};
@@ -133,6 +133,6 @@
 		...held,
 		latest: share,
 		holds: inUse <= share.amount ? share.sequence : held.holds,
-		until: askedAt + records.SHARE_LEASE_MILLISECONDS,
+		expiresAt: requestedAt + records.SHARE_LEASE_MILLISECONDS,
 	};
 }
--- a/packages/wagtailroute-host/src/host.ts
+++ b/packages/wagtailroute-host/src/host.ts
@@ -28,16 +28,16 @@
 } from './constants.ts';
 import {getOtherMembers, type HostContext, type HostState} from './context.ts';
 import {startControl} from './control.ts';
-import {startDetecting} from './detecting.ts';
+import {startHostDetection} from './host-detection.ts';
 import {registerDistribution} from './distribution.ts';
-import {startGuarding} from './guarding.ts';
+import {startCrashGuard} from './crash-guard.ts';
 import {createLogs, type Log} from './logs.ts';
 import {createMetrics} from './metrics.ts';
 import {startMembership} from './membership.ts';
 import {createReservedPathHandler} from './reserved-paths.ts';
 import {startServices} from './services.ts';
 import type {HostSettings} from './settings.ts';
-import {startSharing} from './sharing.ts';
+import {startShareLeases} from './share-leases.ts';
 
 /**
 A running host.
@@ -80,9 +80,9 @@
 	const carriers = await registerCarriers(context);
 	const distribution = registerDistribution(context);
 	const announcer = startAnnouncer(context);
-	const detection = startDetecting(context, announcer);
-	const sharing = startSharing(context);
-	const guarding = startGuarding(context);
+	const detection = startHostDetection(context, announcer);
+	const sharing = startShareLeases(context);
+	const guarding = startCrashGuard(context);
 	const services = startServices(context, announcer, {upstreamHealth: detection, sharing});
 	const burnReporter = startBurnReporter(context);
 	const teardown = utils.mergeTeardowns(
--- a/packages/wagtailroute-host/src/lost-hosts.ts
+++ b/packages/wagtailroute-host/src/lost-hosts.ts
@@ -14,25 +14,25 @@
 /**
 A command that a lost host calls for.
 */
-export type LossCommand = Extract<records.Command, {readonly name: 'lose-host' | 'forget-host'}>;
+export type LostHostCommand = Extract<records.Command, {readonly name: 'lose-host' | 'forget-host'}>;
 
 /**
 Finds lost hosts; asked again and again by the leader.
 */
-export type LossWatch = {
-	readonly find: (members: ReadonlyMap<core.HostId, Member>, holders: readonly records.RecordHolder[]) => readonly LossCommand[];
+export type LostHostDetector = {
+	readonly findCommands: (members: ReadonlyMap<core.HostId, Member>, holders: readonly records.RecordHolder[]) => readonly LostHostCommand[];
 };
 
 /**
 Creates the watch. A holder must look lost twice in a row: the news of a restart may come after the first claim of the
 host's new process.
 */
-export function createLossWatch(): LossWatch {
+export function createLostHostDetector(): LostHostDetector {
 	let suspected: ReadonlySet<string> = new Set();
 	let known: ReadonlyMap<core.HostId, Member> = new Map();
 	const forgotten = new Set<core.HostId>();
 	return {
-		find(members, holders) {
+		findCommands(members, holders) {
 			const lost = holders.filter(holder => isLost(members.get(holder.host), holder));
 			const confirmed = lost.filter(holder => suspected.has(getName(holder)));
 			suspected = new Set(lost.map(holder => getName(holder)));
@@ -49,8 +49,8 @@
 
 			known = members;
 			return [
-				...confirmed.map((payload): LossCommand => ({name: 'lose-host', stampedAt: 0, payload})),
-				...new Set(left).values().map((host): LossCommand => ({name: 'forget-host', stampedAt: 0, payload: {host}})),
+				...confirmed.map((payload): LostHostCommand => ({name: 'lose-host', stampedAt: 0, payload})),
+				...new Set(left).values().map((host): LostHostCommand => ({name: 'forget-host', stampedAt: 0, payload: {host}})),
 			];
 		},
 	};
--- a/packages/wagtailroute-host/src/membership.ts
+++ b/packages/wagtailroute-host/src/membership.ts
@@ -6,7 +6,7 @@
 import type * as core from 'wagtailroute-core';
 import * as membership from 'wagtailroute-membership';
 import * as utils from 'wagtailroute-utils';
-import {LEAVE_MILLISECONDS, MEMBERSHIP_TICK_MILLISECONDS} from './constants.ts';
+import {LEAVE_GOSSIP_MILLISECONDS, MEMBERSHIP_TICK_INTERVAL_MILLISECONDS} from './constants.ts';
 import {getSeeds, type HostContext, type Member} from './context.ts';
 import {runMachine} from './events.ts';
 import type {HostRole} from './settings.ts';
@@ -100,7 +100,7 @@
 				machine.send({kind: 'update-self', catalogueRevision: state.view.revision});
 			}
 		}),
-		context.repeat(MEMBERSHIP_TICK_MILLISECONDS, () => {
+		context.repeat(MEMBERSHIP_TICK_INTERVAL_MILLISECONDS, () => {
 			machine.send({kind: 'tick'});
 		}),
 	);
@@ -114,7 +114,7 @@
 		async leave() {
 			machine.send({kind: 'leave'});
 			// The news travels with the messages of the next ticks.
-			await timers.setTimeout(LEAVE_MILLISECONDS);
+			await timers.setTimeout(LEAVE_GOSSIP_MILLISECONDS);
 			teardown();
 			machine.stop();
 		},
--- a/packages/wagtailroute-host/src/message-shapes.ts
+++ b/packages/wagtailroute-host/src/message-schemas.ts
@@ -6,12 +6,12 @@
 import * as net from 'node:net';
 import * as z from 'zod';
 
-const MAXIMUM_PORT = 65_535;
+const MAX_PORT = 65_535;
 
 /**
 Far above any count that is reached, and far below where adding one no longer changes a number.
 */
-const MAXIMUM_COUNT = 2 ** 48;
+const MAX_COUNT = 2 ** 48;
 
 /**
 Names of hosts, services and upstreams. Longer than any that is accepted elsewhere.
@@ -26,7 +26,7 @@
 /**
 A whole number from 0: revisions, terms, indexes, versions.
 */
-export const count = z.int().min(0).max(MAXIMUM_COUNT);
+export const count = z.int().min(0).max(MAX_COUNT);
 
 /**
 Any finite number.
@@ -39,7 +39,7 @@
 */
 export const address = z.object({
 	ip: z.string().refine(ip => net.isIP(ip) > 0),
-	port: z.int().min(0).max(MAXIMUM_PORT),
+	port: z.int().min(0).max(MAX_PORT),
 });
 
 const ADDRESS_PATTERN = /^(?:\[(?<v6>[^\]]+)\]|(?<v4>[^:]+)):(?<port>\d{1,5})$/v;
@@ -49,7 +49,7 @@
 */
 export const addressText = z.string().refine(given => {
 	const groups = ADDRESS_PATTERN.exec(given)?.groups;
-	return groups !== undefined && net.isIP(groups.v6 ?? groups.v4 ?? '') > 0 && Number(groups.port) <= MAXIMUM_PORT;
+	return groups !== undefined && net.isIP(groups.v6 ?? groups.v4 ?? '') > 0 && Number(groups.port) <= MAX_PORT;
 });
 
 /**
--- a/packages/wagtailroute-host/src/method-shapes.ts
+++ b/packages/wagtailroute-host/src/method-schemas.ts
@@ -3,8 +3,8 @@
 */
 import * as report from 'wagtailroute-report';
 import * as z from 'zod';
-import {COMMANDS, delta} from './command-shapes.ts';
-import {groupMessage} from './group-shapes.ts';
+import {COMMAND_SCHEMAS, delta} from './command-schemas.ts';
+import {groupMessage} from './group-schemas.ts';
 import {
 	address,
 	addressText,
@@ -13,7 +13,7 @@
 	name,
 	text,
 	versions,
-} from './message-shapes.ts';
+} from './message-schemas.ts';
 
 const host = z.object({host: name});
 const service = z.object({service: name});
@@ -53,7 +53,7 @@
 /**
 Parameters by method. A method without a shape can't be registered.
 */
-export const METHOD_SHAPES: ReadonlyMap<string, z.ZodType> = new Map<string, z.ZodType>([
+export const METHOD_SCHEMAS: ReadonlyMap<string, z.ZodType> = new Map<string, z.ZodType>([
 	['announcements.message', z.object({from: name, message: carrierMessage})],
 	['announcements.tell', z.object({
 		service: name, id: name, announcement: announcement.optional(), isForwarded: z.boolean(),
@@ -64,8 +64,8 @@
 	['catalogue.revision', z.object({revision: count, address})],
 	['control.message', groupMessage],
 	['control.propose', z.discriminatedUnion('group', [
-		z.object({group: z.literal('catalogue'), command: COMMANDS.catalogue}),
-		z.object({group: z.literal('records'), command: COMMANDS.records}),
+		z.object({group: z.literal('catalogue'), command: COMMAND_SCHEMAS.catalogue}),
+		z.object({group: z.literal('records'), command: COMMAND_SCHEMAS.records}),
 	])],
 	['detection.summary', z.object({
 		host: name, failureDomain: name, epoch: amount, told: z.array(z.tuple([name, amount, text])),
@@ -99,7 +99,7 @@
 /**
 Answers by method. Most are awaited where nobody handles a rejection, so a malformed one would end the host that asked.
 */
-export const ANSWER_SHAPES: ReadonlyMap<string, z.ZodType> = new Map<string, z.ZodType>([
+export const ANSWER_SCHEMAS: ReadonlyMap<string, z.ZodType> = new Map<string, z.ZodType>([
 	['catalogue.delta', delta],
 	['announcements.tell', z.object({failure: z.object({kind: announcingFailure, message: text}).optional()})],
 	['catalogue.history', z.array(z.looseObject({}))],
@@ -155,7 +155,7 @@
 /**
 Parameters of datagrams by method.
 */
-export const DATAGRAM_SHAPES: ReadonlyMap<string, z.ZodType> = new Map<string, z.ZodType>([
+export const DATAGRAM_SCHEMAS: ReadonlyMap<string, z.ZodType> = new Map<string, z.ZodType>([
 	['membership', z.discriminatedUnion('kind', [
 		z.object({
 			...common, kind: z.literal('ping'), target: name, sequence: count,
--- a/packages/wagtailroute-host/src/proposals.ts
+++ b/packages/wagtailroute-host/src/proposals.ts
@@ -10,7 +10,7 @@
 import * as peer from 'wagtailroute-peer';
 import * as results from 'ts-results-es';
 import * as utils from 'wagtailroute-utils';
-import {CONTROL_RETRY_MILLISECONDS} from './constants.ts';
+import {CONTROL_RETRY_DELAY_MILLISECONDS} from './constants.ts';
 import {findPeerAddress, getOtherMembers, type HostContext} from './context.ts';
 
 /**
@@ -46,27 +46,27 @@
 ): Promise<results.Result<unknown, ProposalFailure>> {
 	const deadlineAt = context.now() + options.timeoutMilliseconds;
 	let isPossiblyTaken = false;
-	let hint: core.HostId | undefined;
+	let leaderHint: core.HostId | undefined;
 	while (context.now() < deadlineAt) {
-		const address = chooseControlHost(context, hint);
-		hint = undefined;
+		const address = chooseControlHost(context, leaderHint);
+		leaderHint = undefined;
 		if (address !== undefined) {
 			// eslint-disable-next-line no-await-in-loop -- One control host after the other.
-			const answer = await askControlHost(context, address, {group, command, milliseconds: deadlineAt - context.now()});
+			const answer = await callControlHost(context, address, {group, command, milliseconds: deadlineAt - context.now()});
 			if (answer.kind === 'applied') {
 				return results.Ok(answer.value);
 			}
 
-			hint = answer.kind === 'not-leader' ? answer.leader : undefined;
+			leaderHint = answer.kind === 'not-leader' ? answer.leader : undefined;
 			isPossiblyTaken ||= answer.kind === 'failed' && answer.isPossiblyTaken;
 			if (isPossiblyTaken && !options.isRepeatable) {
 				break;
 			}
 		}
 
-		if (hint === undefined) {
+		if (leaderHint === undefined) {
 			// eslint-disable-next-line no-await-in-loop -- An election takes its time.
-			await timers.setTimeout(CONTROL_RETRY_MILLISECONDS);
+			await timers.setTimeout(CONTROL_RETRY_DELAY_MILLISECONDS);
 		}
 	}
 
@@ -77,9 +77,9 @@
 /**
 Returns the address of a control host: the hinted one, else any.
 */
-export function chooseControlHost(context: HostContext, hint?: core.HostId): core.Address | undefined {
+export function chooseControlHost(context: HostContext, leaderHint?: core.HostId): core.Address | undefined {
 	const {settings} = context;
-	const hinted = hint === undefined ? undefined : findPeerAddress(context, hint);
+	const hinted = leaderHint === undefined ? undefined : findPeerAddress(context, leaderHint);
 	if (hinted !== undefined) {
 		return hinted;
 	}
@@ -94,12 +94,12 @@
 	return candidates[utils.pickIndex(context.random, candidates.length)];
 }
 
-async function askControlHost(
+async function callControlHost(
 	context: HostContext,
 	address: core.Address,
-	question: {readonly group: GroupName; readonly command: unknown; readonly milliseconds: number},
+	request: {readonly group: GroupName; readonly command: unknown; readonly milliseconds: number},
 ): Promise<ProposalAnswer> {
-	const {group, command, milliseconds} = question;
+	const {group, command, milliseconds} = request;
 	const answer = await context.peer.call(address, 'control.propose', {group, command}, Math.max(1, milliseconds));
 	return answer.isOk()
 		? answer.value as ProposalAnswer
--- a/packages/wagtailroute-host/src/quarantine-news.ts
+++ b/packages/wagtailroute-host/src/quarantine-updates.ts
@@ -9,7 +9,7 @@
 /**
 What a host must know of one fingerprint.
 */
-export type SuspectNews = {
+export type SuspectStatus = {
 	readonly fingerprint: string;
 	readonly standing: records.QuarantineStatus;
 	/**
@@ -21,7 +21,7 @@
 /**
 One change, as it is pushed.
 */
-export type SuspectChange = SuspectNews & {
+export type SuspectChange = SuspectStatus & {
 	readonly service: core.ServiceName;
 	readonly version: number;
 };
@@ -29,16 +29,16 @@
 /**
 The versions that a host knows, by service.
 */
-export type SuspectQuestion = {readonly versions: Readonly<Record<core.ServiceName, number>>};
+export type SuspectsRequest = {readonly versions: Readonly<Record<core.ServiceName, number>>};
 
 /**
 All suspects of the services whose version is newer.
 */
-export type SuspectAnswer = {
+export type SuspectsAnswer = {
 	readonly services: ReadonlyArray<{
 		readonly service: core.ServiceName;
 		readonly version: number;
-		readonly suspects: readonly SuspectNews[];
+		readonly suspects: readonly SuspectStatus[];
 	}>;
 };
 
@@ -46,12 +46,12 @@
 Names of the methods.
 */
 export const SUSPECT_CHANGE_METHOD = 'quarantine.changed';
-export const SUSPECT_QUESTION_METHOD = 'quarantine.list';
+export const SUSPECTS_METHOD = 'quarantine.list';
 
 /**
 Tells the carriers of changes. Called on the leader, when they are committed.
 */
-export function pushSuspects(context: HostContext, tables: records.Records, notices: readonly records.Notice[]): void {
+export function notifySuspectChanges(context: HostContext, tables: records.Records, notices: readonly records.Notice[]): void {
 	for (const notice of notices) {
 		if (notice.kind !== 'fingerprint') {
 			continue;
@@ -72,17 +72,17 @@
 /**
 Answers a host that asks, from what this replica has applied.
 */
-export function listSuspects(tables: records.Records, {versions}: SuspectQuestion): SuspectAnswer {
+export function listSuspects(tables: records.Records, {versions}: SuspectsRequest): SuspectsAnswer {
 	const services = Object.entries(versions).flatMap(([service, version]) => {
 		const quarantine = tables.getService(service)?.quarantine;
 		return quarantine === undefined || quarantine.version <= version
 			? []
-			: [{service, version: quarantine.version, suspects: describe(quarantine, tables.getGroupTime())}];
+			: [{service, version: quarantine.version, suspects: listActiveSuspects(quarantine, tables.getGroupTime())}];
 	});
 	return {services};
 }
 
-function describe(quarantine: records.QuarantineState, time: number): readonly SuspectNews[] {
+function listActiveSuspects(quarantine: records.QuarantineState, time: number): readonly SuspectStatus[] {
 	return quarantine.entries
 		.filter(({standing, until}) => standing !== 'cleared' && until > time)
 		.map(({fingerprint, standing, until}) => ({fingerprint, standing, milliseconds: until - time}));
--- a/packages/wagtailroute-host/src/records-machine.ts
+++ b/packages/wagtailroute-host/src/records-machine.ts
@@ -54,15 +54,15 @@
 		},
 		prepare(command) {
 			const stampedAt = stamp();
-			const opening = getServices(command)
+			const openCommands = listServices(command)
 				.filter(service => machine.getService(service) === undefined)
 				.map((service): records.Command => ({name: 'open-service', stampedAt, payload: {service, origin: {kind: 'new'}}}));
-			return [...opening, {...command, stampedAt}];
+			return [...openCommands, {...command, stampedAt}];
 		},
 	};
 }
 
-function getServices({payload}: records.Command): readonly string[] {
+function listServices({payload}: records.Command): readonly string[] {
 	if ('service' in payload) {
 		return [payload.service];
 	}
--- a/packages/wagtailroute-host/src/service-admission.ts
+++ b/packages/wagtailroute-host/src/service-admission.ts
@@ -9,7 +9,7 @@
 import type * as utils from 'wagtailroute-utils';
 import {ADMISSION_TICK_INTERVAL_MILLISECONDS, MILLISECONDS_PER_SECOND} from './constants.ts';
 import type {HostContext} from './context.ts';
-import type {ServiceUse, Sharing} from './sharing.ts';
+import type {ServiceUsage, ShareLeases} from './share-leases.ts';
 
 /**
 Admission to one service.
@@ -41,7 +41,7 @@
 /**
 Creates the admission of a service.
 */
-export function createServiceAdmission(context: HostContext, entry: catalogue.Entry, sharing: Sharing): ServiceAdmission {
+export function createServiceAdmission(context: HostContext, entry: catalogue.Entry, sharing: ShareLeases): ServiceAdmission {
 	const {now} = context;
 	const waiting = new Map<admission.Ticket, CompleteAdmission>();
 	let capacity = {slots: 0, carriers: 1};
@@ -51,7 +51,7 @@
 	let requestCount = 0;
 	let countedSince = now();
 
-	const getUsage = (): ServiceUse => ({
+	const getUsage = (): ServiceUsage => ({
 		concurrency: {inUse: inFlight, demand: Math.max(peakDemand, inFlight + waiting.size)},
 		ratePerSecond: {inUse: 0, demand: requestCount * MILLISECONDS_PER_SECOND / Math.max(MILLISECONDS_PER_SECOND, now() - countedSince)},
 	});
@@ -69,15 +69,15 @@
 	};
 
 	const shares = sharing.open(entry, {
-		getUse: getUsage,
-		takeUse() {
+		getUsage: getUse: getUsage,
+		collectUsage() {
 			const usage = getUsage();
 			peakDemand = 0;
 			requestCount = 0;
 			countedSince = now();
 			return usage;
 		},
-		getCarriers: () => capacity.carriers,
+		getCarrierCount: () => capacity.carriers,
 		onChange: updateLimits,
 	});
 	let limits = getLimits();
--- a/packages/wagtailroute-host/src/watches.ts
+++ b/packages/wagtailroute-host/src/service-detection.ts
@@ -9,21 +9,21 @@
 import type * as proxy from 'wagtailroute-proxy';
 import type * as selection from 'wagtailroute-selection';
 import type {Announcer} from './announcer.ts';
-import {KNOWN_MILLISECONDS, VIEW_REPORT_MILLISECONDS} from './constants.ts';
+import {ASSUMED_WARM_MILLISECONDS, UPSTREAMS_REPORT_INTERVAL_MILLISECONDS} from './constants.ts';
 import type {HostContext} from './context.ts';
 import type {EjectionLeases} from './ejection-leases.ts';
 import {runMachine} from './events.ts';
-import type {Grants} from './grants.ts';
+import type {EjectionRequests} from './ejection-requests.ts';
 
 /**
 Detection of one service.
 */
-export type Watch = {
+export type ServiceDetection = {
 	readonly send: (event: detection.Event) => void;
 	/**
 	Takes what another carrier saw.
 	*/
-	readonly takeSummary: (summary: detection.Summary) => void;
+	readonly applySummary: (summary: detection.Summary) => void;
 	/**
 	Takes the service's upstreams anew.
 	*/
@@ -32,9 +32,9 @@
 	Does what is due: a summary and a step of the machine when their quiet periods are over, both earlier when something
 	stands out; a report while upstreams are ejected.
 	*/
-	readonly tick: (time: number, periods: WatchPeriods) => void;
-	readonly begin: (target: proxy.Target) => void;
-	readonly end: (report: proxy.AttemptReport) => void;
+	readonly tick: (time: number, periods: DetectionPeriods) => void;
+	readonly recordStart: (target: proxy.Target) => void;
+	readonly recordEnd: (report: proxy.AttemptReport) => void;
 	readonly getAdmission: (upstream: core.UpstreamId) => selection.EjectionState;
 	readonly isAvoided: (upstream: core.UpstreamId) => boolean;
 	readonly getRampStart: (upstream: core.UpstreamId) => number | undefined;
@@ -44,22 +44,22 @@
 /**
 Milliseconds between the regular work of a watch in quiet times.
 */
-export type WatchPeriods = {
-	readonly summary: number;
-	readonly step: number;
+export type DetectionPeriods = {
+	readonly summaryMilliseconds: number;
+	readonly stepMilliseconds: number;
 };
 
 /**
 What a watch needs.
 */
-export type WatchPlan = {
+export type ServiceDetectionOptions = {
 	readonly entry: catalogue.Entry;
 	/**
 	Differs from that of the host's earlier lives.
 	*/
 	readonly epoch: number;
 	readonly announcing: Announcer;
-	readonly grants: Grants;
+	readonly ejectionRequests: EjectionRequests;
 	readonly leases: EjectionLeases;
 	readonly sendSummary: (summary: detection.Summary) => void;
 	/**
@@ -68,7 +68,7 @@
 	readonly onChange: () => void;
 };
 
-const RESULTS: Readonly<Record<proxy.AttemptEnding, detection.RequestResult>> = {
+const RESULTS_BY_ENDING: Readonly<Record<proxy.AttemptEnding, detection.RequestResult>> = {
 	success: 'success',
 	'server-error': 'status',
 	shed: 'shed',
@@ -82,7 +82,7 @@
 	cancelled: 'cancelled',
 };
 
-const ADMISSIONS: Readonly<Record<detection.Phase['kind'], selection.EjectionState>> = {
+const EJECTION_STATES: Readonly<Record<detection.Phase['kind'], selection.EjectionState>> = {
 	serving: 'in',
 	requested: 'in',
 	ejected: 'ejected',
@@ -93,15 +93,15 @@
 /**
 Starts to watch a service.
 */
-export function startWatch(context: HostContext, plan: WatchPlan): Watch {
+export function startServiceDetection(context: HostContext, options: ServiceDetectionOptions): ServiceDetection {
 	const {settings, now, random} = context;
-	const {announcing, grants, leases, onChange} = plan;
-	const service = plan.entry.name;
+	const {announcing, ejectionRequests, leases, onChange} = options;
+	const service = options.entry.name;
 	const log = context.log('detection');
-	const tickets = new WeakMap<proxy.Target, detection.InFlightRequest>();
+	const requestsInFlight = new WeakMap<proxy.Target, detection.InFlightRequest>();
 	const rampStarts = new Map<core.UpstreamId, number>();
 	const avoidedUntil = new Map<core.UpstreamId, number>();
-	const evidence = detection.createEvidenceCollector({host: settings.hostId, failureDomain: settings.failureDomain, epoch: plan.epoch});
+	const evidence = detection.createEvidenceCollector({host: settings.hostId, failureDomain: settings.failureDomain, epoch: options.epoch});
 	const createdAt = now();
 	let reportedAt = 0;
 	let steppedAt = 0;
@@ -112,7 +112,7 @@
 		log.info('Upstream looks sick.', {
 			service, upstream, symptom: finding.symptom, rate: finding.rate, normal: finding.normalRate, hosts: finding.hosts,
 		});
-		const answer = await grants.requestEjection(service, upstream, finding);
+		const answer = await ejectionRequests.requestEjection(service, upstream, finding);
 		if (answer === 'granted') {
 			leases.poll();
 			return;
@@ -130,12 +130,12 @@
 			return;
 		}
 
-		await grants.endEjection(service, upstream, epoch);
+		await ejectionRequests.endEjection(service, upstream, epoch);
 		leases.poll();
 	};
 
 	const machine = runMachine<detection.DetectionState, detection.Event, detection.Effect>({
-		initial: detection.createDetectionState({host: settings.hostId, operatingPoint: plan.entry.detection}),
+		initial: detection.createDetectionState({host: settings.hostId, operatingPoint: options.entry.detection}),
 		step: detection.stepDetection,
 		circumstances: () => ({now: now(), random}),
 		onDefect: context.fail,
@@ -167,12 +167,12 @@
 	An upstream that appears while its service is already known here has just started, and starts cold. Those that are
 	there when this host begins to know the service are taken for warm.
 	*/
-	const noteRamps = (upstreams: readonly announcements.Upstream[]) => {
+	const updateRampStarts = (upstreams: readonly announcements.Upstream[]) => {
 		const known = machine.read().upstreams;
 		const present = new Set(upstreams.map(upstream => upstream.id));
-		const isSettled = now() - createdAt > KNOWN_MILLISECONDS;
+		const isServiceKnown = now() - createdAt > ASSUMED_WARM_MILLISECONDS;
 		for (const id of present) {
-			if (isSettled && !known.has(id)) {
+			if (isServiceKnown && !known.has(id)) {
 				rampStarts.set(id, now());
 			}
 		}
@@ -188,7 +188,7 @@
 
 	const refresh = () => {
 		const upstreams = announcing.getUpstreams(service);
-		noteRamps(upstreams);
+		updateRampStarts(upstreams);
 		machine.send({
 			kind: 'upstreams-changed',
 			upstreams: upstreams.map(({id, state}) => ({id, state, rampStartedAt: rampStarts.get(id)})),
@@ -201,7 +201,7 @@
 		}
 	};
 
-	const takeSummary = (summary: detection.Summary) => {
+	const applyToMachine = (summary: detection.Summary) => {
 		hasFailures ||= summary.upstreams.some(seen => Object.keys(seen.failures).length > 0);
 		machine.send({kind: 'summary', summary});
 	};
@@ -221,37 +221,37 @@
 	return {
 		send: machine.send,
 		refresh,
-		takeSummary(summary) {
+		applySummary(summary) {
 			evidence.applySummary(summary, now());
-			takeSummary(summary);
+			applyToMachine(summary);
 		},
 		tick(time, periods) {
-			const summary = evidence.collectDueSummary(time, periods.summary);
+			const summary = evidence.collectDueSummary(time, periods.summaryMilliseconds);
 			if (summary !== undefined) {
-				takeSummary(summary);
-				plan.sendSummary(summary);
+				applyToMachine(summary);
+				options.sendSummary(summary);
 			}
 
-			stepWhenDue(time, periods.step);
-			if (!(leases.hasEjections(service) && time - reportedAt >= VIEW_REPORT_MILLISECONDS)) {
+			stepWhenDue(time, periods.stepMilliseconds);
+			if (!(leases.hasEjections(service) && time - reportedAt >= UPSTREAMS_REPORT_INTERVAL_MILLISECONDS)) {
 				return;
 			}
 
 			reportedAt = time;
-			grants.reportView(service);
+			ejectionRequests.reportUpstreams(service);
 		},
-		begin(target) {
-			tickets.set(target, evidence.begin(target.id, now()));
+		recordStart(target) {
+			requestsInFlight.set(target, evidence.begin(target.id, now()));
 		},
-		end(report) {
-			const ticket = tickets.get(report.target);
+		recordEnd(report) {
+			const ticket = requestsInFlight.get(report.target);
 			if (ticket !== undefined) {
-				evidence.end(ticket, RESULTS[report.ending], now());
+				evidence.end(ticket, RESULTS_BY_ENDING[report.ending], now());
 			}
 		},
 		getAdmission(upstream) {
 			const phase = getPhase(upstream);
-			return phase === undefined ? 'in' : ADMISSIONS[phase];
+			return phase === undefined ? 'in' : EJECTION_STATES[phase];
 		},
 		isAvoided: upstream => (avoidedUntil.get(upstream) ?? 0) > now(),
 		getRampStart: upstream => rampStarts.get(upstream),
--- a/packages/wagtailroute-host/src/services.ts
+++ b/packages/wagtailroute-host/src/services.ts
@@ -15,7 +15,7 @@
 import type {HostContext} from './context.ts';
 import {createForwardingPort} from './forwarding-port.ts';
 import {createRetryPort} from './retry-port.ts';
-import type {Sharing} from './sharing.ts';
+import type {ShareLeases} from './share-leases.ts';
 
 /**
 The services of a host.
@@ -59,7 +59,7 @@
 export function startServices(
 	context: HostContext,
 	announcer: Announcer,
-	{upstreamHealth, sharing}: {readonly upstreamHealth: UpstreamHealth; readonly sharing: Sharing},
+	{upstreamHealth, sharing}: {readonly upstreamHealth: UpstreamHealth; readonly sharing: ShareLeases},
 ): Services {
 	const carried = new Map<core.ServiceName, CarriedService>();
 	const forwarded = new Map<core.ServiceName, proxy.ServicePort>();
@@ -146,7 +146,7 @@
 	{announcer, upstreamHealth, sharing}: {
 		readonly announcer: Announcer;
 		readonly upstreamHealth: UpstreamHealth;
-		readonly sharing: Sharing;
+		readonly sharing: ShareLeases;
 	},
 ): CarriedService {
 	const {settings, now, random} = context;
--- a/packages/wagtailroute-host/src/sharing.ts
+++ b/packages/wagtailroute-host/src/share-leases.ts
@@ -1,12 +1,12 @@
 /**
-Shares of the fleet-wide limits on this host: leased from the records for all services in one question, a few times a
+Shares of the fleet-wide limits on this host: leased from the records for all services in one renewal, a few times a
 second at most, so that the hosts together never exceed a limit.
 */
 import type * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
 import type * as records from 'wagtailroute-records';
 import type * as utils from 'wagtailroute-utils';
-import {SHARE_CALL_MILLISECONDS, SHARE_TICK_MILLISECONDS} from './constants.ts';
+import {SHARE_RENEWAL_TIMEOUT_MILLISECONDS, SHARE_TICK_INTERVAL_MILLISECONDS} from './constants.ts';
 import type {HostContext} from './context.ts';
 import * as heldShares from './held-shares.ts';
 import {proposeCommand} from './proposals.ts';
@@ -14,7 +14,7 @@
 /**
 What a service has in use and could use.
 */
-export type ServiceUse = Readonly<Record<records.LimitName, heldShares.ShareUse>>;
+export type ServiceUsage = Readonly<Record<records.LimitName, heldShares.ShareUsage>>;
 
 /**
 The shares of one service.
@@ -25,7 +25,7 @@
 	*/
 	readonly getAmounts: () => {readonly concurrency: number; readonly ratePerSecond?: number};
 	/**
-	Resolves when the first question is answered or has failed.
+	Resolves when the first renewal is answered or has failed.
 	*/
 	readonly ready: Promise<void>;
 	readonly isReady: () => boolean;
@@ -35,21 +35,21 @@
 /**
 The shares of a host.
 */
-export type Sharing = {
-	readonly open: (entry: catalogue.Entry, plan: SharePlan) => ServiceShares;
+export type ShareLeases = {
+	readonly open: (entry: catalogue.Entry, options: ServiceSharesOptions) => ServiceShares;
 	readonly teardown: utils.Teardown;
 };
 
 /**
 What the shares of a service follow.
 */
-export type SharePlan = {
+export type ServiceSharesOptions = {
 	/**
-	Returns the use since the last question; called once for each question.
+	Returns the use since the last renewal; called once for each renewal.
 	*/
-	readonly takeUse: () => ServiceUse;
-	readonly getUse: () => ServiceUse;
-	readonly getCarriers: () => number;
+	readonly collectUsage: () => ServiceUsage;
+	readonly getUsage: () => ServiceUsage;
+	readonly getCarrierCount: () => number;
 	/**
 	Told when what may be used has changed, also when a lease has ended.
 	*/
@@ -58,13 +58,13 @@
 
 type OpenService = {
 	readonly entry: catalogue.Entry;
-	readonly plan: SharePlan;
+	readonly options: ServiceSharesOptions;
 	readonly held: Map<records.LimitName, heldShares.HeldShare>;
-	readonly becomeReady: () => void;
+	readonly markReady: () => void;
 	readonly isReady: () => boolean;
 };
 
-type Question = {
+type ShareRenewal = {
 	readonly service: OpenService;
 	readonly limitName: records.LimitName;
 	readonly request: records.CommandPayloads['renew-shares']['requests'][number];
@@ -75,64 +75,64 @@
 /**
 Starts the part.
 */
-export function startSharing(context: HostContext, propose: typeof proposeCommand = proposeCommand): Sharing {
+export function startShareLeases(context: HostContext, propose: typeof proposeCommand = proposeCommand): ShareLeases {
 	const {now, settings} = context;
 	const open = new Set<OpenService>();
-	let isAsking = false;
+	let isRenewing = false;
 
-	const collect = (): readonly Question[] => [...open].flatMap(service => {
-		const isAsked = getLimits(service).some(limit =>
-			heldShares.isDue(service.held.get(limit.limitName)!, limit, {use: service.plan.getUse()[limit.limitName], now: now()}));
-		return isAsked ? createQuestions(service, settings.hostId, now()) : [];
+	const listDueRenewals = (): readonly ShareRenewal[] => [...open].flatMap(service => {
+		const isDue = getLimits(service).some(limit =>
+			heldShares.isDue(service.held.get(limit.limitName)!, limit, {usage: service.options.getUsage()[limit.limitName], now: now()}));
+		return isDue ? createRenewals(service, settings.hostId, now()) : [];
 	});
 
-	const askAll = async () => {
-		const questions = isAsking ? [] : collect();
-		if (questions.length === 0) {
+	const renewDue = async () => {
+		const renewals = isRenewing ? [] : listDueRenewals();
+		if (renewals.length === 0) {
 			return;
 		}
 
-		isAsking = true;
-		const askedAt = now();
-		const payload: records.CommandPayloads['renew-shares'] = {requests: questions.map(({request}) => request)};
-		// A question that was asked twice has two answers, of which the later one is used: nothing is exceeded.
+		isRenewing = true;
+		const requestedAt = now();
+		const payload: records.CommandPayloads['renew-shares'] = {requests: renewals.map(({request}) => request)};
+		// A renewal that was asked twice has two answers, of which the later one is used: nothing is exceeded.
 		const proposed = await propose(context, 'records', {name: 'renew-shares', stampedAt: 0, payload}, {
-			timeoutMilliseconds: SHARE_CALL_MILLISECONDS,
+			timeoutMilliseconds: SHARE_RENEWAL_TIMEOUT_MILLISECONDS,
 			isRepeatable: true,
 		});
-		isAsking = false;
+		isRenewing = false;
 		const shares = proposed.isOk() ? (proposed.value as records.CommandResults['renew-shares']).shares : [];
-		for (const [index, question] of questions.entries()) {
-			take(question, shares[index], askedAt);
+		for (const [index, renewal] of renewals.entries()) {
+			applyRenewal(renewal, shares[index], requestedAt);
 		}
 
-		for (const service of new Set(questions.map(question => question.service))) {
-			service.becomeReady();
-			service.plan.onChange();
+		for (const service of new Set(renewals.map(renewal => renewal.service))) {
+			service.markReady();
+			service.options.onChange();
 		}
 
 		// A service that was opened meanwhile has requests that wait for its first share.
 		if (open.values().some(service => !service.isReady())) {
-			void askAll();
+			void renewDue();
 		}
 	};
 
-	const stop = context.repeat(SHARE_TICK_MILLISECONDS, () => {
-		void askAll();
-		for (const {plan} of open) {
-			plan.onChange();
+	const stop = context.repeat(SHARE_TICK_INTERVAL_MILLISECONDS, () => {
+		void renewDue();
+		for (const {options} of open) {
+			options.onChange();
 		}
 	});
 
 	return {
-		open(entry, plan) {
+		open(entry, options) {
 			const first = Promise.withResolvers<void>();
 			let isReady = false;
 			const service: OpenService = {
 				entry,
-				plan,
+				options,
 				held: new Map(LIMIT_NAMES.map(limitName => [limitName, heldShares.NO_SHARE])),
-				becomeReady() {
+				markReady() {
 					isReady = true;
 					first.resolve();
 				},
@@ -140,7 +140,7 @@
 			};
 			open.add(service);
 			context.schedule(0, () => {
-				void askAll();
+				void renewDue();
 			});
 			return {
 				getAmounts: () => getAmounts(service, now()),
@@ -156,36 +156,36 @@
 	};
 }
 
-function getLimits({entry, plan}: OpenService): readonly heldShares.SharedLimit[] {
-	const carriers = plan.getCarriers();
+function getLimits({entry, options}: OpenService): readonly heldShares.SharedLimit[] {
+	const carriers = options.getCarrierCount();
 	return LIMIT_NAMES.flatMap(limitName => {
 		const limit = entry.limits[limitName];
 		return limit === undefined ? [] : [{limitName, limit, carriers}];
 	});
 }
 
-function createQuestions(service: OpenService, host: core.HostId, now: number): readonly Question[] {
-	const use = service.plan.takeUse();
+function createRenewals(service: OpenService, host: core.HostId, now: number): readonly ShareRenewal[] {
+	const usage = service.options.collectUsage();
 	return getLimits(service).map(limit => {
 		const {limitName} = limit;
-		const asked = heldShares.ask(service.held.get(limitName)!, limit, {use: use[limitName], now});
-		service.held.set(limitName, asked.held);
+		const created = heldShares.createRequest(service.held.get(limitName)!, limit, {usage: usage[limitName], now});
+		service.held.set(limitName, created.held);
 		return {
 			service, limitName, request: {
-				service: service.entry.name, limitName, host, ...asked.request,
+				service: service.entry.name, limitName, host, ...created.request,
 			},
 		};
 	});
 }
 
-function take(
-	{service, limitName}: Question,
+function applyRenewal(
+	{service, limitName}: ShareRenewal,
 	answer: records.Share | {readonly kind: 'not-held'} | undefined,
-	askedAt: number,
+	requestedAt: number,
 ): void {
 	const share = answer === undefined || 'kind' in answer ? undefined : answer;
-	const {inUse} = service.plan.getUse()[limitName];
-	service.held.set(limitName, heldShares.receive(service.held.get(limitName)!, share, {askedAt, inUse}));
+	const {inUse} = service.options.getUsage()[limitName];
+	service.held.set(limitName, heldShares.applyAnswer(service.held.get(limitName)!, share, {requestedAt, inUse}));
 }
 
 function getAmounts(service: OpenService, now: number): ReturnType<ServiceShares['getAmounts']> {
--- a/packages/wagtailroute-host/src/detection-mail.ts
+++ b/packages/wagtailroute-host/src/summary-exchange.ts
@@ -11,67 +11,67 @@
 /**
 The mail of a host.
 */
-export type DetectionMail = {
+export type SummaryExchange = {
 	/**
 	Keeps a summary for the other carriers of the service, until `flush`.
 	*/
-	readonly add: (service: core.ServiceName, summary: detection.Summary) => void;
+	readonly queue: (service: core.ServiceName, summary: detection.Summary) => void;
 	readonly flush: () => void;
 	readonly teardown: utils.Teardown;
 };
 
-type Letter = {
+type SummaryMessage = {
 	readonly host: core.HostId;
 	readonly failureDomain: core.FailureDomain;
 	readonly epoch: number;
 	readonly told: ReadonlyArray<readonly [service: core.ServiceName, sequence: number, upstreams: string]>;
 };
 
-const METHOD = 'detection.summary';
+const SUMMARY_METHOD = 'detection.summary';
 
 /**
 Starts the mail. Its method: `detection.summary` between carriers.
 */
-export function startDetectionMail(context: HostContext, announcing: Announcer, {epoch, onSummary}: {
+export function startSummaryExchange(context: HostContext, announcing: Announcer, {epoch, onSummary}: {
 	readonly epoch: number;
 	readonly onSummary: (service: core.ServiceName, summary: detection.Summary) => void;
-}): DetectionMail {
+}): SummaryExchange {
 	const {settings, peer, store} = context;
-	const waiting = new Map<core.HostId, Array<Letter['told'][number]>>();
+	const pending = new Map<core.HostId, Array<SummaryMessage['told'][number]>>();
 
-	const read = ({host, failureDomain, epoch: theirs, told}: Letter) => {
+	const receive = ({host, failureDomain, epoch: senderEpoch, told}: SummaryMessage) => {
 		for (const [service, sequence, text] of told) {
-			const upstreams = detection.decodeUpstreamSummaries(text, announcing.getUpstreams(service).map(({id}) => id), theirs);
+			const upstreams = detection.decodeUpstreamSummaries(text, announcing.getUpstreams(service).map(({id}) => id), senderEpoch);
 			if (upstreams !== undefined) {
 				onSummary(service, {
-					host, failureDomain, epoch: theirs, sequence, upstreams,
+					host, failureDomain, epoch: senderEpoch, sequence, upstreams,
 				});
 			}
 		}
 	};
 
 	return {
-		add(service, {sequence, upstreams}) {
+		queue(service, {sequence, upstreams}) {
 			const told = [service, sequence, detection.encodeUpstreamSummaries(upstreams, epoch)] as const;
 			const carriers = store.read(state => state.carriers.get(service) ?? []);
 			const others = carriers.filter(id => id !== settings.hostId);
 			for (const carrier of others) {
-				waiting.set(carrier, [...waiting.get(carrier) ?? [], told]);
+				pending.set(carrier, [...pending.get(carrier) ?? [], told]);
 			}
 		},
 		flush() {
-			for (const [carrier, told] of waiting) {
+			for (const [carrier, told] of pending) {
 				const address = findPeerAddress(context, carrier);
-				const letter: Letter = {
+				const message: SummaryMessage = {
 					host: settings.hostId, failureDomain: settings.failureDomain, epoch, told,
 				};
 				if (address !== undefined) {
-					peer.notify(address, METHOD, letter);
+					peer.notify(address, SUMMARY_METHOD, message);
 				}
 			}
 
-			waiting.clear();
+			pending.clear();
 		},
-		teardown: peer.registerMethod(METHOD, read),
+		teardown: peer.registerMethod(SUMMARY_METHOD, receive),
 	};
 }
--- a/scripts/capacity/carrier-roles.ts
+++ b/scripts/capacity/carrier-roles.ts
@@ -91,13 +91,13 @@
 }
 
 function describeSummaries(facts: Facts): RoleLine {
-	const rate = hostTimes.SUMMARIES_PER_SECOND * (CARRIERS - 1);
+	const rate = hostTimes.DETECTION_SUMMARIES_PER_SECOND * (CARRIERS - 1);
 	const bytes = at(fit(facts.detection, 'upstreams', 'summaryBytes'), UPSTREAMS_PER_SERVICE);
 	const taken = at(fit(facts.detection, 'upstreams', 'summaryMicroseconds'), UPSTREAMS_PER_SERVICE);
 	const message = bytes === undefined ? {} : getCost(facts, 'notification', bytes);
 	return {
 		what: SUMMARIES,
-		mechanism: `detection \`evidence.ts\`, host \`watches.ts\` (${hostTimes.SUMMARIES_PER_SECOND} summaries a second to ${CARRIERS - 1} hosts)`,
+		mechanism: `detection \`evidence.ts\`, host \`service-detection.ts\` (${hostTimes.DETECTION_SUMMARIES_PER_SECOND} summaries a second to ${CARRIERS - 1} hosts)`,
 		state: 'evidence since the last summary',
 		perSecond: rate,
 		cost: {
@@ -113,10 +113,10 @@
 	const step = at(fit(facts.detection, 'upstreams', 'tickMicroseconds'), UPSTREAMS_PER_SERVICE);
 	return {
 		what: 'weighs the evidence',
-		mechanism: `detection, host \`detecting.ts\` (${hostTimes.STEPS_PER_SECOND} steps a second over all services)`,
+		mechanism: `detection, host \`host-detection.ts\` (${hostTimes.DETECTION_STEPS_PER_SECOND} steps a second over all services)`,
 		state: 'windows of each upstream',
 		perSecond: 0,
-		cost: {bytes: 0, microseconds: multiply(hostTimes.STEPS_PER_SECOND, step)},
+		cost: {bytes: 0, microseconds: multiply(hostTimes.DETECTION_STEPS_PER_SECOND, step)},
 		memoryBytes: multiply(SERVICES_PER_HOST, at(fit(facts.detection, 'upstreams', 'heapBytes'), UPSTREAMS_PER_SERVICE)),
 		isControl: true,
 	};
@@ -127,7 +127,7 @@
 	const bytes = at(fit(facts.shares, 'services', 'commandBytes'), SERVICES_PER_HOST);
 	return {
 		what: 'renews its shares of the limits',
-		mechanism: `host \`sharing.ts\` (every ${SHARE_SECONDS.toFixed(1)} s while used; up to every 0.25 s while short, not counted)`,
+		mechanism: `host \`share-leases.ts\` (every ${SHARE_SECONDS.toFixed(1)} s while used; up to every 0.25 s while short, not counted)`,
 		state: 'one share for each limit',
 		perSecond: rate,
 		cost: bytes === undefined ? {} : times(rate, getCost(facts, 'call', bytes)),
--- a/scripts/capacity/control-roles.ts
+++ b/scripts/capacity/control-roles.ts
@@ -34,8 +34,8 @@
 Renewals of shares and readings of the ejection tables of the whole fleet a second.
 */
 export const FLEET_RENEWALS = SIZE.hosts / SHARE_SECONDS;
-export const FLEET_POLLS = SIZE.hosts * SECOND / hostTimes.EJECTION_POLL_MILLISECONDS;
-const FLEET_SUSPECT_POLLS = SIZE.hosts * SECOND / hostTimes.SUSPECT_POLL_MILLISECONDS;
+export const FLEET_POLLS = SIZE.hosts * SECOND / hostTimes.EJECTION_POLL_INTERVAL_MILLISECONDS;
+const FLEET_SUSPECT_POLLS = SIZE.hosts * SECOND / hostTimes.SUSPECT_POLL_INTERVAL_MILLISECONDS;
 
 /**
 One end of a message: half of what both ends cost.
@@ -123,7 +123,7 @@
 		},
 		{
 			what: 'names the leader to those who ask it first',
-			mechanism: 'host `proposals.ts`, `ejection-leases.ts`, `guarding.ts`',
+			mechanism: 'host `proposals.ts`, `ejection-leases.ts`, `crash-guard.ts`',
 			state: 'none',
 			perSecond: redirects + (FLEET_SUSPECT_POLLS / SIZE.controlHosts),
 			cost: times(ONE_END, add(
--- a/scripts/capacity/entry-roles.ts
+++ b/scripts/capacity/entry-roles.ts
@@ -69,11 +69,11 @@
 		},
 		describePoll(facts, {
 			what: 'reads the ejection tables', mechanism: 'host `ejection-leases.ts`',
-			milliseconds: hostTimes.EJECTION_POLL_MILLISECONDS, calls: CALLS_TO_LEADER,
+			milliseconds: hostTimes.EJECTION_POLL_INTERVAL_MILLISECONDS, calls: CALLS_TO_LEADER,
 		}),
 		describePoll(facts, {
-			what: 'asks for suspect requests', mechanism: 'host `guarding.ts`',
-			milliseconds: hostTimes.SUSPECT_POLL_MILLISECONDS, calls: 1,
+			what: 'asks for suspect requests', mechanism: 'host `crash-guard.ts`',
+			milliseconds: hostTimes.SUSPECT_POLL_INTERVAL_MILLISECONDS, calls: 1,
 		}),
 	];
 }
--- a/scripts/capacity/records-page.ts
+++ b/scripts/capacity/records-page.ts
@@ -74,8 +74,8 @@
 		]),
 		[
 			`Shares are renewed every ${(records.SHARE_LEASE_MILLISECONDS / 3 / SECOND).toFixed(1)} s,`,
-			`ejection tables read every ${hostTimes.EJECTION_POLL_MILLISECONDS / SECOND} s,`,
-			`suspect requests asked for every ${hostTimes.SUSPECT_POLL_MILLISECONDS / SECOND} s by each host;`,
+			`ejection tables read every ${hostTimes.EJECTION_POLL_INTERVAL_MILLISECONDS / SECOND} s,`,
+			`suspect requests asked for every ${hostTimes.SUSPECT_POLL_INTERVAL_MILLISECONDS / SECOND} s by each host;`,
 			'tables and suspects hardly ever change, the questions are asked all the same.\n',
 		].join(' '),
 	].join('\n');
--- a/scripts/capacity/records-roles.ts
+++ b/scripts/capacity/records-roles.ts
@@ -43,7 +43,7 @@
 	return [
 		{
 			what: 'renewals of shares',
-			mechanism: 'host `sharing.ts`, records `shares.ts`, replication; each command alone, messages in batches (at least)',
+			mechanism: 'host `share-leases.ts`, records `shares.ts`, replication; each command alone, messages in batches (at least)',
 			state: `${SIZE.services} limits`,
 			perSecond: FLEET_RENEWALS,
 			cost: add(
