--- a/packages/wagtailroute-host/src/crash-guard.ts
+++ b/packages/wagtailroute-host/src/crash-guard.ts
@@ -114,7 +114,7 @@
 
 		const answer = await peer.call(address, SUSPECTS_METHOD, {versions} satisfies SuspectsRequest, CALL_TIMEOUT_MILLISECONDS);
 		if (answer.isOk()) {
-			suspects.applyAnswer(answer.value as SuspectsAnswer, now());
+			suspects.replaceSuspects(answer.value as SuspectsAnswer, now());
 		}
 	};
 
--- a/packages/wagtailroute-host/src/suspects.ts
+++ b/packages/wagtailroute-host/src/suspects.ts
@@ -22,7 +22,7 @@
 	*/
 	readonly clear: (service: core.ServiceName, fingerprint: string) => void;
 	readonly applyChange: (change: SuspectChange, now: number) => void;
-	readonly applyAnswer: (answer: SuspectsAnswer, now: number) => void;
+	readonly replaceSuspects: (answer: SuspectsAnswer, now: number) => void;
 	/**
 	Versions of the services that this host has served.
 	*/
@@ -103,7 +103,7 @@
 				tracked.entries.set(fingerprint, {standing, until: now + milliseconds});
 			}
 		},
-		applyAnswer(answer, now) {
+		replaceSuspects(answer, now) {
 			for (const {service, version, suspects} of answer.services) {
 				const tracked = open(service);
 				if (version <= tracked.version) {
