--- a/packages/wagtailroute-host/src/service-admission.ts
+++ b/packages/wagtailroute-host/src/service-admission.ts
@@ -69,7 +69,7 @@
 	};
 
 	const shares = sharing.open(entry, {
-		getUsage: getUse: getUsage,
+		getUsage,
 		collectUsage() {
 			const usage = getUsage();
 			peakDemand = 0;
