--- a/packages/wagtailroute-host/src/__tests__/unit/burn.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/burn.test.ts
@@ -1,5 +1,5 @@
 /**
-Counts of hosts that stop, die and come back, over a fake network of a few hosts.
+Tests of the counts of hosts that stop, die and restart, over a fake network of a few hosts.
 */
 import test from 'ava';
 import * as results from 'ts-results-es';
@@ -12,7 +12,7 @@
 const MINUTE = 60_000;
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f'] as const;
 const ENTRY = {name: 'archive', owner: 'owner', objective: {availability: 0.999, latencyMilliseconds: 100, windowDays: 28}};
-const NOTE: proxy.RequestReport = {
+const REQUEST_REPORT: proxy.RequestReport = {
 	service: ENTRY.name,
 	outcome: 'ran',
 	status: 200,
@@ -35,13 +35,13 @@
 	readonly methods: Map<string, Method>;
 	readonly boot: string;
 	/**
-	The time of the fleet at which the process started: its own clock starts at 0 there.
+	Time of the fleet at which the process started; its own clock is 0 then.
 	*/
 	readonly startedAt: number;
 };
 
 /**
-Hosts in one process. Each has a clock of its own, calls are answered at once, and a host that is down or cut gives no answer.
+Hosts in one process. Each has its own clock; calls are answered at once, or not at all by a host that is down or cut off.
 */
 class FakeFleet {
 	now = 0;
@@ -91,19 +91,19 @@
 
 	serve(name: Name, requests: number): void {
 		for (let request = 0; request < requests; request++) {
-			this.hosts.get(name)!.burn.recordRequest(NOTE);
+			this.hosts.get(name)!.burn.recordRequest(REQUEST_REPORT);
 		}
 	}
 
 	/**
-	Lets minutes go by, with the ticks of every host.
+	Advances time by minutes, with the ticks of every host.
 	*/
 	async pass(minutes: number): Promise<void> {
 		for (let minute = 0; minute < minutes; minute++) {
 			this.now += MINUTE;
 			for (const host of this.hosts.values()) {
 				host.tick();
-				// eslint-disable-next-line no-await-in-loop -- Everything is answered within a few turns.
+				// eslint-disable-next-line no-await-in-loop -- All calls are answered within a few turns of the event loop.
 				await settle();
 			}
 		}
@@ -177,7 +177,7 @@
 	return fleet;
 }
 
-test('any host reports the requests of all', async t => {
+test('any host reports the requests of all hosts', async t => {
 	const fleet = await createFleet();
 	for (const [index, name] of NAMES.entries()) {
 		fleet.serve(name, index + 1);
@@ -207,8 +207,8 @@
 
 test('a request that another host forwarded is counted by that host alone', async t => {
 	const fleet = await createFleet();
-	fleet.hosts.get('a')!.burn.recordRequest(NOTE);
-	fleet.hosts.get('b')!.burn.recordRequest({...NOTE, isForwarded: true});
+	fleet.hosts.get('a')!.burn.recordRequest(REQUEST_REPORT);
+	fleet.hosts.get('b')!.burn.recordRequest({...REQUEST_REPORT, isForwarded: true});
 	t.is(await fleet.count('c'), 1);
 });
 
@@ -223,13 +223,12 @@
 };
 
 /*
-Symptom: requests of a host vanish from the error budget, or are counted twice, when the host or a holder of its counts goes.
-Sequence: host a serves 100 requests, and then what each case says.
-Cause: counts are in the memory of processes that come and go.
+Guards against requests of a host that are lost from the error budget, or counted twice, when the host or a holder of its
+counts ends: counts are in the memory of processes. Host a serves 100 requests, then the events of the case happen.
 */
 const CASES: readonly Case[] = [
 	{
-		name: 'a host that dies is counted from a copy',
+		name: 'the requests of a host that dies are counted from a copy',
 		async run(fleet) {
 			await fleet.pass(10);
 			fleet.kill('a');
@@ -239,7 +238,7 @@
 		hosts: {copied: ['a'], missing: []},
 	},
 	{
-		name: 'a host that does not answer is counted from a copy',
+		name: 'the requests of a host that does not answer are counted from a copy',
 		async run(fleet) {
 			await fleet.pass(10);
 			fleet.cut.add('a');
@@ -248,7 +247,7 @@
 		hosts: {copied: ['a'], missing: []},
 	},
 	{
-		name: 'a host that does not answer and gave no copy yet is named as missing',
+		name: 'a host that does not answer and has sent no copy yet is reported as missing',
 		async run(fleet) {
 			fleet.cut.add('a');
 		},
@@ -256,7 +255,7 @@
 		hosts: {copied: [], missing: ['a']},
 	},
 	{
-		name: 'a host that stops hands over its last minutes',
+		name: 'a host that stops sends the counts of its last minutes',
 		async run(fleet) {
 			await fleet.stop('a');
 			await fleet.pass(1);
@@ -265,7 +264,7 @@
 		hosts: {copied: ['a'], missing: []},
 	},
 	{
-		name: 'a host that stops in the midst of a hand-over hands nothing over twice',
+		name: 'a host that stops while it sends copies sends nothing twice',
 		async run(fleet) {
 			await fleet.pass(6);
 			fleet.serve('a', 50);
@@ -277,7 +276,7 @@
 		hosts: {copied: ['a'], missing: []},
 	},
 	{
-		name: 'a host that restarts takes its counts back',
+		name: 'a host that restarts fetches its counts back',
 		async run(fleet) {
 			await fleet.pass(10);
 			fleet.kill('a');
@@ -289,7 +288,7 @@
 		hosts: {copied: [], missing: []},
 	},
 	{
-		name: 'a host that restarts again and again keeps its counts',
+		name: 'a host that restarts many times keeps its counts',
 		async run(fleet) {
 			await fleet.pass(10);
 			for (let restart = 0; restart < 20; restart++) {
@@ -322,7 +321,7 @@
 		hosts: {copied: ['a'], missing: []},
 	},
 	{
-		name: 'holders that restart get the whole again',
+		name: 'holders that restart get all buckets again',
 		async run(fleet) {
 			await fleet.pass(10);
 			for (const name of NAMES.slice(1)) {
--- a/packages/wagtailroute-host/src/__tests__/unit/fake-fleet.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/fake-fleet.ts
@@ -1,5 +1,5 @@
 /**
-A few hosts and stand-in backend servers in one process, on loopback.
+Fleet of real hosts and stand-in backend servers in one process, on loopback.
 */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs/promises';
@@ -27,22 +27,22 @@
 };
 
 /**
-What a caller is told.
+Answer to a caller; `outcome` is the header `wagtailroute-outcome`.
 */
-export type Told = {
+export type CallerAnswer = {
 	readonly status: number;
 	readonly outcome: unknown;
 	readonly text: string;
 };
 
 /**
-A running fleet.
+Running fleet; hosts are named by their index.
 */
 export type FakeFleet = {
 	readonly standins: readonly standin.Standin[];
-	readonly send: (host: number, request: {readonly path: string; readonly key?: string; readonly body?: string}) => Promise<Told>;
+	readonly send: (host: number, request: {readonly path: string; readonly key?: string; readonly body?: string}) => Promise<CallerAnswer>;
 	/**
-	Cuts a host off from the other hosts, in both directions.
+	Drops all messages between a host and the other hosts, in both directions.
 	*/
 	readonly cut: (host: number) => void;
 };
@@ -81,11 +81,11 @@
 }
 
 /**
-Asks again and again until it is so.
+Polls a condition until it holds.
 */
-export async function waitUntil(isSo: () => Promise<boolean>): Promise<void> {
+export async function waitUntil(condition: () => Promise<boolean>): Promise<void> {
 	// eslint-disable-next-line no-await-in-loop -- Polls.
-	while (!await isSo()) {
+	while (!await condition()) {
 		// eslint-disable-next-line no-await-in-loop -- See above.
 		await timers.setTimeout(POLL_MILLISECONDS);
 	}
@@ -128,7 +128,7 @@
 		},
 	});
 	t.teardown(async () => {
-		// A stop would drain for as long as callers keep an answer of the directory; the process ends with the tests.
+		// The host is not stopped: it would drain until the directory's answers have expired. The process ends with the tests.
 		await fs.rm(folder, {recursive: true, force: true});
 	});
 }
--- a/packages/wagtailroute-host/src/__tests__/unit/fleet.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/fleet.test.ts
@@ -1,6 +1,6 @@
 /**
-The promises of the fleet on three hosts with real sockets: a keyed request runs once through whichever hosts it comes, a
-host without a quorum says not-run, a request that crashes backend servers is stopped.
+Tests of the guarantees of the fleet on three hosts with real sockets: a keyed request runs once whichever hosts receive it, a
+host without a quorum answers not-run, a request that crashes backend servers is quarantined.
 */
 import process from 'node:process';
 import test, {registerCompletionHandler} from 'ava';
@@ -8,7 +8,7 @@
 
 const HOSTS = 3;
 
-// A host that stops drains for as long as callers keep an answer of the directory.
+// A host that stops drains until the directory's answers have expired; the tests do not wait for that.
 registerCompletionHandler(() => {
 	// eslint-disable-next-line unicorn/no-process-exit -- See above.
 	process.exit();
@@ -22,9 +22,9 @@
 	return fleet.standins.filter(started => started.counters().events.crashed > 0).length;
 }
 
-test('a keyed request runs once, though it is sent through every host, at once and again', async t => {
-	// Symptom: a transfer is made twice. Sequence: a caller loses the answer and sends again through another host, or two
-	// hosts get the same request at the same moment. Cause: a record of keys that each host keeps for itself.
+test('a keyed request runs once, though it is sent through every host, concurrently and repeatedly', async t => {
+	// Guards against a transfer that runs twice, when a caller loses the answer and sends again through another host, or two
+	// hosts receive the request at the same time, and each host keeps its own record of keys.
 	const fleet = await startFleet(t, {hosts: HOSTS, standins: 3});
 	const request = {path: '/transfers', key: 'k1', body: 'a tree'};
 	const racing = await Promise.all([0, 1, 2, 0, 1, 2].map(async host => fleet.send(host, request)));
@@ -33,7 +33,7 @@
 		t.true((status === 200 && outcome === 'ran') || (status === 409 && outcome === 'unknown'), `${status} ${String(outcome)}`);
 	}
 
-	// The answer is settled in the background: until then a resend is truthfully told that the request is running.
+	// The answer is settled in the background; until then a resend is answered that the request is running.
 	const first = racing.find(({status}) => status === 200);
 	await waitUntil(async () => {
 		const {status} = await fleet.send(0, request);
@@ -50,9 +50,9 @@
 	t.is(countRuns(fleet, 'k1'), 1);
 });
 
-test('a host without a quorum tells not-run of a keyed request, and goes on serving reads', async t => {
-	// Symptom: a transfer runs twice, or a caller waits for ever. Sequence: a host is cut off from the records and its caller
-	// sends a keyed request, then sends it again through another host. Cause: a request sent without a claim.
+test('a host without a quorum answers not-run to a keyed request, and goes on serving reads', async t => {
+	// Guards against a transfer that runs twice, or a caller that waits for ever, when a host that is cut off from the records
+	// sends a keyed request without a claim and its caller sends it again through another host.
 	const fleet = await startFleet(t, {hosts: HOSTS, standins: 3});
 	fleet.cut(2);
 	const request = {path: '/transfers', key: 'k2', body: 'a tree'};
@@ -67,9 +67,9 @@
 	t.is(countRuns(fleet, 'k2'), 1);
 });
 
-test('a host lost while it runs a keyed request leaves unknown, never a second run', async t => {
-	// Symptom: a booking is made twice, or its caller is told for ever that it is running. Sequence: a host is lost between its
-	// send and the settlement, the caller sends again through another host. Cause: a record that ends with its host, or never.
+test('a host lost while it runs a keyed request leaves the outcome unknown, and the request never runs twice', async t => {
+	// Guards against a booking that runs twice, or is answered as running for ever, when a host is lost between its send and the
+	// settlement and the caller sends again through another host: the record must neither end with its host nor stay running.
 	const fleet = await startFleet(t, {hosts: HOSTS, standins: 3});
 	for (const started of fleet.standins) {
 		started.behave({kind: 'slow', delayMilliseconds: 15_000});
@@ -83,32 +83,32 @@
 		const {text} = await fleet.send(0, request);
 		return text.includes('idempotency-key-outcome-unknown');
 	});
-	// Without the news that the host is lost, the record would stay `running` until the budget of the request is over.
+	// Unless the records learn that the host is lost, the record stays `running` until the deadline of the request.
 	t.is(fleet.standins.filter(started => started.counters().inFlight > 0).length, 1, 'the request still runs');
-	const told = await running;
-	t.deepEqual([told.status, told.outcome], [200, 'ran']);
+	const answer = await running;
+	t.deepEqual([answer.status, answer.outcome], [200, 'ran']);
 	const resent = await fleet.send(1, request);
 	t.deepEqual([resent.status, resent.outcome], [409, 'unknown']);
 	t.is(countRuns(fleet, 'k3'), 1);
 });
 
-test('a request that crashes backend servers is stopped after two of them, through whichever hosts it comes', async t => {
-	// Symptom: a service loses one backend server after the other. Sequence: the request is sent again by its caller through
-	// each host. Cause: each host knows only the crashes that it saw.
+test('a request that crashes backend servers is quarantined after two of them, whichever hosts receive it', async t => {
+	// Guards against a service that loses one backend server after the other, when a caller sends the request again through
+	// each host and each host knows only the crashes that it saw.
 	const fleet = await startFleet(t, {hosts: HOSTS, standins: 5});
 	for (const started of fleet.standins) {
 		started.behave({kind: 'crash', mark: 'boom'});
 	}
 
 	for (const host of [0, 1, 2, 0, 1, 2, 0, 1, 2]) {
-		// eslint-disable-next-line no-await-in-loop -- A caller that sends again and again.
-		const told = await fleet.send(host, {path: '/x?boom'});
-		t.not(told.status, 200);
+		// eslint-disable-next-line no-await-in-loop -- The caller sends one request after the other.
+		const answer = await fleet.send(host, {path: '/x?boom'});
+		t.not(answer.status, 200);
 	}
 
 	t.is(countCrashed(fleet), 2);
-	const told = await Promise.all([0, 1, 2].map(async host => fleet.send(host, {path: '/x?boom'})));
-	for (const {status, outcome, text} of told) {
+	const answers = await Promise.all([0, 1, 2].map(async host => fleet.send(host, {path: '/x?boom'})));
+	for (const {status, outcome, text} of answers) {
 		t.deepEqual([status, outcome], [503, 'not-run']);
 		t.regex(text, /quarantined/v);
 	}
--- a/packages/wagtailroute-host/src/__tests__/unit/service-admission.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/service-admission.test.ts
@@ -1,5 +1,5 @@
 /**
-Admission on a host: waiting requests and the shares of the fleet's limits.
+Tests of the admission on a host: queued requests and the shares of the fleet's limits.
 */
 import * as timers from 'node:timers/promises';
 import test from 'ava';
@@ -26,7 +26,7 @@
 }
 
 /**
-Asks for a place and waits for the answer; undefined when the place is there.
+Requests admission and waits for the decision; undefined when admitted.
 */
 async function admit(admitter: ReturnType<typeof createHost>): Promise<proxy.RequestFailure | undefined> {
 	const admitted = admitter.admit(REQUEST);
@@ -34,7 +34,7 @@
 }
 
 /**
-Asks for all places at once and lets time go on until each has its answer.
+Requests all admissions at once and advances time until each is decided.
 */
 async function admitAll(cell: FakeCell, admitters: ReadonlyArray<ReturnType<typeof createHost>>): Promise<ReadonlyArray<proxy.RequestFailure | undefined>> {
 	const answers: Array<proxy.RequestFailure | undefined> = [];
@@ -44,7 +44,7 @@
 
 	while (answers.length < admitters.length) {
 		cell.advance(10);
-		// eslint-disable-next-line no-await-in-loop -- Lets what was answered go on.
+		// eslint-disable-next-line no-await-in-loop -- Lets the decided requests continue.
 		await timers.setImmediate();
 	}
 
@@ -55,14 +55,14 @@
 	answers.push(await admit(admitter));
 }
 
-test('the first request waits for the shares, and finds them', async t => {
+test('the first request waits for the shares and is admitted when they are known', async t => {
 	const admitter = createHost(createFakeCell(), 'h1', createEntry({concurrency: 4}));
 	t.is(await admit(admitter), undefined);
 });
 
 test('hosts that start together stay within the limit from the first request on', async t => {
-	// Symptom: a limit of 8 lets 24 through when three hosts start. Sequence: each host takes the whole limit until it has
-	// heard of the others. Cause: a limit that is used before it is leased.
+	// Guards against a limit of 8 that admits 24 requests when three hosts start, because each uses the whole limit before it
+	// has leased its share.
 	const cell = createFakeCell();
 	const hosts = ['h1', 'h2', 'h3'].map(name => createHost(cell, name, createEntry({concurrency: 8, queueMilliseconds: 0}), 3));
 	const answers = await admitAll(cell, hosts.flatMap(host => Array.from({length: 8}, () => host)));
@@ -70,7 +70,7 @@
 	t.true(admitted > 0 && admitted <= 8, String(admitted));
 });
 
-test('a queued request that is given up leaves its place to the next', async t => {
+test('a queued request that is cancelled leaves its place in the queue to the next', async t => {
 	const admitter = createHost(createFakeCell(), 'h1', createEntry({concurrency: 4, queueMilliseconds: 1000}));
 	let inFlight = 0;
 	let queued = await fillUntilQueued(admitter, () => {
@@ -81,9 +81,9 @@
 	const refusal = await queued.result;
 	t.is(refusal?.kind, 'deadline-before-send');
 	admitter.release(RELEASE);
-	t.is(await next.result, undefined, 'the place of the request that ended is there for the next one');
+	t.is(await next.result, undefined, 'the slot of the request that ended is granted to the next one');
 	queued = admitter.admit(REQUEST) as proxy.PendingAdmission;
-	t.true('result' in queued, `all ${inFlight} places are taken`);
+	t.true('result' in queued, `all ${inFlight} slots are in use`);
 });
 
 async function fillUntilQueued(admitter: ReturnType<typeof createHost>, onAdmitted: () => void): Promise<proxy.PendingAdmission> {
@@ -99,7 +99,7 @@
 	}
 }
 
-test('a host that can not reach the records from its start goes by its safe part', async t => {
+test('a host that cannot reach the records from its start admits up to its safe share', async t => {
 	const cell = createFakeCell();
 	cell.isUnreachable = true;
 	const admitter = createHost(cell, 'h1', createEntry({concurrency: 8, queueMilliseconds: 0}));
--- a/packages/wagtailroute-host/src/admin-routes.ts
+++ b/packages/wagtailroute-host/src/admin-routes.ts
@@ -1,23 +1,23 @@
 /**
-What a route of the admin port is.
+Types of the routes of the admin port.
 */
 import type * as http from 'node:http';
 
 /**
-A request to the admin port that a route has matched.
+Request on the admin port, matched by a route.
 */
 export type AdminRequest = {
 	readonly message: http.IncomingMessage;
 	readonly response: http.ServerResponse;
 	/**
-	The name in the path, '' where it has none.
+	Decoded group `name` of the path, '' where the pattern has none.
 	*/
 	readonly name: string;
 	readonly query: URLSearchParams;
 };
 
 /**
-One route of the admin port.
+Route of the admin port: a method and a pattern that matches the whole path.
 */
 export type AdminRoute = {
 	readonly method: 'GET' | 'PUT' | 'DELETE';
--- a/packages/wagtailroute-host/src/admin.ts
+++ b/packages/wagtailroute-host/src/admin.ts
@@ -1,5 +1,5 @@
 /**
-The server that operators talk to: the catalogue, the fleet, the upstreams and the reports, on any host.
+HTTP server of the admin port: catalogue, fleet, upstreams and reports, the same on any host.
 */
 import * as crypto from 'node:crypto';
 import * as http from 'node:http';
@@ -11,7 +11,7 @@
 import {answerProblem} from './problems.ts';
 
 /**
-The admin server of a host.
+Running admin server.
 */
 export type AdminServer = {
 	readonly close: () => Promise<void>;
@@ -21,7 +21,7 @@
 const REQUEST_TIMEOUT_MILLISECONDS = 30_000;
 
 /**
-Opens the server with its routes.
+Opens the server with its routes. `getFailures` returns the failures of this host's replicas by group, for `/healthz`.
 */
 export async function openAdminServer(
 	context: HostContext,
@@ -36,7 +36,7 @@
 		message.on('error', () => undefined);
 		response.on('error', () => undefined);
 		void handleRequest({context, routes, getFailures}, message, response).catch((error: unknown) => {
-			log.error('Request failed.', {error: error instanceof Error ? error.stack : String(error)});
+			log.error('A request on the admin port failed with an unexpected error.', {error: error instanceof Error ? error.stack : String(error)});
 			response.destroy();
 		});
 	});
@@ -94,8 +94,8 @@
 }
 
 /**
-A host whose replica failed goes on serving callers, so it is degraded and not down: an operator must see it, and a monitor
-that restarts what is down must not.
+Answers `/healthz`. A host whose replica failed still serves callers, so it is reported as degraded with status 200: operators
+must see the failure, but a monitor must not restart the host for it.
 */
 function answerHealth(
 	context: HostContext,
@@ -112,7 +112,7 @@
 }
 
 /**
-Compares digests in constant time, so that the time taken tells nothing of the token.
+Returns whether the operator token is right. Compares digests in constant time, so that the duration does not reveal the token.
 */
 function isAuthorized(context: HostContext, authorization: string | undefined): boolean {
 	const digest = (text: string) => crypto.createHash('sha256').update(text).digest();
--- a/packages/wagtailroute-host/src/announcer.ts
+++ b/packages/wagtailroute-host/src/announcer.ts
@@ -1,5 +1,5 @@
 /**
-Announcements of upstreams on this host: the leases it knows, and the exchange of changes with the other carriers.
+Announcements of upstreams on this host: holds the leases, and exchanges changes with the other carriers of a service.
 */
 import * as announcements from 'wagtailroute-announcements';
 import * as core from 'wagtailroute-core';
@@ -10,14 +10,14 @@
 import {runMachine} from './events.ts';
 
 /**
-Why an announcement was not taken.
+Reason for which an announcement was refused.
 */
 export type AnnouncerFailure =
 	| announcements.AnnouncementFailure
 	| core.Failure<'service-unknown' | 'carriers-unreachable'>;
 
 /**
-What an upstream tells: that it serves or drains, or that it leaves.
+Announcement of an upstream that it serves or drains, or its withdrawal. Sent between hosts as `announcements.tell`.
 */
 export type AnnouncementRequest = {
 	readonly service: core.ServiceName;
@@ -27,17 +27,17 @@
 	*/
 	readonly announcement?: announcements.Announcement;
 	/**
-	Another host passed it on, so it is not passed on again.
+	Another host forwarded the request, so it is not forwarded again.
 	*/
 	readonly isForwarded: boolean;
 };
 
 /**
-The announcements of a host.
+Receives announcements and lists the upstreams that they name.
 */
 export type Announcer = {
 	/**
-	Takes what an upstream tells, or passes it to a host that carries the service.
+	Applies a request of an upstream, or forwards it to a host that carries the service.
 	*/
 	readonly submit: (request: AnnouncementRequest) => Promise<results.Result<void, AnnouncerFailure>>;
 	readonly getUpstreams: (service: core.ServiceName) => readonly announcements.Upstream[];
@@ -53,8 +53,8 @@
 type AnnouncementResponse = {readonly failure?: AnnouncerFailure};
 
 /**
-Starts the part. Its methods: `announcements.message` between carriers, `announcements.tell` from a host that does not
-carry the service.
+Starts the announcer. Registers the methods `announcements.message`, called between carriers, and `announcements.tell`,
+called by a host that does not carry the service.
 */
 export function startAnnouncer(context: HostContext): Announcer {
 	const {settings, peer, store} = context;
@@ -75,7 +75,7 @@
 				}
 			},
 			changed({service}) {
-				log.info('Upstreams changed.', {service, upstreams: announcements.getUpstreams(machine.read(), service).length});
+				log.info('The upstreams of a service changed.', {service, upstreams: announcements.getUpstreams(machine.read(), service).length});
 				for (const listener of listeners) {
 					listener(service);
 				}
@@ -164,7 +164,7 @@
 }
 
 /**
-Passes an announcement to the carriers, one after the other until one takes it.
+Forwards a request to the carriers of the service, one after the other until one answers.
 */
 async function forwardToCarriers(context: HostContext, request: AnnouncementRequest): Promise<results.Result<void, AnnouncerFailure>> {
 	const carriers = context.store.read(state => state.carriers.get(request.service) ?? []);
@@ -174,7 +174,7 @@
 			continue;
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- One carrier after the other; each tells the rest.
+		// eslint-disable-next-line no-await-in-loop -- One carrier is enough, since it notifies the others.
 		const answer = await context.peer.call(address, 'announcements.tell', request, CALL_TIMEOUT_MILLISECONDS);
 		if (answer.isOk()) {
 			const {failure} = answer.value as AnnouncementResponse;
--- a/packages/wagtailroute-host/src/bodies.ts
+++ b/packages/wagtailroute-host/src/bodies.ts
@@ -1,5 +1,5 @@
 /**
-Bodies of requests to the fleet itself, read whole up to a bound.
+Reads bodies of requests that the fleet answers itself, up to a size limit.
 */
 import * as buffer from 'node:buffer';
 import type * as http from 'node:http';
@@ -7,12 +7,12 @@
 import * as results from 'ts-results-es';
 
 /**
-Why a body was not read.
+Reason for which a body was not read.
 */
 export type BodyFailure = core.Failure<'body-too-large' | 'body-cut-off'>;
 
 /**
-Reads a body as text.
+Reads a body as UTF-8 text; fails when it is longer than the limit or the connection ends before it is complete.
 */
 export async function readText(
 	message: http.IncomingMessage,
--- a/packages/wagtailroute-host/src/burn-copy-sender.ts
+++ b/packages/wagtailroute-host/src/burn-copy-sender.ts
@@ -1,8 +1,8 @@
 /**
-Hands this host's counts to other hosts, and takes them back after a restart.
+Copies this host's request counts to other hosts, and fetches them back after a restart.
 
-Counts are in memory, and processes restart many times a day: without copies an error budget over weeks would be made of the
-last hours. One would notice a budget that fills up by itself after each restart.
+Counts are in memory, and processes restart many times a day: without copies, an error budget over weeks would cover the last
+hours only, and would seem to be full again after each restart.
 */
 import * as report from 'wagtailroute-report';
 import type * as utils from 'wagtailroute-utils';
@@ -17,29 +17,29 @@
 import {getOtherMembers, type HostContext, type Member} from './context.ts';
 
 /**
-The sending of copies.
+Sends copies of this host's counts at an interval.
 */
 export type BurnCopySender = {
 	/**
-	Hands over everything up to now. Nothing counted later is handed over.
+	Sends everything counted up to now, once; later counts are not sent.
 	*/
 	readonly handOver: () => Promise<void>;
 	readonly teardown: utils.Teardown;
 };
 
 /**
-Starts to hand out copies, after the counts of an earlier process were taken back: a copy sent before would replace them.
+Starts to send copies once the counts of an earlier process are fetched back: a copy sent before that would replace them.
 */
 export function startBurnCopySender(context: HostContext, ownCounters: report.BurnCounters, held: HeldCopies): BurnCopySender {
 	const sender = createSender(context);
 	const ownHolder: report.Holder = {id: context.settings.hostId, failureDomain: context.settings.failureDomain};
-	const recall = createRecovery(context, ownCounters, ownHolder);
+	const restoreCounts = createCountsRestore(context, ownCounters, ownHolder);
 	let activeRun: Promise<void> | undefined;
 
 	const sendAll = async () => {
 		await sender.send({subject: ownHolder, counters: ownCounters}, true);
 		const running = new Set(getOtherMembers(context).map(({id}) => id));
-		// A copy of a host that is gone has no sender any more: whoever holds one hands it to the holders of the day.
+		// No host renews the copies of a host that is gone, so every holder sends its copy to the present holders.
 		const orphans = held.list().filter(({subject}) => !running.has(subject.id));
 		for (const orphan of orphans) {
 			// eslint-disable-next-line no-await-in-loop -- One after the other, so that large copies do not meet.
@@ -48,13 +48,13 @@
 	};
 
 	const run = async () => {
-		if (await recall()) {
+		if (await restoreCounts()) {
 			await sendAll();
 		}
 	};
 
 	const tick = () => {
-		// One at a time: two at once would hand over the same buckets, and they would count twice.
+		// One run at a time: two would send the same buckets, which would count twice.
 		activeRun ??= run().finally(() => {
 			activeRun = undefined;
 		});
@@ -65,7 +65,7 @@
 		async handOver() {
 			stop();
 			await activeRun;
-			if (!await recall()) {
+			if (!await restoreCounts()) {
 				return;
 			}
 
@@ -76,18 +76,21 @@
 	};
 }
 
+/**
+Counts to copy, and the host that counted them.
+*/
 type HostCounters = {
 	readonly subject: report.Holder;
 	readonly counters: report.BurnCounters;
 };
 
 /**
-Sends copies to the holders of the day. A holder's process gets the whole once and closed buckets from then on; a new process
-of it has lost its copies.
+Sends copies to the holders chosen from the running hosts. The process of a holder gets all buckets once and closed buckets
+from then on; after its restart it gets all again, since its copies are lost.
 */
 function createSender(context: HostContext) {
 	const {now, peer} = context;
-	// Subject to holder's process to the first bucket that it has not got.
+	// By host that counted and by process of a holder: the first bucket that the holder lacks.
 	const sentBuckets = new Map<string, Map<string, number>>();
 
 	const findHolders = (subject: report.Holder) => report.chooseHolders(subject, getOtherMembers(context), BURN_COPY_HOLDERS);
@@ -108,7 +111,7 @@
 		const isAccepted = copy.length === 0 || await sendCopy(holder, {
 			subject, isOwn, isWhole, copy,
 		});
-		// A copy whose answer was lost may have been taken, and taken twice it would count twice: the whole replaces either.
+		// A copy without an answer may have been added, and sent again it would count twice. Sending all buckets replaces it.
 		return isAccepted && !(isWhole && copy.length === 0) ? present : undefined;
 	};
 
@@ -140,9 +143,10 @@
 }
 
 /**
-Returns what takes the counts of an earlier process back, once. It resolves to true when that is done or given up.
+Returns a function that fetches the counts of an earlier process back, once. It resolves to true when that is done or given
+up after `MAX_BURN_RECALL_ATTEMPTS`.
 */
-function createRecovery(context: HostContext, ownCounters: report.BurnCounters, ownHolder: report.Holder): () => Promise<boolean> {
+function createCountsRestore(context: HostContext, ownCounters: report.BurnCounters, ownHolder: report.Holder): () => Promise<boolean> {
 	let isDone = false;
 	let attempts = 0;
 
@@ -167,7 +171,7 @@
 }
 
 /**
-A holder, and the number of requests in its copy of this host's counts.
+Holder, and the number of requests in its copy of this host's counts.
 */
 type CopySize = {
 	readonly holder: Member;
@@ -175,7 +179,7 @@
 };
 
 /**
-Asks how much each candidate holds: copies are large, and only one is needed.
+Asks each candidate for the size of its copy: copies are large, and only the largest is fetched.
 */
 async function fetchCopySizes(context: HostContext, candidates: readonly Member[]): Promise<readonly CopySize[]> {
 	const host = context.settings.hostId;
--- a/packages/wagtailroute-host/src/burn-gathering.ts
+++ b/packages/wagtailroute-host/src/burn-gathering.ts
@@ -1,5 +1,5 @@
 /**
-Gathers the counts of all hosts for one report.
+Gathers the request counts of all hosts for one report.
 */
 import type * as core from 'wagtailroute-core';
 import * as report from 'wagtailroute-report';
@@ -9,17 +9,20 @@
 import {getOtherMembers, type HostContext, type Member} from './context.ts';
 
 /**
-The counts that this host has.
+Counts on this host: its own, and the copies that it holds for others.
 */
 export type BurnSources = {
 	readonly counters: report.BurnCounters;
 	readonly held: HeldCopies;
 };
 
+/**
+Answer of `report.counters`.
+*/
 type CountersResponse = {
 	readonly summary: report.Summary;
 	/**
-	The hosts of which the answering host holds copies, with the number of requests in each.
+	Hosts whose copies the answering host holds, with the number of requests in each copy.
 	*/
 	readonly held: ReadonlyArray<readonly [host: core.HostId, total: number]>;
 };
@@ -27,7 +30,8 @@
 const EMPTY_SUMMARY: report.Summary = {services: [], untracked: 0};
 
 /**
-Registers the methods `report.counters`, which returns a host's own summary, and `report.held`, which returns that of a copy.
+Registers the methods `report.counters`, which returns the summary of a host's own counts, and `report.held`, which returns
+that of a held copy. `span` is in milliseconds.
 */
 export function registerBurnMethods(context: HostContext, sources: BurnSources): utils.Teardown {
 	const {peer, now} = context;
@@ -48,7 +52,7 @@
 }
 
 /**
-A holder and how much it holds.
+Copy of a host's counts with the most requests found, and its holder.
 */
 type BestCopy = {
 	readonly total: number;
@@ -59,7 +63,7 @@
 };
 
 /**
-Asks all running hosts for their counts, and the best holder for those of each host that gave none.
+Asks all running hosts for their counts; for each host that did not answer, asks the holder whose copy has the most requests.
 */
 export async function gatherBurn(context: HostContext, sources: BurnSources, span: number): Promise<report.BurnReport> {
 	const merging = report.createMerging();
@@ -121,13 +125,13 @@
 }
 
 /**
-Asks a bounded number at a time.
+Runs a function for each item, at most `BURN_CONCURRENCY` at a time.
 */
 async function runConcurrently<Item>(items: readonly Item[], run: (item: Item) => Promise<void>): Promise<void> {
 	const remaining = [...items];
 	const runNext = async () => {
 		for (let item = remaining.pop(); item !== undefined; item = remaining.pop()) {
-			// eslint-disable-next-line no-await-in-loop -- Each of the askers takes one after the other.
+			// eslint-disable-next-line no-await-in-loop -- Each of the concurrent runs processes one item after the other.
 			await run(item);
 		}
 	};
--- a/packages/wagtailroute-host/src/burn-held-copies.ts
+++ b/packages/wagtailroute-host/src/burn-held-copies.ts
@@ -1,5 +1,5 @@
 /**
-Copies of the counts of other hosts, held for them.
+Copies of the request counts of other hosts, held in memory for them.
 */
 import type * as core from 'wagtailroute-core';
 import * as report from 'wagtailroute-report';
@@ -8,12 +8,12 @@
 import type {HostContext} from './context.ts';
 
 /**
-A copy on its way to a holder, whole or only the buckets closed since the last one.
+Sent as `report.copy`: all buckets of a host's counts, or only those closed since the last message.
 */
 export type CopyMessage = {
 	readonly subject: report.Holder;
 	/**
-	The sender is the host that counted: its word goes before any copy of it.
+	The sender is the host that counted; its message replaces any copy made by another holder.
 	*/
 	readonly isOwn: boolean;
 	readonly isWhole: boolean;
@@ -21,7 +21,7 @@
 };
 
 /**
-A copy that is held.
+Counts of another host.
 */
 export type HeldCopy = {
 	readonly subject: report.Holder;
@@ -29,7 +29,7 @@
 };
 
 /**
-All held copies.
+Copies that this host holds, by the host that counted.
 */
 export type HeldCopies = {
 	readonly list: () => readonly HeldCopy[];
@@ -38,7 +38,7 @@
 };
 
 /**
-Registers the methods `report.copy`, which takes a copy and returns whether it could be used, `report.total`, which returns the
+Registers the methods `report.copy`, which receives a copy and returns whether it was usable, `report.total`, which returns the
 number of requests in the copy of a host, and `report.recall`, which returns that copy.
 */
 export function registerHeldCopies(context: HostContext): HeldCopies {
@@ -46,7 +46,7 @@
 	const held = new Map<core.HostId, HeldCopy>();
 
 	const store = (copy: HeldCopy) => {
-		// The map is in the order of the last renewal: the first is the copy that nobody renews.
+		// The map is in the order of the last renewal, so its first copy is the one not renewed for longest.
 		held.delete(copy.subject.id);
 		held.set(copy.subject.id, copy);
 		if (held.size > MAX_BURN_HELD_HOSTS) {
@@ -62,7 +62,7 @@
 		}
 
 		counters.add(copy, now());
-		// Of two copies that others made, the one with fewer requests has missed some.
+		// Of two copies from other holders, the one with fewer requests is incomplete.
 		if (isOwn || known === undefined || counters.getTotal(now()) > known.counters.getTotal(now())) {
 			store({subject, counters});
 		}
--- a/packages/wagtailroute-host/src/burn.ts
+++ b/packages/wagtailroute-host/src/burn.ts
@@ -1,9 +1,9 @@
 /**
-The report on service-level burn over the whole fleet.
+Report on the burn of error budgets over the whole fleet.
 
-Each host counts the requests that callers sent to it, and hands the counts of each closed five minutes to two other hosts.
-A host that restarts takes its counts back from them; for one that does not answer, the report takes a holder's copy. The
-note docs/design/burn-report.md weighs this against other keepers.
+Each host counts the requests that callers sent to it, and copies the counts of each closed bucket of five minutes to two
+other hosts, the holders. A host that restarts fetches its counts from them; for a host that does not answer, the report uses
+a holder's copy. docs/design/burn-report.md compares this with other places to store the counts.
 */
 import * as buffer from 'node:buffer';
 import type * as http from 'node:http';
@@ -19,11 +19,11 @@
 import {answerProblem} from './problems.ts';
 
 /**
-The part that counts requests and writes the report.
+Counts the requests of this host and answers the report of the fleet.
 */
 export type BurnReporter = {
 	/**
-	Counts one answered request.
+	Counts a finished request.
 	*/
 	readonly recordRequest: (request: proxy.RequestReport) => void;
 	/**
@@ -31,7 +31,7 @@
 	*/
 	readonly route: AdminRoute;
 	/**
-	Hands the last counts to their holders before the host stops.
+	Copies the last counts to their holders before the host stops.
 	*/
 	readonly handOver: () => Promise<void>;
 	readonly teardown: utils.Teardown;
@@ -40,14 +40,14 @@
 const DEFAULT_WINDOW = '1h';
 
 /**
-Starts the part.
+Starts the counting, the copies and the methods that other hosts call for a report.
 */
 export function startBurnReporter(context: HostContext): BurnReporter {
 	const counters = report.createBurnCounters();
 	const held = registerHeldCopies(context);
-	const copies = startBurnCopySender(context, counters, held);
+	const copySender = startBurnCopySender(context, counters, held);
 	const sources: BurnSources = {counters, held};
-	const teardown = utils.mergeTeardowns(held.teardown, copies.teardown, registerBurnMethods(context, sources));
+	const teardown = utils.mergeTeardowns(held.teardown, copySender.teardown, registerBurnMethods(context, sources));
 	return {
 		recordRequest(request) {
 			countRequest(context, counters, request);
@@ -57,14 +57,14 @@
 			pattern: /^\/report\/burn$/v,
 			handle: async ({response, query}) => answerReport(context, sources, response, query),
 		},
-		handOver: copies.handOver,
+		handOver: copySender.handOver,
 		teardown,
 	};
 }
 
 /**
-A request that another host forwarded is counted there, where its caller is: counted here too it would stand twice, and a
-host that forwards to a sick carrier would be told only half of it.
+Counts a request, unless another host forwarded it: that host counts it, including failures to reach this one, and the report
+would hold it twice.
 */
 function countRequest(context: HostContext, counters: report.BurnCounters, request: proxy.RequestReport): void {
 	const versioned = context.store.read(({view}) => view.entries.get(request.service));
@@ -81,14 +81,17 @@
 	counters.record(service, result, versioned.entry.objective, context.now());
 }
 
+/**
+Format of the report by the parameter `format`.
+*/
 type ReportFormat = {
 	readonly contentType: string;
 	readonly write: (burn: report.BurnReport) => string | Promise<string>;
 };
 
 /**
-Milliseconds between two plots of a page: a request in flight needs several turns of the event loop, and without a rest it
-would wait for the whole page.
+Milliseconds between two plots of a page. A request in flight needs several turns of the event loop, and without the pause it
+would wait until the whole page is rendered.
 */
 const PLOT_PAUSE_MILLISECONDS = 10;
 
--- a/packages/wagtailroute-host/src/carriers.ts
+++ b/packages/wagtailroute-host/src/carriers.ts
@@ -1,9 +1,9 @@
 /**
-Which hosts carry which services, kept up to date change by change from the members and the catalogue.
+Keeps the carriers of each service, updated incrementally from the members and the catalogue.
 
-Every host computes this alone and all come to the same answer as soon as they know the same members and catalogue; while
-they differ, a request may take one more hop or be told not-run, never anything wrong. The number of carriers follows from
-the catalogue entry alone, since all hosts must agree on it.
+Every host computes them alone, with the same result as soon as all know the same members and catalogue. While they differ,
+a request may take one more hop or be answered not-run, which is true. The number of carriers depends on the catalogue entry
+and the number of hosts only, since all hosts must agree on it.
 */
 import * as assignment from 'wagtailroute-assignment';
 import type * as catalogue from 'wagtailroute-catalogue';
@@ -13,7 +13,7 @@
 import type {HostContext, HostState, Member} from './context.ts';
 
 /**
-Registers the part that keeps `carriers` of the host's state.
+Registers the listener that keeps `carriers` of the host's state.
 */
 export async function registerCarriers(context: HostContext): Promise<utils.Teardown> {
 	const index = assignment.createCarrierIndex(await assignment.createNameHash(), []);
@@ -52,21 +52,22 @@
 		}
 	}
 
-	// A fleet that shrank or grew below a service's number of carriers changes that number.
+	// A service has at most as many carriers as there are hosts, so a changed number of hosts may change it.
 	const hosts = countCarriers(state);
 	return hosts === countCarriers(previous) ? changed : [...changed, ...updateCarrierCounts(index, state, hosts)];
 }
 
 /**
-A suspected host keeps its services: most suspicions are wrong, and moving them would cost more than the wait.
+Returns whether a member is a running entry host. A suspected one counts as running: most suspicions are wrong, and moving
+its services costs more than waiting for the confirmation.
 */
 function isRunningEntryHost(member: Member): boolean {
 	return member.roles.includes('entry') && (member.state === 'alive' || member.state === 'suspect');
 }
 
 /**
-Says whether no entry host is left that does not drain. When the whole fleet is stopped, its hosts go on serving until
-callers have heard: without carriers, each request of that time would be refused, although nothing has ended yet.
+Returns whether every running entry host drains. When the whole fleet stops, its hosts go on serving until the directory's
+answers have expired; without carriers, each request of that time would be refused by hosts that can still serve it.
 */
 function areAllEntryHostsDraining(state: HostState): boolean {
 	return state.members.values().every(member => !isRunningEntryHost(member) || member.draining);
--- a/packages/wagtailroute-host/src/catalogue-routes.ts
+++ b/packages/wagtailroute-host/src/catalogue-routes.ts
@@ -1,5 +1,5 @@
 /**
-The catalogue on the admin port: entries as this host has them in force, changes, history.
+Routes of the admin port for the catalogue: the entries in force on this host, changes, history.
 */
 import type * as http from 'node:http';
 import * as catalogue from 'wagtailroute-catalogue';
@@ -22,7 +22,7 @@
 const ETAG_PATTERN = /^"(?<revision>\d{1,15})"$/v;
 
 /**
-Creates the routes.
+Creates the routes below `/catalogue`.
 */
 export function createCatalogueRoutes(context: HostContext): readonly AdminRoute[] {
 	return [
--- a/packages/wagtailroute-host/src/constants.ts
+++ b/packages/wagtailroute-host/src/constants.ts
@@ -1,9 +1,9 @@
 /**
-Times and bounds of a host.
+Times and bounds of a host process.
 */
 
 /**
-Milliseconds between the ticks of the host's state machines.
+Milliseconds between two ticks of the announcements' state machine.
 */
 export const TICK_INTERVAL_MILLISECONDS = 100;
 
@@ -18,22 +18,22 @@
 export const LEAVE_MILLISECONDS = 300;
 
 /**
-Milliseconds between two comparisons of the catalogue's revision with another host.
+Milliseconds between two comparisons of the catalogue's revision with that of a random other host.
 */
 export const COMPARE_INTERVAL_MILLISECONDS = 2000;
 
 /**
-Milliseconds between the comparisons of a host that has just started, until one succeeds.
+Milliseconds between the comparisons of a host that has just started, until the first one succeeds.
 */
 export const FIRST_COMPARE_INTERVAL_MILLISECONDS = 100;
 
 /**
-Hosts that are told at once of a new revision; each of them tells as many.
+Number of hosts that a host notifies when it comes to a new revision; each of them notifies as many.
 */
 export const REVISION_FANOUT = 6;
 
 /**
-Milliseconds that a call between hosts may take.
+Milliseconds after which a call to another host fails, unless a constant for its method says otherwise.
 */
 export const CALL_TIMEOUT_MILLISECONDS = 2000;
 
@@ -78,37 +78,38 @@
 export const REPLACE_MILLISECONDS = 60_000;
 
 /**
-Largest body of an operator's request, in bytes.
+Largest body of a request on the admin port.
 */
 export const MAX_ADMIN_BODY_BYTES = 262_144;
 
 /**
-Largest body of an announcement, in bytes.
+Largest body of an announcement of a backend server.
 */
 export const MAX_ANNOUNCEMENT_BODY_BYTES = 4096;
 
 /**
-Hosts asked at the same time which revision they have.
+Number of concurrent calls that ask hosts which revision they have in force.
 */
 export const IN_FORCE_CONCURRENCY = 64;
 
 /**
-Slots that one upstream is planned with when a service's number of carriers is worked out from its catalogue entry.
+Slots of one upstream that the number of carriers of a service is computed with. All hosts must agree on that number, so it
+cannot depend on the slots that upstreams announce.
 */
 export const ASSUMED_SLOTS_PER_UPSTREAM = 4;
 
 /**
-Milliseconds between two walks through the queue of requests that wait for admission.
+Milliseconds between two checks of the queue of requests that wait for admission.
 */
 export const ADMISSION_TICK_INTERVAL_MILLISECONDS = 10;
 
 /**
-Milliseconds that a draining host goes on serving after callers are told other addresses, beside their answers' time to live.
+Milliseconds that a draining host goes on serving after the directory's answers that name it have expired.
 */
 export const DRAIN_MARGIN_MILLISECONDS = 1000;
 
 /**
-Milliseconds after which a host that drains stops waiting for requests in flight.
+Milliseconds after which a draining host stops waiting for the requests in flight.
 */
 export const MAX_DRAIN_MILLISECONDS = 3_600_000;
 
@@ -173,32 +174,33 @@
 export const MILLISECONDS_PER_SECOND = 1000;
 
 /**
-Milliseconds between two looks whether counts for the burn report are to be handed to their holders.
+Milliseconds between two checks whether counts of the burn report must be copied to their holders.
 */
 export const BURN_TICK_INTERVAL_MILLISECONDS = 5000;
 
 /**
-Holders of a copy of a host's counts, beside itself.
+Number of other hosts that hold a copy of a host's counts.
 */
 export const BURN_COPY_HOLDERS = 2;
 
 /**
-Hosts asked by a restarted host for its counts. More than the holders, because the choice moves with the hosts that run.
+Number of hosts that a restarted host asks for its counts. It is larger than the number of holders, because the choice of
+holders changes with the hosts that run.
 */
 export const BURN_RECALL_CANDIDATES = 4;
 
 /**
-Times that a restarted host asks for its counts before it goes on without them.
+Number of attempts of a restarted host to fetch its counts before it continues without them.
 */
 export const MAX_BURN_RECALL_ATTEMPTS = 5;
 
 /**
-Hosts whose copies one host holds at most: two are expected, and a few of hosts that are gone.
+Largest number of hosts whose copies one host holds: two are expected, and a few more of hosts that are gone.
 */
 export const MAX_BURN_HELD_HOSTS = 12;
 
 /**
-Hosts asked for their counts at the same time.
+Number of concurrent calls that fetch counts for one report.
 */
 export const BURN_CONCURRENCY = 32;
 
@@ -233,7 +235,7 @@
 export const SUMMARIES_PER_SECOND = 20;
 
 /**
-Milliseconds that a carrier may take to list its upstreams for another host's operator.
+Milliseconds after which the call to a carrier for the list of its upstreams fails.
 */
 export const UPSTREAM_LIST_TIMEOUT_MILLISECONDS = 1000;
 
@@ -248,11 +250,11 @@
 export const STEPS_PER_SECOND = 40;
 
 /**
-Milliseconds that a host waits at its start for another host's catalogue before it serves.
+Milliseconds that a starting host waits for another host's catalogue before it serves callers.
 */
 export const MAX_FIRST_CATALOGUE_WAIT_MILLISECONDS = 3000;
 
 /**
-Milliseconds between two log lines on connections with another fleet secret.
+Least milliseconds between two log lines on refused connections with a wrong fleet secret.
 */
 export const REFUSAL_LOG_INTERVAL_MILLISECONDS = 60_000;
--- a/packages/wagtailroute-host/src/context.ts
+++ b/packages/wagtailroute-host/src/context.ts
@@ -1,6 +1,6 @@
 /**
-What every part of a host is given: its settings, the calls between hosts, the current snapshot of its state, time and
-logs. Parts know each other only through the snapshot and through the methods that they register.
+Dependencies passed to every part of a host: settings, calls between hosts, the snapshot of its state, time and logs. Parts
+depend on each other only through the snapshot and the methods and commands that they register.
 */
 import type * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
@@ -12,7 +12,7 @@
 import type {HostRole, HostSettings} from './settings.ts';
 
 /**
-A host of the fleet as this host sees it.
+Host of the fleet, as this host knows it from membership.
 */
 export type Member = {
 	readonly id: core.HostId;
@@ -25,54 +25,54 @@
 	readonly state: 'alive' | 'suspect' | 'left' | 'dead';
 	readonly draining: boolean;
 	/**
-	Random name of the process: a restart changes it.
+	Random identifier of the process; a restart changes it.
 	*/
 	readonly boot: string;
 };
 
 /**
-The state of a host, replaced as a whole by each update.
+State of a host; immutable, replaced by each update.
 */
 export type HostState = {
 	/**
-	The catalogue in force here.
+	Catalogue in force on this host.
 	*/
 	readonly view: catalogue.View;
 	/**
-	All known hosts, this one included.
+	All known hosts, including this one.
 	*/
 	readonly members: ReadonlyMap<core.HostId, Member>;
 	/**
-	Carriers of each service.
+	Hosts that carry each service; services without carriers are absent.
 	*/
 	readonly carriers: ReadonlyMap<core.ServiceName, readonly core.HostId[]>;
 	readonly isDraining: boolean;
 };
 
 /**
-Commands that one part gives another without knowing it.
+Commands by which a part calls another without importing it.
 */
 export type HostCommands = {
 	/**
-	Another host was heard to have a newer catalogue: fetch it from there.
+	Fetches the catalogue from a host that has reported a newer revision.
 	*/
 	readonly 'fetch-catalogue': {readonly address: core.Address; readonly revision: catalogue.Revision};
 };
 
 /**
-What every part of a host is given.
+Dependencies passed to every part of a host.
 */
 export type HostContext = {
 	readonly settings: HostSettings;
 	/**
-	Random name of this process.
+	Random identifier of this process.
 	*/
 	readonly boot: string;
 	readonly peer: peer.Peer;
 	readonly store: core.SnapshotStore<HostState>;
 	readonly commands: core.CommandRegistry<HostCommands>;
 	/**
-	The routes of the catalogue in force.
+	Index of the routes of the catalogue in force.
 	*/
 	readonly routes: catalogue.RouteIndex;
 	readonly log: (part: LogPart) => Log;
@@ -83,25 +83,25 @@
 	readonly now: () => number;
 	readonly random: utils.Random;
 	/**
-	Runs once after a delay.
+	Runs a function once after a delay.
 	*/
 	readonly schedule: (milliseconds: number, run: () => void) => utils.Teardown;
 	/**
-	Runs again and again.
+	Runs a function at an interval.
 	*/
 	readonly repeat: (milliseconds: number, run: () => void) => utils.Teardown;
 	/**
-	Disk of the control role; the real one when absent. Tests give one that is slow, full or failing.
+	Disk of the control role; the real one when absent. Tests pass one that is slow, full or failing.
 	*/
 	readonly disk?: replication.Disk;
 	/**
-	Ends the process after a defect: it restarts in a known state, while going on could tell lies.
+	Ends the process after a defect: a restart brings it to a known state, while a process that continues could answer wrongly.
 	*/
 	readonly fail: (error: Error) => void;
 };
 
 /**
-Returns the peer addresses that a host is told of by its settings, without its own.
+Returns the peer addresses of other hosts from the settings: seeds and initial control members.
 */
 export function getSeeds({peerAddress, seeds, initialControl}: HostSettings): readonly core.Address[] {
 	return [...seeds, ...initialControl.map(initial => initial.address)]
@@ -109,7 +109,7 @@
 }
 
 /**
-Returns the other hosts that are believed to run.
+Returns the other hosts that are alive or suspected.
 */
 export function getOtherMembers(context: HostContext): readonly Member[] {
 	return context.store.read(state => state.members.values()
@@ -118,7 +118,7 @@
 }
 
 /**
-Returns the peer address of a host, if any is known.
+Returns the peer address of a host from membership or, failing that, from the settings; undefined when unknown.
 */
 export function findPeerAddress(context: HostContext, host: core.HostId): core.Address | undefined {
 	const member = context.store.read(state => state.members.get(host));
--- a/packages/wagtailroute-host/src/dev.ts
+++ b/packages/wagtailroute-host/src/dev.ts
@@ -1,6 +1,5 @@
 /**
-Everything in one process on loopback, for a first look: one host with both roles, stand-in backend servers and a sample
-catalogue.
+Development fleet in one process on loopback: one host with both roles, stand-in backend servers and a sample catalogue.
 */
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs/promises';
@@ -14,7 +13,7 @@
 import {SAMPLE_ENTRIES} from './samples.ts';
 
 /**
-Settings of the first look.
+Settings of the development fleet; the defaults are the token `dev`, text logs and the level `warn`.
 */
 export type DevSettings = {
 	readonly trafficPort: number;
@@ -34,7 +33,8 @@
 const START_TIMEOUT_MILLISECONDS = 30_000;
 
 /**
-Starts the fleet. Resolves when a request can be answered.
+Starts the development fleet. Resolves when a backend server answers a request, or after 30 seconds. `stop` removes the data
+folder.
 */
 export async function runDev(settings: DevSettings): Promise<Host> {
 	const folder = await fs.mkdtemp(path.join(os.tmpdir(), 'wagtailroute-dev-'));
@@ -75,7 +75,7 @@
 
 async function createEntries(adminPort: number, token: string): Promise<void> {
 	for (const entry of SAMPLE_ENTRIES) {
-		// eslint-disable-next-line no-await-in-loop -- One change after the other.
+		// eslint-disable-next-line no-await-in-loop -- Changes of the catalogue are made one after the other.
 		await undici.request(`http://${LOOPBACK}:${adminPort}/catalogue/${entry.name}`, {
 			method: 'PUT',
 			headers: {
@@ -110,7 +110,7 @@
 	while (performance.now() < deadline) {
 		// eslint-disable-next-line no-await-in-loop -- Polls until the first announcement is in force.
 		const answer = await undici.request(`http://${traffic.ip}:${traffic.port}/archive/ready`);
-		// eslint-disable-next-line no-await-in-loop -- The connection is used again.
+		// eslint-disable-next-line no-await-in-loop -- The connection is reused for the next poll.
 		await answer.body.dump();
 		if (answer.statusCode === 200) {
 			return;
--- a/packages/wagtailroute-host/src/distribution.ts
+++ b/packages/wagtailroute-host/src/distribution.ts
@@ -1,10 +1,11 @@
 /**
-Brings the catalogue to every host within seconds.
+Distributes the catalogue to every host within seconds, by gossip and anti-entropy.
 
-A host that comes to a new revision tells a few others at once, which fetch what they lack from it and tell a few in turn;
-and every host compares its revision with a random other one now and then. So a host that is cut off from the control
-hosts, in one direction or both, still gets a change through any host that it can talk to, and a host that restarts while
-all control hosts are gone gets the catalogue from its neighbours. Views only move forward, whoever is heard first.
+A host that comes to a new revision notifies a few others at once; these fetch the changes from it and notify a few others in
+turn. In addition, every host compares its revision with that of a random other host at an interval. A host that cannot reach
+the control hosts, in one direction or both, still gets a change through any host that it can reach, and a host that restarts
+without any control host running gets the catalogue from other entry hosts. A view is never replaced by an older one, so the
+order of messages does not matter.
 */
 import * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
@@ -17,25 +18,28 @@
 } from './constants.ts';
 import {getOtherMembers, getSeeds, type HostContext} from './context.ts';
 
+/**
+Sent as `catalogue.revision`: a revision in force, and the peer address of the host to fetch it from.
+*/
 type RevisionNotice = {
 	readonly revision: catalogue.Revision;
 	readonly address: core.Address;
 };
 
 /**
-The distribution on a host.
+Distribution of the catalogue on one host.
 */
 export type Distribution = {
 	/**
-	Resolves when this host has compared its catalogue with another host's, or knows no other to compare with.
+	Resolves when this host has compared its catalogue with another host's, or knows no other host.
 	*/
 	readonly whenCompared: Promise<void>;
 	readonly teardown: utils.Teardown;
 };
 
 /**
-Registers the part. Its methods: `catalogue.revision` tells a revision, `catalogue.delta` returns what a host lacks,
-`catalogue.in-force` returns the revision in force.
+Starts the distribution. Registers the methods `catalogue.revision`, which receives a notice, `catalogue.delta`, which returns
+the changes after a revision, and `catalogue.in-force`, which returns the revision in force.
 */
 export function registerDistribution(context: HostContext): Distribution {
 	const {peer, store} = context;
@@ -48,8 +52,8 @@
 	const getView = () => store.read(state => state.view);
 
 	/**
-	A notice that comes while a fetch is under way is kept: the fetched delta may be older, and without it this host would
-	stay behind until its next comparison.
+	Fetches the changes of a notice. A notice that arrives during a fetch is followed after it: the fetched delta may be
+	older, and this host would lack the newer revision until its next comparison.
 	*/
 	const fetchRevision = async (notice: RevisionNotice) => {
 		if (isFetching) {
@@ -116,7 +120,7 @@
 			}
 
 			context.routes.applyViewChange(previous.view, state.view);
-			log.info('Catalogue in force.', {revision: state.view.revision});
+			log.info('A new revision of the catalogue is in force on this host.', {revision: state.view.revision});
 			notifyOthers();
 		}),
 		context.commands.registerCommand('fetch-catalogue', notice => {
@@ -125,7 +129,7 @@
 		}, 'normal'),
 		context.repeat(COMPARE_INTERVAL_MILLISECONDS, compareWithRandomHost),
 		context.repeat(FIRST_COMPARE_INTERVAL_MILLISECONDS, () => {
-			// Nobody tells a host that has just started of a change: the others do not know it yet.
+			// A host that has just started is notified of no change, because the others do not know it yet.
 			if (!hasCompared) {
 				compareWithRandomHost();
 			}
@@ -135,14 +139,14 @@
 }
 
 /**
-Takes a delta into force, unless it brings nothing new.
+Puts a delta in force, unless it brings nothing new.
 */
 export function applyDelta(context: HostContext, delta: catalogue.Delta): void {
 	context.store.update(state => createViewUpdate(state.view, catalogue.applyDelta(state.view, delta)));
 }
 
 /**
-Takes a whole view into force, unless it is older than the present one.
+Puts a complete view in force, unless it is not newer than the present one.
 */
 export function applyView(context: HostContext, view: catalogue.View): void {
 	context.store.update(state => createViewUpdate(state.view, view));
--- a/packages/wagtailroute-host/src/events.ts
+++ b/packages/wagtailroute-host/src/events.ts
@@ -1,14 +1,13 @@
 /**
-Event streams, and the pure state machines that run on them.
+Event streams, and a runner of pure state machines on them.
 
-Everything that happens to a host's state arrives on a stream of events; a machine folds its stream, one event after the
-other on one thread, and its effects are carried out by a table of handlers.
+A machine folds its stream of events, one after the other on one thread; a table of handlers carries out its effects.
 */
 import * as most from 'most';
 import type * as core from 'wagtailroute-core';
 
 /**
-A stream that events can be put into.
+Stream of the events that are passed to `emit`.
 */
 export type EventSource<Event> = {
 	readonly stream: most.Stream<Event>;
@@ -20,7 +19,7 @@
 };
 
 /**
-Creates a stream that events can be put into. Events are delivered at once, in the order of the calls.
+Creates an event source. Events are delivered synchronously, in the order of the calls.
 */
 export function createEventSource<Event>(): EventSource<Event> {
 	type Listener = {readonly sink: most.Sink<Event>; readonly scheduler: most.Scheduler};
@@ -54,14 +53,14 @@
 }
 
 /**
-Carries out the effects of a machine, by their kind.
+Handlers of the effects of a machine, by kind.
 */
 export type EffectHandlers<Effect extends {readonly kind: string}> = {
 	readonly [Kind in Effect['kind']]: (effect: Extract<Effect, {readonly kind: Kind}>) => void;
 };
 
 /**
-A machine that runs.
+Running machine; `read` returns its present state.
 */
 export type Machine<State, Event> = {
 	readonly send: (event: Event) => void;
@@ -70,7 +69,7 @@
 };
 
 /**
-What a machine is made from.
+Definition of a machine, and the handlers of its effects.
 */
 export type MachineOptions<State, Event, Effect extends {readonly kind: string}> = {
 	readonly initial: State;
@@ -78,13 +77,13 @@
 	readonly circumstances: () => core.Circumstances;
 	readonly handlers: EffectHandlers<Effect>;
 	/**
-	Told of an error thrown by the step or by a handler: a defect, after which the machine has stopped.
+	Called with an error thrown by the step or by a handler. Such an error is a defect, and the machine has stopped.
 	*/
 	readonly onDefect: (error: Error) => void;
 };
 
 /**
-Runs a machine. An effect's handler may send further events; they are taken after the present one.
+Runs a machine. A handler may send further events; they are processed after the present one.
 */
 export function runMachine<State, Event, Effect extends {readonly kind: string}>(
 	options: MachineOptions<State, Event, Effect>,
--- a/packages/wagtailroute-host/src/fleet-routes.ts
+++ b/packages/wagtailroute-host/src/fleet-routes.ts
@@ -1,5 +1,5 @@
 /**
-The fleet and the upstreams on the admin port, as this host sees them.
+Routes of the admin port for the fleet and the upstreams, as this host knows them.
 */
 import type * as http from 'node:http';
 import * as core from 'wagtailroute-core';
@@ -14,7 +14,7 @@
 import type {UpstreamHealth} from './services.ts';
 
 /**
-The parts that the routes read.
+Parts of the host that the routes read; `control` is absent on hosts without the control role.
 */
 export type FleetRouteOptions = {
 	readonly announcer: Announcer;
@@ -23,7 +23,7 @@
 };
 
 /**
-Creates the routes.
+Creates the routes `/fleet` and `/services/<name>/upstreams`.
 */
 export function createFleetRoutes(context: HostContext, options: FleetRouteOptions): readonly AdminRoute[] {
 	return [
@@ -71,7 +71,7 @@
 }
 
 /**
-What this host knows of an upstream.
+Upstream in an answer of the admin port and of `upstreams.list`; all fields are sent.
 */
 type UpstreamRow = {
 	readonly id: core.UpstreamId;
@@ -130,7 +130,7 @@
 }
 
 /**
-Registers the method by which a carrier lists its upstreams for other hosts.
+Registers the method `upstreams.list`, by which a carrier lists its upstreams for other hosts.
 */
 export function registerUpstreamList(
 	context: HostContext,
--- a/packages/wagtailroute-host/src/forwarding-port.ts
+++ b/packages/wagtailroute-host/src/forwarding-port.ts
@@ -1,8 +1,8 @@
 /**
-A service that this host does not carry: requests go to a host that does, once.
+Port of a service that this host does not carry: forwards requests to a carrier, which does not forward them again.
 
-Callers that keep an old answer of the directory, or never ask it, are still served truthfully; admission, limits and the
-idempotency records are the carrier's.
+Callers that use an old answer of the directory, or none, are served too. The carrier does the admission and applies the
+limits and the idempotency records.
 */
 import type * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
@@ -12,7 +12,7 @@
 import {createRetryPort} from './retry-port.ts';
 
 /**
-Creates the port of a service that other hosts carry.
+Creates the port of a service that other hosts carry. Its targets are hosts in place of upstreams.
 */
 export function createForwardingPort(context: HostContext, entry: catalogue.Entry): proxy.ServicePort {
 	const retry = createRetryPort(entry.limits.retryRatio, context.now, () => 0);
@@ -41,7 +41,7 @@
 }
 
 /**
-Suspected carriers are used only when no other is left.
+Returns the other carriers that are alive, or the remaining ones when none is.
 */
 function getRunningCarriers(context: HostContext, service: core.ServiceName): readonly Member[] {
 	const members = context.store.read(state => (state.carriers.get(service) ?? [])
--- a/packages/wagtailroute-host/src/host.ts
+++ b/packages/wagtailroute-host/src/host.ts
@@ -1,5 +1,5 @@
 /**
-One host of the fleet: its parts put together, started, drained and stopped.
+Composition of one host process: creates its parts, connects them, and starts, drains and stops them.
 */
 import * as crypto from 'node:crypto';
 import * as process from 'node:process';
@@ -44,23 +44,26 @@
 */
 export type Host = {
 	/**
-	Leaves the directory, finishes every request in flight and stops.
+	Withdraws the host from the directory, waits for the requests in flight and stops. Takes up to an hour while requests run.
 	*/
 	readonly stop: () => Promise<void>;
 };
 
 /**
-What tests may replace.
+Parts of a host that tests may replace.
 */
 export type HostFakes = {
 	/**
-	Drops what this host sends to an address.
+	Returns whether messages of this host to an address are dropped.
 	*/
 	readonly isCut?: (to: core.Address) => boolean;
 	/**
-	Disk of the control role.
+	Disk of the control role; the real one when absent.
 	*/
 	readonly disk?: replication.Disk;
+	/**
+	Called in place of ending the process after a defect.
+	*/
 	readonly onDefect?: (error: Error) => void;
 };
 
@@ -72,7 +75,7 @@
 };
 
 /**
-Starts a host. Resolves when it answers on its ports.
+Starts a host. Resolves when its ports are open; rejects when a port cannot be opened.
 */
 export async function runHost(settings: HostSettings, fakes: HostFakes = {}): Promise<Host> {
 	const context = await createContext(settings, fakes);
@@ -116,11 +119,11 @@
 		...createFleetRoutes(context, {announcer, upstreamHealth: detection, control}),
 		burnReporter.route,
 	], () => control?.getFailures() ?? {});
-	log.info('Host started.', {id: settings.hostId, traffic: core.formatAddress(settings.trafficAddress)});
+	log.info('The host started.', {id: settings.hostId, traffic: core.formatAddress(settings.trafficAddress)});
 
 	return {
 		async stop() {
-			log.info('Host draining.', {inFlight: traffic.getInFlight()});
+			log.info('The host drains: it finishes the requests in flight and leaves the directory.', {inFlight: traffic.getInFlight()});
 			context.store.update(() => ({isDraining: true}));
 			membership.drain();
 			await waitForDirectoryExpiry(context);
@@ -132,7 +135,7 @@
 			await admin.close();
 			await context.peer.close();
 			await context.metrics.close();
-			log.info('Host stopped.', {id: settings.hostId});
+			log.info('The host stopped.', {id: settings.hostId});
 		},
 	};
 }
@@ -149,7 +152,7 @@
 	const metrics = createMetrics(settings.hostId, settings.statsd);
 	const checked = checkPeer(opened, ({method, from = 'unknown'}) => {
 		metrics.count('peer.malformed', {method});
-		logs('host').debug('Malformed message of another host refused.', {method, from});
+		logs('host').debug('A malformed message of another host was refused.', {method, from});
 	});
 	return {
 		settings,
@@ -166,7 +169,7 @@
 		repeat: utils.repeat,
 		disk: fakes.disk,
 		fail(error) {
-			logs('host').error('Defect, the process ends.', {error: error.stack});
+			logs('host').error('The host found a defect in itself and ends the process.', {error: error.stack});
 			(fakes.onDefect ?? endProcess)(error);
 		},
 	};
@@ -175,20 +178,20 @@
 const DEFECT_EXIT_CODE = 70;
 
 /**
-A host that serves before it has the catalogue tells callers that there is no such route. It waits a moment for another host
-to answer; when none does, it is the first one, or cut off, and starts with what it has.
+Waits until the catalogue is compared with another host's: a host without the catalogue would answer callers that a route
+does not exist. When no other host answers in time, this host is the first one or cut off, and starts with what it has.
 */
 async function waitForCatalogue(whenCompared: Promise<void>): Promise<void> {
 	await Promise.race([whenCompared, timers.setTimeout(MAX_FIRST_CATALOGUE_WAIT_MILLISECONDS, undefined, {ref: false})]);
 }
 
 function endProcess(): never {
-	// eslint-disable-next-line unicorn/no-process-exit -- A known state is reached only by a new start.
+	// eslint-disable-next-line unicorn/no-process-exit -- Only a restart brings the process to a known state.
 	process.exit(DEFECT_EXIT_CODE);
 }
 
 /**
-Writes one line a minute at most: whoever holds a wrong secret tries again and again.
+Returns a function that logs a refused connection at most once a minute: a peer with a wrong secret reconnects all the time.
 */
 function createRefusalLog(log: Log): () => void {
 	let writtenAt = -Infinity;
@@ -198,13 +201,13 @@
 		}
 
 		writtenAt = performance.now();
-		log.warn('A connection with another fleet secret was refused.');
+		log.warn('A connection of a peer with a wrong fleet secret was refused.');
 	};
 }
 
 /**
-Callers keep the directory's answer for its time to live and come here meanwhile; a host that closed its port at once would
-cut them off. Without other hosts there is nobody they could go to, so there is nothing to wait for.
+Waits until no caller holds an unexpired answer of the directory that names this host: until then callers still connect
+here. Without another entry host the directory names no other address, so waiting would not help.
 */
 async function waitForDirectoryExpiry(context: HostContext): Promise<void> {
 	const others = getOtherMembers(context).filter(member => member.roles.includes('entry'));
--- a/packages/wagtailroute-host/src/in-force.ts
+++ b/packages/wagtailroute-host/src/in-force.ts
@@ -1,5 +1,6 @@
 /**
-Which hosts have a revision in force. Every host is asked: a host that merely seemed to have it would be a false promise.
+Finds the hosts that have a revision of the catalogue in force. Every host is asked, because an assumption could report a
+change as complete that is not.
 */
 import type * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
@@ -7,7 +8,7 @@
 import {getOtherMembers, type HostContext, type Member} from './context.ts';
 
 /**
-Hosts by whether they have a revision in force; one that does not answer is counted as lacking it.
+Hosts by whether they have a revision in force; one that does not answer is listed in `lack`.
 */
 export type InForceHosts = {
 	readonly have: readonly core.HostId[];
@@ -15,7 +16,7 @@
 };
 
 /**
-Asks all running hosts.
+Asks all running hosts, a bounded number at a time. Both lists are sorted.
 */
 export async function findInForce(context: HostContext, revision: catalogue.Revision): Promise<InForceHosts> {
 	const others = [...getOtherMembers(context)];
@@ -26,7 +27,7 @@
 
 	const checkNext = async () => {
 		for (let member = others.pop(); member !== undefined; member = others.pop()) {
-			// eslint-disable-next-line no-await-in-loop -- Each of the askers takes one host after the other.
+			// eslint-disable-next-line no-await-in-loop -- Each of the concurrent runs asks one host after the other.
 			(await hasRevision(context, member, revision) ? have : lack).push(member.id);
 		}
 	};
--- a/packages/wagtailroute-host/src/index.ts
+++ b/packages/wagtailroute-host/src/index.ts
@@ -1,5 +1,5 @@
 /**
-One host of the fleet, and the whole fleet in one process for a first look.
+Runs one host of the fleet, or a development fleet in one process.
 */
 export {type Host, type HostFakes, runHost} from './host.ts';
 export {type DevSettings, runDev} from './dev.ts';
--- a/packages/wagtailroute-host/src/logs.ts
+++ b/packages/wagtailroute-host/src/logs.ts
@@ -1,16 +1,16 @@
 /**
-Logs: short sentences with a fixed prefix for each part, as text or JSON on standard error.
+Logs: one sentence a line, with the part of the host and fields, as text or JSON on standard error.
 */
 import * as process from 'node:process';
 import * as winston from 'winston';
 
 /**
-The parts of a host.
+Part of a host, written as the field `part` of a line.
 */
 export type LogPart = 'host' | 'membership' | 'control' | 'catalogue' | 'announcements' | 'traffic' | 'admin' | 'records' | 'detection';
 
 /**
-Details of a line, for programs.
+Fields of a line, for programs.
 */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
@@ -36,10 +36,10 @@
 } as const;
 
 /**
-Creates the logs of a host.
+Creates the logs of a host and returns the function that gives the log of a part.
 */
 export function createLogs(settings: {readonly logFormat: 'text' | 'json'; readonly logLevel: string}): (part: LogPart) => Log {
-	// Several hosts in one process share the stream.
+	// Several hosts in one process share the stream, which needs the listener once.
 	process.stderr.off('error', dropLine);
 	process.stderr.on('error', dropLine);
 	const logger = winston.createLogger({
@@ -64,9 +64,9 @@
 }
 
 /**
-Drops a line that could not be written. On a full disk each write of a log fails; an error that nobody listens to ends the
-process, so that hosts which need no disk at all would end one after the other. Lines come again when there is room.
+Ignores the error of a line that could not be written. On a full disk each write of a log fails, and an error event without a
+listener ends the process, so even hosts that need no disk would end. Writing resumes when there is room.
 */
 function dropLine(): void {
-	// There is nowhere left to tell it.
+	// There is nowhere else to report the error.
 }
--- a/packages/wagtailroute-host/src/metrics.ts
+++ b/packages/wagtailroute-host/src/metrics.ts
@@ -1,11 +1,11 @@
 /**
-Metrics by StatsD over UDP; without an address in the settings nothing is sent.
+Metrics, sent with StatsD over UDP; without an address in the settings nothing is sent.
 */
 import * as hotShots from 'hot-shots';
 import type * as core from 'wagtailroute-core';
 
 /**
-The metrics of a host.
+Counters, timings in milliseconds and gauges, with tags by name.
 */
 export type Metrics = {
 	readonly count: (name: string, tags?: Readonly<Record<string, string>>) => void;
@@ -22,7 +22,7 @@
 };
 
 /**
-Creates the metrics of a host.
+Creates the metrics of a host, which is tagged on all of them. Errors of sending are ignored.
 */
 export function createMetrics(host: core.HostId, address: core.Address | undefined): Metrics {
 	if (address === undefined) {
@@ -34,7 +34,7 @@
 		port: address.port,
 		prefix: 'wagtailroute.',
 		globalTags: {host},
-		// Lines are collected for a second: one datagram a request would cost more than the request's routing.
+		// Lines are sent once a second: a datagram per request would cost more than routing the request.
 		maxBufferSize: 1400,
 		bufferFlushInterval: 1000,
 		errorHandler: () => undefined,
--- a/packages/wagtailroute-host/src/problems.ts
+++ b/packages/wagtailroute-host/src/problems.ts
@@ -6,7 +6,7 @@
 import * as proxy from 'wagtailroute-proxy';
 
 /**
-Members of a problem document beside the usual ones.
+Extension members of a problem document.
 */
 export type ProblemFields = Readonly<Record<string, string | number>>;
 
@@ -24,7 +24,7 @@
 ]);
 
 /**
-Answers with a problem document. Nothing was changed unless `outcome` says otherwise.
+Answers with a problem document. The field `outcome` is 'not-run' unless given.
 */
 export function answerProblem(
 	response: http.ServerResponse,
@@ -52,7 +52,7 @@
 }
 
 /**
-Answers that there is no such entry.
+Answers 404 for a name that is not in the catalogue.
 */
 export function answerUnknownEntry(response: http.ServerResponse, name: string): void {
 	answerProblem(response, 404, core.createFailure('entry-unknown', `There is no entry ${name}.`), {revision: 0});
--- a/packages/wagtailroute-host/src/reserved-paths.ts
+++ b/packages/wagtailroute-host/src/reserved-paths.ts
@@ -1,5 +1,5 @@
 /**
-The paths that the fleet answers itself on the traffic port: the directory for callers, announcements of backend servers.
+Paths that the fleet answers itself on the traffic port: the directory for callers, announcements of backend servers.
 */
 import type * as http from 'node:http';
 import * as announcements from 'wagtailroute-announcements';
@@ -16,7 +16,7 @@
 const UPSTREAM_PATTERN = /^\/\.wagtailroute\/services\/(?<service>[^\/]+)\/upstreams\/(?<id>[^\/]+)$/v;
 
 /**
-Creates the handler of the reserved paths.
+Creates the handler of the paths below `/.wagtailroute/`.
 */
 export function createReservedPathHandler(
 	context: HostContext,
@@ -76,7 +76,7 @@
 }
 
 /**
-Text that is not JSON is refused by the schema like any other value that is no announcement.
+Parses a body; returns undefined for text that is not JSON, which the schema of announcements refuses.
 */
 function parseJson(text: string): unknown {
 	try {
@@ -86,6 +86,9 @@
 	}
 }
 
+/**
+Parameters of the path of an upstream.
+*/
 type UpstreamPath = {readonly service: core.ServiceName; readonly id: core.UpstreamId};
 
 type UpstreamHandler = (
--- a/packages/wagtailroute-host/src/retry-port.ts
+++ b/packages/wagtailroute-host/src/retry-port.ts
@@ -1,21 +1,21 @@
 /**
-The retry budget of one service on this host.
+Retry budget of one service on this host.
 */
 import type * as proxy from 'wagtailroute-proxy';
 import * as retries from 'wagtailroute-retries';
 
 /**
-The port with its budget.
+Port of the retries of one service, with the method that fills its budget.
 */
 export type RetryPort = proxy.RetryPort & {
 	/**
-	Adds what a new request of a caller allows.
+	Adds the retry tokens that a new request of a caller earns: `retryRatio`.
 	*/
 	readonly creditRequest: () => void;
 };
 
 /**
-Creates the port.
+Creates the port with a new budget. `now` returns monotonic milliseconds.
 */
 export function createRetryPort(retryRatio: number, now: () => number, getUsualMilliseconds: () => number): RetryPort {
 	let budget = retries.createRetryBudget(now());
--- a/packages/wagtailroute-host/src/samples.ts
+++ b/packages/wagtailroute-host/src/samples.ts
@@ -1,9 +1,9 @@
 /**
-The sample catalogue of the first look: an archive that is read and changed, and a media service that takes uploads.
+Sample catalogue of the development fleet: an archive that is read and changed, and a media service that accepts uploads.
 */
 
 /**
-Entries as an operator would write them.
+Catalogue entries in the format of an operator's file.
 */
 export const SAMPLE_ENTRIES = [
 	{
--- a/packages/wagtailroute-host/src/service-admission.ts
+++ b/packages/wagtailroute-host/src/service-admission.ts
@@ -1,6 +1,6 @@
 /**
-Admission to a service on this host: the pure decisions of the admission package with their waiting requests, within this
-host's shares of the fleet-wide limits.
+Admission to a service on this host: runs the admission controller with its queued requests, within this host's shares of
+the fleet-wide limits.
 */
 import * as admission from 'wagtailroute-admission';
 import type * as catalogue from 'wagtailroute-catalogue';
@@ -18,11 +18,11 @@
 	readonly admit: proxy.ServicePort['admit'];
 	readonly release: proxy.ServicePort['release'];
 	/**
-	Milliseconds that an answer usually takes.
+	Usual latency of an answer of the service, in milliseconds.
 	*/
 	readonly getUsualMilliseconds: () => number;
 	/**
-	Follows the slots of all upstreams and the number of carriers that share them.
+	Sets the slots of all upstreams together, and the number of carriers that share them.
 	*/
 	readonly setCapacity: (slots: number, carriers: number) => void;
 	readonly stop: utils.Teardown;
@@ -39,7 +39,7 @@
 type CompleteAdmission = (failure: proxy.RequestFailure | undefined) => void;
 
 /**
-Creates the admission of a service.
+Creates the admission of a service and opens its shares of the limits.
 */
 export function createServiceAdmission(context: HostContext, entry: catalogue.Entry, sharing: Sharing): ServiceAdmission {
 	const {now} = context;
@@ -94,7 +94,7 @@
 			if (complete !== undefined) {
 				complete(result.kind === 'admitted' ? undefined : createRefusalFailure(entry.name, result));
 			} else if (result.kind === 'admitted') {
-				// Its caller left just before it was its turn.
+				// The request was cancelled just before it was admitted.
 				release({organisation: ticket.organisation, latencyMilliseconds: 0, ending: 'failed'});
 			}
 		}
@@ -154,13 +154,14 @@
 		},
 		stop() {
 			shares.close();
-			// What still waits is served or refused by its own ticks, which end when nothing waits.
+			// Queued requests are still admitted or refused by the ticks, which end when the queue is empty.
 		},
 	};
 }
 
 /**
-The first requests of a service wait until its shares are there: refused, they would be refused by a fleet that is idle.
+Holds the first requests of a service until its shares of the limits are known; without shares, an idle fleet would refuse
+them.
 */
 function waitForShares(
 	ready: Promise<void>,
@@ -198,8 +199,8 @@
 }
 
 /**
-This host's part of the limits. It may use more than its even part of the slots, since not all carriers are busy at once;
-the upstreams' own sheds bound what that costs. The shares are never exceeded.
+Returns this host's part of the limits. It may use more than its even part of the slots, since not all carriers are busy at
+once, and an upstream sheds what exceeds its slots. The shares are never exceeded.
 */
 function computeLimits(
 	limits: catalogue.Limits,
@@ -207,7 +208,7 @@
 	{slots, carriers}: {readonly slots: number; readonly carriers: number},
 ): admission.AdmissionLimits {
 	return {
-		// Without upstreams a request is let through, to be told so.
+		// Without upstreams a request is admitted, so that it is answered that there is none.
 		concurrency: Math.min(Math.floor(shares.concurrency), Math.max(1, slots)),
 		slots: Math.ceil(slots / carriers),
 		ratePerSecond: shares.ratePerSecond,
--- a/packages/wagtailroute-host/src/services.ts
+++ b/packages/wagtailroute-host/src/services.ts
@@ -1,8 +1,8 @@
 /**
-What this host holds of each service it carries or forwards: admission, choice of an upstream, retry budget.
+State of each service that this host carries or forwards: admission, choice of an upstream, retry budget.
 
-The tables of one service are made on its first request and kept until its entry changes hands or goes. A request finds
-them by name; nothing here depends on the number of services.
+The state of a service is created by its first request and kept until its catalogue entry changes or is removed. A request
+looks it up by name, so its cost does not depend on the number of services.
 */
 import type * as announcements from 'wagtailroute-announcements';
 import type * as catalogue from 'wagtailroute-catalogue';
@@ -18,28 +18,28 @@
 import type {Sharing} from './sharing.ts';
 
 /**
-The services of a host.
+Services that this host carries or forwards.
 */
 export type Services = {
 	/**
-	Finds the route of a request and what this host holds for its service.
+	Finds the route of a request and the port of its service; returns a failure when there is none.
 	*/
 	readonly route: (request: proxy.CallerRequest) => proxy.RoutedRequest | proxy.RequestFailure;
 	readonly teardown: utils.Teardown;
 };
 
 /**
-Verdicts of detection on the upstreams of a service.
+Health of upstreams according to detection, and the attempts that detection learns it from.
 */
 export type UpstreamHealth = {
 	readonly getEjectionState: (service: core.ServiceName, upstream: core.UpstreamId) => selection.EjectionState;
 	readonly isAvoided: (service: core.ServiceName, upstream: core.UpstreamId) => boolean;
 	/**
-	Monotonic time at which an upstream's ramp began; undefined when it is warm.
+	Monotonic milliseconds at which an upstream's slow-start ramp began; undefined when it is warm.
 	*/
 	readonly getRampStart: (service: core.ServiceName, upstream: core.UpstreamId) => number | undefined;
 	/**
-	Told when an attempt begins; its end comes to `record` with the same target.
+	Records the begin of an attempt; its end is passed to `recordAttempt` with the same target.
 	*/
 	readonly beginAttempt: (service: core.ServiceName, target: proxy.Target) => void;
 	readonly recordAttempt: (service: core.ServiceName, report: proxy.AttemptReport) => void;
@@ -54,7 +54,7 @@
 };
 
 /**
-Starts the part.
+Creates the lookup of services and keeps it up to date with catalogue, carriers, announcements and upstream health.
 */
 export function startServices(
 	context: HostContext,
@@ -200,7 +200,7 @@
 					latencyMilliseconds: report.latencyMilliseconds,
 					result: SELECTION_RESULTS[report.ending],
 				});
-				// A server that a request has crashed is not sick: ejected for it, it would be lost twice.
+				// A crash is the fault of the request, so it must not count towards the ejection of the server.
 				upstreamHealth.recordAttempt(entry.name, report.hasCrashed ? {...report, ending: 'cancelled'} : report);
 			},
 			retry,
--- a/packages/wagtailroute-host/src/settings.ts
+++ b/packages/wagtailroute-host/src/settings.ts
@@ -1,10 +1,10 @@
 /**
-The settings of a host, as the command line hands them over: checked already.
+Settings of a host, as parsed and validated by the command line.
 */
 import type * as core from 'wagtailroute-core';
 
 /**
-What a host does: `entry` serves callers, `control` keeps the replicated state on its disk.
+Role of a host: `entry` serves callers, `control` stores the replicated state on its disk.
 */
 export type HostRole = 'entry' | 'control';
 
@@ -22,7 +22,7 @@
 	readonly seeds: readonly core.Address[];
 	readonly dataFolder?: string;
 	/**
-	The first control members; a data folder that holds state goes before it.
+	Initial control members; ignored when the data folder holds state.
 	*/
 	readonly initialControl: ReadonlyArray<{readonly id: core.HostId; readonly address: core.Address}>;
 	readonly operatorToken: string;
@@ -30,7 +30,7 @@
 	readonly logFormat: 'text' | 'json';
 	readonly logLevel: 'error' | 'warn' | 'info' | 'debug';
 	/**
-	Where metrics go by UDP; none when absent.
+	UDP address that metrics are sent to; without it none are sent.
 	*/
 	readonly statsd?: core.Address;
 };
