--- a/packages/wagtailroute-host/src/announcer.ts
+++ b/packages/wagtailroute-host/src/announcer.ts
@@ -37,7 +37,7 @@
 */
 export type Announcer = {
 	/**
-	Applies a request of an upstream, or forwards it to a host that carries the service.
+	Applies a request of an upstream when this host carries the service, otherwise forwards it to a host that does.
 	*/
 	readonly submit: (request: AnnouncementRequest) => Promise<results.Result<void, AnnouncerFailure>>;
 	readonly getUpstreams: (service: core.ServiceName) => readonly announcements.Upstream[];
@@ -45,11 +45,17 @@
 	readonly teardown: utils.Teardown;
 };
 
+/**
+Sent as `announcements.message`.
+*/
 type Envelope = {
 	readonly from: core.HostId;
 	readonly message: announcements.Message;
 };
 
+/**
+Answer of `announcements.tell`.
+*/
 type AnnouncementResponse = {readonly failure?: AnnouncerFailure};
 
 /**
--- a/packages/wagtailroute-host/src/burn-copy-sender.ts
+++ b/packages/wagtailroute-host/src/burn-copy-sender.ts
@@ -17,7 +17,7 @@
 import {getOtherMembers, type HostContext, type Member} from './context.ts';
 
 /**
-Sends copies of this host's counts at an interval.
+Sends copies of this host's counts to their holders at an interval.
 */
 export type BurnCopySender = {
 	/**
@@ -42,7 +42,7 @@
 		// No host renews the copies of a host that is gone, so every holder sends its copy to the present holders.
 		const orphans = held.list().filter(({subject}) => !running.has(subject.id));
 		for (const orphan of orphans) {
-			// eslint-disable-next-line no-await-in-loop -- One after the other, so that large copies do not meet.
+			// eslint-disable-next-line no-await-in-loop -- One after the other, so that only one large copy is in flight.
 			await sender.send(orphan, false);
 		}
 	};
@@ -120,7 +120,7 @@
 		const after = new Map<string, number>();
 		for (const holder of findHolders(source.subject)) {
 			const key = `${holder.id} ${holder.boot}`;
-			// eslint-disable-next-line no-await-in-loop -- One after the other, so that large copies do not meet.
+			// eslint-disable-next-line no-await-in-loop -- One after the other, so that only one large copy is in flight.
 			const next = await sendTo(source, isOwn, holder, before?.get(key));
 			if (next !== undefined) {
 				after.set(key, next);
@@ -183,11 +183,11 @@
 */
 async function fetchCopySizes(context: HostContext, candidates: readonly Member[]): Promise<readonly CopySize[]> {
 	const host = context.settings.hostId;
-	const offers = await Promise.all(candidates.map(async holder => {
+	const sizes = await Promise.all(candidates.map(async holder => {
 		const answer = await context.peer.call(holder.peerAddress, 'report.total', {host}, CALL_TIMEOUT_MILLISECONDS);
 		return answer.isOk() ? [{holder, total: answer.value as number}] : [];
 	}));
-	return offers.flat();
+	return sizes.flat();
 }
 
 async function fetchCopy(context: HostContext, holder: Member): Promise<report.Copy | undefined> {
--- a/packages/wagtailroute-host/src/host.ts
+++ b/packages/wagtailroute-host/src/host.ts
@@ -219,7 +219,7 @@
 	await timers.setTimeout(ttl + DRAIN_MARGIN_MILLISECONDS);
 }
 
-function createRequestRecorder(context: HostContext, countBurn: (note: proxy.RequestReport) => void): (note: proxy.RequestReport) => void {
+function createRequestRecorder(context: HostContext, countBurn: (report: proxy.RequestReport) => void): (report: proxy.RequestReport) => void {
 	return report => {
 		countBurn(report);
 		const tags = {service: report.service, outcome: report.outcome, status: String(report.status)};
--- a/packages/wagtailroute-host/src/problems.ts
+++ b/packages/wagtailroute-host/src/problems.ts
@@ -24,7 +24,7 @@
 ]);
 
 /**
-Answers with a problem document. The field `outcome` is 'not-run' unless given.
+Answers with a problem document. The outcome is 'not-run', nothing was changed, unless `fields` holds another one.
 */
 export function answerProblem(
 	response: http.ServerResponse,
--- a/packages/wagtailroute-host/src/service-admission.ts
+++ b/packages/wagtailroute-host/src/service-admission.ts
@@ -36,6 +36,9 @@
 	'deadline-before-send': 'deadline-before-send',
 };
 
+/**
+Ends the wait of a queued request; without a failure it is admitted.
+*/
 type CompleteAdmission = (failure: proxy.RequestFailure | undefined) => void;
 
 /**
--- a/packages/wagtailroute-host/src/services.ts
+++ b/packages/wagtailroute-host/src/services.ts
@@ -29,7 +29,7 @@
 };
 
 /**
-Health of upstreams according to detection, and the attempts that detection learns it from.
+Health of upstreams according to detection, and the reports of attempts that detection derives it from.
 */
 export type UpstreamHealth = {
 	readonly getEjectionState: (service: core.ServiceName, upstream: core.UpstreamId) => selection.EjectionState;
@@ -46,6 +46,9 @@
 	readonly registerChangeListener: (listener: (service: core.ServiceName) => void) => utils.Teardown;
 };
 
+/**
+State of a service that this host carries; `refresh` applies changed upstreams, carriers or health.
+*/
 type CarriedService = {
 	readonly port: proxy.ServicePort;
 	readonly refresh: () => void;
