--- a/packages/wagtailroute-host/src/carriers.ts
+++ b/packages/wagtailroute-host/src/carriers.ts
@@ -2,8 +2,8 @@
 Keeps the carriers of each service, updated incrementally from the members and the catalogue.
 
 Every host computes them alone, with the same result as soon as all know the same members and catalogue. While they differ,
-a request may take one more hop or be answered not-run, but no answer is wrong. The number of carriers depends on the catalogue entry
-and the number of hosts only, since all hosts must agree on it.
+a request may take one more hop or be answered not-run, but no answer is wrong. The number of carriers depends on the
+catalogue entry and the number of hosts only, since all hosts must agree on it.
 */
 import * as assignment from 'wagtailroute-assignment';
 import type * as catalogue from 'wagtailroute-catalogue';
