--- a/packages/wagtailroute-cli/src/__tests__/unit/surroundings.ts
+++ b/packages/wagtailroute-cli/src/__tests__/unit/cli-runner.ts
@@ -1,22 +1,22 @@
 /**
-Runs the command line inside the test and keeps what it prints.
+Runs the command line inside the process of a test and captures its output.
 */
 import * as stream from 'node:stream';
 import * as cli from '../../cli.ts';
 
-export type Run = {
+export type CliRun = {
 	readonly code: number;
 	readonly output: string;
 	readonly errors: string;
 };
 
 /**
-Runs the words under the variables.
+Runs the arguments with the given environment variables.
 */
-export async function run(words: readonly string[], environment: Readonly<Record<string, string>> = {}): Promise<Run> {
+export async function runCli(argv: readonly string[], environment: Readonly<Record<string, string>> = {}): Promise<CliRun> {
 	const output: string[] = [];
 	const errors: string[] = [];
-	const code = await cli.runCli(words, {
+	const code = await cli.runCli(argv, {
 		environment,
 		stdin: stream.Readable.from([]),
 		stdout: createSink(output),
--- a/packages/wagtailroute-cli/src/__tests__/unit/running.test.ts
+++ b/packages/wagtailroute-cli/src/__tests__/unit/running.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests of the life of a host under the command line.
+Tests of starting and stopping a host from the command line.
 */
 import * as stream from 'node:stream';
 import test from 'ava';
@@ -14,20 +14,20 @@
 
 const CASES: readonly Case[] = [
 	{
-		name: 'a signal drains a host that runs', start: 'ends', events: ['start', 'run: ready\n', 'stop'], result: 'ok',
+		name: 'a signal drains a running host', start: 'ends', events: ['start', 'run: ready\n', 'stop'], result: 'ok',
 	},
 	{
 		name: 'a signal ends a host whose start hangs', start: 'hangs', events: ['start'], result: 'ok',
 	},
 	{
-		name: 'an address in use is told', start: 'fails', events: ['start'], result: 'stopped: address in use',
+		name: 'an address in use is reported', start: 'fails', events: ['start'], result: 'stopped: address in use',
 	},
 	{
 		name: 'a defect is thrown with its stack', start: 'is broken', events: ['start'], result: 'thrown',
 	},
 ];
 
-const STARTS: Readonly<Record<Case['start'], (stop: () => Promise<void>) => Promise<running.Running>>> = {
+const STARTS: Readonly<Record<Case['start'], (stop: () => Promise<void>) => Promise<running.RunningHost>>> = {
 	ends: async stop => ({stop}),
 	hangs: async () => new Promise(() => {
 		// Never resolved.
@@ -63,8 +63,8 @@
 		setImmediate(() => {
 			signal.resolve(undefined);
 		});
-		const told = await run().catch(() => 'thrown');
-		t.is(told, result);
+		const outcome = await run().catch(() => 'thrown');
+		t.is(outcome, result);
 		t.deepEqual(seen, [...events]);
 	});
 }
--- a/packages/wagtailroute-cli/src/__tests__/unit/settings.test.ts
+++ b/packages/wagtailroute-cli/src/__tests__/unit/settings.test.ts
@@ -1,9 +1,9 @@
 /**
-Tests of flags, environment variables and the line that a bad one is answered with.
+Tests of flags, environment variables and the error line for an invalid one.
 */
 import test from 'ava';
 import * as settings from '../../settings.ts';
-import * as surroundings from './surroundings.ts';
+import * as cliRunner from './cli-runner.ts';
 
 const HOST_FLAGS = {
 	hostId: 'h1',
@@ -66,63 +66,63 @@
 ];
 
 for (const {name, given, environment, expected} of GOOD_CASES) {
-	test(`the settings of a host take ${name}`, t => {
+	test(`the host settings accept ${name}`, t => {
 		const read = settings.readSettings(settings.HOST_SETTINGS, {...HOST_FLAGS, ...given}, environment ?? {});
 		t.deepEqual(read.unwrap() as object, {...HOST_SETTINGS, ...expected});
 	});
 }
 
-const BAD_HOST_CASES: ReadonlyArray<{readonly given: settings.GivenFlags; readonly told: string}> = [
-	{given: {hostId: undefined}, told: '--host-id'},
-	{given: {hostId: 'a b'}, told: '"a b"'},
-	{given: {roles: 'entry,entry'}, told: 'entry, control or entry,control'},
-	{given: {roles: ''}, told: '--roles'},
-	{given: {roles: 'control'}, told: '--data-folder'},
-	{given: {peerAddress: '127.0.0.1:65536'}, told: 'ip:port'},
-	{given: {peerAddress: 'localhost:1'}, told: '"localhost:1"'},
-	{given: {seeds: '127.0.0.1'}, told: '--seeds'},
-	{given: {initialControl: 'c1:10.0.0.1:1'}, told: 'id=ip:port'},
-	{given: {fleetSecret: 'two words'}, told: '(hidden)'},
+const BAD_HOST_CASES: ReadonlyArray<{readonly given: settings.GivenFlags; readonly expectedError: string}> = [
+	{given: {hostId: undefined}, expectedError: '--host-id'},
+	{given: {hostId: 'a b'}, expectedError: '"a b"'},
+	{given: {roles: 'entry,entry'}, expectedError: 'entry, control or entry,control'},
+	{given: {roles: ''}, expectedError: '--roles'},
+	{given: {roles: 'control'}, expectedError: '--data-folder'},
+	{given: {peerAddress: '127.0.0.1:65536'}, expectedError: 'ip:port'},
+	{given: {peerAddress: 'localhost:1'}, expectedError: '"localhost:1"'},
+	{given: {seeds: '127.0.0.1'}, expectedError: '--seeds'},
+	{given: {initialControl: 'c1:10.0.0.1:1'}, expectedError: 'id=ip:port'},
+	{given: {fleetSecret: 'two words'}, expectedError: '(hidden)'},
 ];
 
-for (const {given, told} of BAD_HOST_CASES) {
-	test(`the host settings ${JSON.stringify(given)} are refused and ${told} is told`, t => {
+for (const {given, expectedError} of BAD_HOST_CASES) {
+	test(`the host settings ${JSON.stringify(given)} are refused with an error that contains ${expectedError}`, t => {
 		const read = settings.readSettings(settings.HOST_SETTINGS, {...HOST_FLAGS, ...given}, {});
-		t.true(read.unwrapErr().message.includes(told), read.unwrapErr().message);
+		t.true(read.unwrapErr().message.includes(expectedError), read.unwrapErr().message);
 		t.false(read.unwrapErr().message.includes('two words'));
 	});
 }
 
 type BadCase = {
-	readonly words: readonly string[];
+	readonly argv: readonly string[];
 	readonly environment?: Readonly<Record<string, string>>;
-	readonly told: readonly string[];
+	readonly expectedParts: readonly string[];
 };
 
 const BAD_CASES: readonly BadCase[] = [
-	{words: [], told: ['command', '""', 'dev']},
-	{words: ['serve'], told: ['command', '"serve"', 'run']},
-	{words: ['dev', '--trafic-port', '1'], told: ['--trafic-port', '"1"', '--traffic-port']},
-	{words: ['dev', '--trafic-port=1'], told: ['--trafic-port', '"1"', '--traffic-port']},
-	{words: ['dev', '--traffic-port', 'abc'], told: ['--traffic-port', '"abc"', '0 to 65535']},
-	{words: ['dev', '--traffic-port'], told: ['--traffic-port', '""', '0 to 65535']},
-	{words: ['dev', 'more'], told: ['more', 'wagtailroute dev']},
-	{words: ['catalogue', 'show'], told: ['<NAME>']},
-	{words: ['report', 'burn', '--window', '0h'], told: ['--window', '"0h"', '1h']},
-	{words: ['catalogue', 'list', '--format', 'html'], told: ['--format', '"html"', 'text or json']},
-	{words: ['catalogue', 'apply', 'no-such-file.yaml'], told: ['FILE', 'no-such-file.yaml']},
-	{words: ['dev'], environment: createEnvironment('ADMIN_PORT', '-1'), told: ['WAGTAILROUTE_ADMIN_PORT', '"-1"', '0 to 65535']},
-	{words: ['dev'], environment: createEnvironment('COLOUR', 'red'), told: ['WAGTAILROUTE_COLOUR', '"red"', 'WAGTAILROUTE_REGION']},
-	{words: ['dev'], environment: createEnvironment('OPERATOR_TOKN', 'red'), told: ['WAGTAILROUTE_OPERATOR_TOKN', '(hidden)']},
+	{argv: [], expectedParts: ['command', '""', 'dev']},
+	{argv: ['serve'], expectedParts: ['command', '"serve"', 'run']},
+	{argv: ['dev', '--trafic-port', '1'], expectedParts: ['--trafic-port', '"1"', '--traffic-port']},
+	{argv: ['dev', '--trafic-port=1'], expectedParts: ['--trafic-port', '"1"', '--traffic-port']},
+	{argv: ['dev', '--traffic-port', 'abc'], expectedParts: ['--traffic-port', '"abc"', '0 to 65535']},
+	{argv: ['dev', '--traffic-port'], expectedParts: ['--traffic-port', '""', '0 to 65535']},
+	{argv: ['dev', 'more'], expectedParts: ['more', 'wagtailroute dev']},
+	{argv: ['catalogue', 'show'], expectedParts: ['<NAME>']},
+	{argv: ['report', 'burn', '--window', '0h'], expectedParts: ['--window', '"0h"', '1h']},
+	{argv: ['catalogue', 'list', '--format', 'html'], expectedParts: ['--format', '"html"', 'text or json']},
+	{argv: ['catalogue', 'apply', 'no-such-file.yaml'], expectedParts: ['FILE', 'no-such-file.yaml']},
+	{argv: ['dev'], environment: createEnvironment('ADMIN_PORT', '-1'), expectedParts: ['WAGTAILROUTE_ADMIN_PORT', '"-1"', '0 to 65535']},
+	{argv: ['dev'], environment: createEnvironment('COLOUR', 'red'), expectedParts: ['WAGTAILROUTE_COLOUR', '"red"', 'WAGTAILROUTE_REGION']},
+	{argv: ['dev'], environment: createEnvironment('OPERATOR_TOKN', 'red'), expectedParts: ['WAGTAILROUTE_OPERATOR_TOKN', '(hidden)']},
 ];
 
-for (const {words, environment, told} of BAD_CASES) {
-	test(`"${words.join(' ')}" ${JSON.stringify(environment ?? {})} ends with 2 and one line`, async t => {
-		const {code, output, errors} = await surroundings.run(words, environment);
+for (const {argv, environment, expectedParts} of BAD_CASES) {
+	test(`"${argv.join(' ')}" ${JSON.stringify(environment ?? {})} exits with 2 and prints one line`, async t => {
+		const {code, output, errors} = await cliRunner.runCli(argv, environment);
 		t.is(code, 2);
 		t.is(output, '');
 		t.is(errors.split('\n').length, 2);
-		for (const part of told) {
+		for (const part of expectedParts) {
 			t.true(errors.includes(part), `${part} is not in ${errors}`);
 		}
 	});
--- a/packages/wagtailroute-cli/src/arguments.ts
+++ b/packages/wagtailroute-cli/src/arguments.ts
@@ -1,6 +1,6 @@
 /**
-Checks the words of the command line against the commands, so that a mistake is told in one line: the word at fault and
-what is accepted in its place.
+Checks the arguments against the commands before the parser does, because an operator gets each error as one line: the
+argument at fault and what is accepted in its place.
 */
 import * as core from 'wagtailroute-core';
 import * as results from 'ts-results-es';
@@ -8,7 +8,7 @@
 import * as flags from './flags.ts';
 
 /**
-A command as it may be written: its path without the program's name, its usage line and its flags.
+The syntax of a command: its path without the name of the program, its usage line and its flags, each with its dashes.
 */
 export type CommandDefinition = {
 	readonly path: readonly string[];
@@ -19,60 +19,60 @@
 const HELP_FLAGS: ReadonlySet<string> = new Set(['--help', '-h', '--version', '-v']);
 
 /**
-Fails for an unknown command and for an unknown flag. The count of positional arguments is left to the parser.
+Fails for an unknown command and for an unknown flag. The parser checks the number of positional arguments.
 */
 export function checkArguments(
-	words: readonly string[],
+	argv: readonly string[],
 	definitions: readonly CommandDefinition[],
 ): results.Result<void, failures.CommandFailure> {
-	if (words.some(word => HELP_FLAGS.has(word))) {
+	if (argv.some(argument => HELP_FLAGS.has(argument))) {
 		return results.Ok(undefined);
 	}
 
-	const definition = findDefinition(words, definitions);
+	const definition = findDefinition(argv, definitions);
 	if (!definition) {
-		return results.Err(core.createFailure('bad-setting', describeUnknownCommand(words, definitions)));
+		return results.Err(core.createFailure('bad-setting', describeUnknownCommand(argv, definitions)));
 	}
 
-	const last = words.at(-1)!;
-	const emptyFlag = flags.findFlag(last);
-	if (emptyFlag && !emptyFlag.isSwitch && definition.flags.includes(last)) {
-		return results.Err(core.createFailure('bad-setting', `${last}: the value "" is not accepted; accepted: ${emptyFlag.accepted}`));
+	const lastArgument = argv.at(-1)!;
+	const flagWithoutValue = flags.findFlag(lastArgument);
+	if (flagWithoutValue && !flagWithoutValue.isSwitch && definition.flags.includes(lastArgument)) {
+		return results.Err(core.createFailure('bad-setting', `${lastArgument}: the value "" is not accepted; accepted: ${flagWithoutValue.accepted}`));
 	}
 
-	const index = words.findIndex(word => word.startsWith('-') && word !== '-' && !definition.flags.includes(getFlagName(word)));
-	return index === -1 ? results.Ok(undefined) : results.Err(core.createFailure('bad-setting', describeUnknownFlag(words, index, definition)));
+	const index = argv.findIndex(argument => argument.startsWith('-') && argument !== '-' && !definition.flags.includes(getFlagName(argument)));
+	return index === -1 ? results.Ok(undefined) : results.Err(core.createFailure('bad-setting', describeUnknownFlag(argv, index, definition)));
 }
 
 /**
-Returns the command that the words begin with.
+Returns the command whose path the arguments start with.
 */
 export function findDefinition(
-	words: readonly string[],
+	argv: readonly string[],
 	definitions: readonly CommandDefinition[],
 ): CommandDefinition | undefined {
-	return definitions.find(({path}) => path.every((part, index) => words[index] === part));
+	return definitions.find(({path}) => path.every((part, index) => argv[index] === part));
 }
 
-function describeUnknownCommand(words: readonly string[], definitions: readonly CommandDefinition[]): string {
+function describeUnknownCommand(argv: readonly string[], definitions: readonly CommandDefinition[]): string {
 	const commands = definitions.map(({path}) => path.join(' ')).toSorted((left, right) => left.localeCompare(right));
-	// What follows a flag is its value, which may be a secret.
-	const flagIndex = words.findIndex(word => word.startsWith('-'));
-	const given = words.slice(0, flagIndex === -1 ? undefined : flagIndex).join(' ');
+	// The arguments after a flag are left out: they may hold its value, which may be a secret.
+	const flagIndex = argv.findIndex(argument => argument.startsWith('-'));
+	const given = argv.slice(0, flagIndex === -1 ? undefined : flagIndex).join(' ');
 	return `command: the value ${JSON.stringify(given)} is not accepted; accepted: ${commands.join(', ')}, --help, --version`;
 }
 
-function describeUnknownFlag(words: readonly string[], index: number, definition: CommandDefinition): string {
-	const word = words[index]!;
-	const next = words[index + 1];
-	const separator = word.indexOf('=');
-	const value = separator === -1 ? next : word.slice(separator + 1);
+function describeUnknownFlag(argv: readonly string[], index: number, definition: CommandDefinition): string {
+	const argument = argv[index]!;
+	const next = argv[index + 1];
+	const separator = argument.indexOf('=');
+	const value = separator === -1 ? next : argument.slice(separator + 1);
 	const given = value === undefined || (separator === -1 && value.startsWith('-')) ? '' : value;
-	// A misspelt name of a secret must not print the secret.
-	const shown = flags.isLikeSecret(getFlagName(word)) ? '(hidden)' : JSON.stringify(given);
-	return `${getFlagName(word)}: an unknown flag, its value ${shown} is not accepted; accepted: ${definition.flags.join(', ')}`;
+	// The flag may be the misspelt name of a secret, whose value must not be printed.
+	const shownValue = flags.isPossibleSecretName(getFlagName(argument)) ? '(hidden)' : JSON.stringify(given);
+	return `${getFlagName(argument)}: an unknown flag, its value ${shownValue} is not accepted; accepted: ${definition.flags.join(', ')}`;
 }
 
-function getFlagName(word: string): string {
-	return word.split('=', 1)[0]!;
+function getFlagName(argument: string): string {
+	return argument.split('=', 1)[0]!;
 }
--- a/packages/wagtailroute-cli/src/binary.ts
+++ b/packages/wagtailroute-cli/src/binary.ts
@@ -1,10 +1,11 @@
 /**
-The entry of the one binary. The binary holds the program as two scripts: one for the command that runs the many processes of a
-fleet on the platform, one for all other commands. Each process reads and compiles only the script that it runs.
+Entry point of the single executable. The executable embeds two scripts: one for the command `platform`, which runs the many
+processes of a fleet on the platform, and one for all other commands. Each process reads and compiles only the script that it
+runs.
 
-A process spends most of its start on compiling. So the binary holds, beside each script, the code that was compiled when the
-binary was built. Code that does not belong to this engine or its flags is rejected by the engine, which then compiles anew: one
-would notice a start that takes twice as long, so it is told.
+Most of the start-up time of a process is compilation. The executable therefore embeds V8's code cache of each script, created
+when the executable is built. V8 rejects a cache that was created by another version or with other flags, and compiles the script
+again. The start then takes twice as long, so a line on stderr reports it.
 */
 import * as buffer from 'node:buffer';
 import * as module from 'node:module';
@@ -12,16 +13,19 @@
 import * as sea from 'node:sea';
 import * as vm from 'node:vm';
 
-type Loader = (require: NodeJS.Require, loaded: {exports: unknown}, exports: unknown) => void;
+/**
+The function that a CommonJS script evaluates to.
+*/
+type ModuleWrapper = (require: NodeJS.Require, moduleObject: {exports: unknown}, exports: unknown) => void;
 
-const PLATFORM_WORD = 'platform';
-const name = process.argv[2] === PLATFORM_WORD ? 'platform' : 'commands';
-const cachedData = buffer.Buffer.from(sea.getRawAsset(`${name}.code`));
-const script = new vm.Script(sea.getAsset(`${name}.cjs`, 'utf8'), {filename: `${name}.cjs`, cachedData});
+const PLATFORM_COMMAND = 'platform';
+const scriptName = process.argv[2] === PLATFORM_COMMAND ? 'platform' : 'commands';
+const cachedData = buffer.Buffer.from(sea.getRawAsset(`${scriptName}.code`));
+const script = new vm.Script(sea.getAsset(`${scriptName}.cjs`, 'utf8'), {filename: `${scriptName}.cjs`, cachedData});
 if (script.cachedDataRejected === true) {
 	process.stderr.write('wagtailroute: the compiled code is not of this engine, the start takes longer\n');
 }
 
-const loaded = {exports: {}};
-const load = script.runInThisContext() as Loader;
-load(module.createRequire(process.execPath), loaded, loaded.exports);
+const moduleObject = {exports: {}};
+const runModule = script.runInThisContext() as ModuleWrapper;
+runModule(module.createRequire(process.execPath), moduleObject, moduleObject.exports);
--- a/packages/wagtailroute-cli/src/changes.ts
+++ b/packages/wagtailroute-cli/src/changes.ts
@@ -1,18 +1,18 @@
 /**
-Changes to the catalogue: compare-and-set under one Change-Id, sent again after a lost answer, then watched until in force.
+Changes to the catalogue: sends a compare-and-set with a Change-Id, retries it after a lost answer, and polls until it is in force.
 */
 import * as timers from 'node:timers/promises';
 import * as core from 'wagtailroute-core';
 import * as results from 'ts-results-es';
 import * as zod from 'zod';
-import * as admin from './admin-client.ts';
+import * as adminClient from './admin-client.ts';
 import * as constants from './constants.ts';
 import type * as failures from './failures.ts';
 
 /**
-A change of one entry. `revision` is the one it replaces; without it, the present one is read first.
+A change of one entry. `revision` is the revision that the change replaces; if it is undefined, the current one is read first.
 */
-export type Change = {
+export type EntryChange = {
 	readonly name: string;
 	readonly changeId: string;
 	/**
@@ -23,32 +23,32 @@
 };
 
 /**
-Which hosts have a revision and which lack it, by host id.
+The ids of the hosts on which a revision is in force, and of those on which it is not.
 */
-export type InForce = {
+export type InForceHosts = {
 	readonly have: readonly string[];
 	readonly lack: readonly string[];
 };
 
-const IN_FORCE = zod.object({have: zod.array(zod.string()), lack: zod.array(zod.string())});
+const IN_FORCE_SCHEMA = zod.object({have: zod.array(zod.string()), lack: zod.array(zod.string())});
 
 /**
 Sends a change and returns the new revision.
 
-The answer may be lost after the change was taken. The resend carries the same Change-Id and the same precondition, so the
-fleet gives the first answer again and the change is made once. Without it the resend would meet its own change and report
-a lost race that never was.
+The answer may be lost after the fleet has committed the change. A retry carries the same Change-Id and the same precondition, so
+the fleet repeats its first answer and makes the change once. With another Change-Id, the retry would fail its precondition
+because of the first attempt, and report a conflict although nobody else changed the entry.
 */
 export async function applyChange(
-	client: admin.AdminClient,
-	change: Change,
+	client: adminClient.AdminClient,
+	change: EntryChange,
 ): Promise<results.Result<number | undefined, failures.CommandFailure>> {
 	const precondition = await getPrecondition(client, change);
 	if (precondition.isErr()) {
 		return precondition;
 	}
 
-	const question: admin.AdminQuestion = {
+	const request: adminClient.AdminRequest = {
 		method: change.body === undefined ? 'DELETE' : 'PUT',
 		path: `/catalogue/${encodeURIComponent(change.name)}`,
 		headers: {
@@ -58,79 +58,79 @@
 		},
 		...change.body !== undefined && {body: change.body},
 	};
-	const answer = await askAgain(client, question);
+	const answer = await sendWithRetries(client, request);
 	return answer.map(({revision}) => revision);
 }
 
 /**
-Asks until no host lacks the entry's present revision, or until the time is over.
+Polls until the current revision of the entry is in force on every host or the timeout has passed. Returns the last result.
 */
 export async function waitUntilInForce(
-	client: admin.AdminClient,
+	client: adminClient.AdminClient,
 	name: string,
-): Promise<results.Result<InForce, failures.CommandFailure>> {
-	const end = performance.now() + constants.IN_FORCE_MILLISECONDS;
+): Promise<results.Result<InForceHosts, failures.CommandFailure>> {
+	const deadline = performance.now() + constants.IN_FORCE_TIMEOUT_MILLISECONDS;
 	for (;;) {
 		// eslint-disable-next-line no-await-in-loop
-		const answer = await client.ask({method: 'GET', path: `/catalogue/${encodeURIComponent(name)}/in-force`});
-		const inForce = answer.andThen(value => admin.parseAnswer(value, IN_FORCE));
+		const answer = await client.sendRequest({method: 'GET', path: `/catalogue/${encodeURIComponent(name)}/in-force`});
+		const inForce = answer.andThen(value => adminClient.parseJsonAnswer(value, IN_FORCE_SCHEMA));
 		const isDone = inForce.isOk() && inForce.value.lack.length === 0;
-		if (isDone || performance.now() >= end) {
+		if (isDone || performance.now() >= deadline) {
 			return inForce;
 		}
 
 		// eslint-disable-next-line no-await-in-loop
-		await timers.setTimeout(constants.IN_FORCE_POLL_MILLISECONDS);
+		await timers.setTimeout(constants.IN_FORCE_POLL_INTERVAL_MILLISECONDS);
 	}
 }
 
 async function getPrecondition(
-	client: admin.AdminClient,
-	change: Change,
-): Promise<results.Result<Record<string, string>, admin.AdminFailure>> {
+	client: adminClient.AdminClient,
+	change: EntryChange,
+): Promise<results.Result<Record<string, string>, adminClient.AdminFailure>> {
 	if (change.revision !== undefined) {
 		return results.Ok({'if-match': `"${change.revision}"`});
 	}
 
-	const present = await client.ask({method: 'GET', path: `/catalogue/${encodeURIComponent(change.name)}`});
-	if (present.isErr()) {
-		const isNew = present.error.status === 404 && change.body !== undefined;
-		return isNew ? results.Ok({'if-none-match': '*'}) : present;
+	const current = await client.sendRequest({method: 'GET', path: `/catalogue/${encodeURIComponent(change.name)}`});
+	if (current.isErr()) {
+		const isNew = current.error.status === 404 && change.body !== undefined;
+		return isNew ? results.Ok({'if-none-match': '*'}) : current;
 	}
 
-	return present.value.revision === undefined
+	return current.value.revision === undefined
 		? results.Err(core.createFailure('bad-answer', `The host gave no revision for ${change.name}`))
-		: results.Ok({'if-match': `"${present.value.revision}"`});
+		: results.Ok({'if-match': `"${current.value.revision}"`});
 }
 
-async function askAgain(
-	client: admin.AdminClient,
-	question: admin.AdminQuestion,
-): Promise<results.Result<admin.AdminAnswer, admin.AdminFailure>> {
-	let wait = constants.CHANGE_WAIT_MILLISECONDS;
-	let isPossiblyTaken = false;
+async function sendWithRetries(
+	client: adminClient.AdminClient,
+	request: adminClient.AdminRequest,
+): Promise<results.Result<adminClient.AdminAnswer, adminClient.AdminFailure>> {
+	let delayMilliseconds = constants.CHANGE_RETRY_DELAY_MILLISECONDS;
+	let isPossiblyApplied = false;
 	for (let attempt = 1; ; attempt++) {
 		// eslint-disable-next-line no-await-in-loop
-		const answer = await client.ask(question);
-		if (answer.isOk() || !isResent(answer.error)) {
+		const answer = await client.sendRequest(request);
+		if (answer.isOk() || !isRetriable(answer.error)) {
 			return answer;
 		}
 
-		isPossiblyTaken ||= answer.error.outcome !== 'not-run';
-		if (attempt >= constants.CHANGE_ATTEMPTS) {
-			return isPossiblyTaken ? results.Err(describePossiblyTaken(answer.error)) : answer;
+		isPossiblyApplied ||= answer.error.outcome !== 'not-run';
+		if (attempt >= constants.MAX_CHANGE_ATTEMPTS) {
+			return isPossiblyApplied ? results.Err(createUnknownOutcomeFailure(answer.error)) : answer;
 		}
 
 		// eslint-disable-next-line no-await-in-loop
-		await timers.setTimeout(wait);
-		wait *= 2;
+		await timers.setTimeout(delayMilliseconds);
+		delayMilliseconds *= 2;
 	}
 }
 
 /**
-A last answer of `not-run` speaks of the last sending only: an earlier one, whose answer was lost, may have been taken.
+Creates the failure of a change that an earlier attempt may have made. An outcome `not-run` covers the last attempt only.
 */
-function describePossiblyTaken(failure: admin.AdminFailure): admin.AdminFailure {
+function createUnknownOutcomeFailure(failure: adminClient.AdminFailure): adminClient.AdminFailure {
 	return {
 		...failure,
 		outcome: 'unknown',
@@ -139,8 +139,9 @@
 }
 
 /**
-Says whether the change may have been taken, or may be taken next time: no answer, or an error of the fleet's own.
+Returns whether the change is sent again: the host gave no answer or a 5xx status, so the change may have been committed or may
+succeed on a retry.
 */
-function isResent(failure: admin.AdminFailure): boolean {
+function isRetriable(failure: adminClient.AdminFailure): boolean {
 	return failure.kind === 'unreachable' || (failure.status ?? 0) >= 500;
 }
--- a/packages/wagtailroute-cli/src/cli.ts
+++ b/packages/wagtailroute-cli/src/cli.ts
@@ -8,7 +8,7 @@
 import * as queries from './commands/queries.ts';
 import * as commandLine from './command-line.ts';
 
-const COMMANDS: commandLine.Commands = [
+const COMMANDS: commandLine.CommandClasses = [
 	hosts.DevCommand,
 	hosts.RunCommand,
 	platform.PlatformCommand,
@@ -24,8 +24,8 @@
 ];
 
 /**
-Runs the command that the words name and returns its exit code.
+Runs the command that the arguments name and returns its exit code. `argv` excludes the name of the program.
 */
-export async function runCli(words: readonly string[], surroundings: commandLine.CliSurroundings): Promise<number> {
-	return commandLine.runCommand(COMMANDS, words, surroundings);
+export async function runCli(argv: readonly string[], context: commandLine.CliContext): Promise<number> {
+	return commandLine.runCommand(COMMANDS, argv, context);
 }
--- a/packages/wagtailroute-cli/src/command-line.ts
+++ b/packages/wagtailroute-cli/src/command-line.ts
@@ -1,20 +1,20 @@
 /**
-The command line as a function of its words and its surroundings.
+Parses arguments and runs the command that they name, without access to the process itself.
 */
 import type * as stream from 'node:stream';
 import * as clipanion from 'clipanion';
 import * as core from 'wagtailroute-core';
 import * as results from 'ts-results-es';
 import packageFile from '../package.json' with {type: 'json'};
-import * as checking from './arguments.ts';
-import type * as shared from './commands/command.ts';
+import * as commandArguments from './arguments.ts';
+import type * as base from './commands/command.ts';
 import * as failures from './failures.ts';
 import * as settings from './settings.ts';
 
 /**
-What the command line reads and writes.
+The environment variables and streams that the command line uses in place of those of the process.
 */
-export type CliSurroundings = {
+export type CliContext = {
 	readonly environment: settings.Environment;
 	readonly stdin: stream.Readable;
 	readonly stdout: stream.Writable;
@@ -22,36 +22,36 @@
 };
 
 /**
-The commands that may be named.
+The commands of a program.
 */
-export type Commands = ReadonlyArray<clipanion.CommandClass<shared.Surroundings>>;
+export type CommandClasses = ReadonlyArray<clipanion.CommandClass<base.CommandContext>>;
 
 const BINARY_NAME = 'wagtailroute';
 
 /**
-Runs the one of the commands that the words name and returns its exit code.
+Runs the command that the arguments name and returns its exit code. A failure before the command starts is written to stderr.
 */
-export async function runCommand(commands: Commands, words: readonly string[], surroundings: CliSurroundings): Promise<number> {
+export async function runCommand(commands: CommandClasses, argv: readonly string[], cliContext: CliContext): Promise<number> {
 	const cli = createCli(commands);
-	const context: shared.Surroundings = {
+	const context: base.CommandContext = {
 		...clipanion.Cli.defaultContext,
-		...surroundings,
-		env: {...surroundings.environment},
+		...cliContext,
+		env: {...cliContext.environment},
 		colorDepth: 1,
 	};
-	const command = settings.checkEnvironment(surroundings.environment)
-		.andThen(() => checking.checkArguments(words, getDefinitions(cli)))
-		.andThen(() => parseCommand(cli, words, context));
+	const command = settings.checkEnvironment(cliContext.environment)
+		.andThen(() => commandArguments.checkArguments(argv, getDefinitions(cli)))
+		.andThen(() => parseCommand(cli, argv, context));
 	if (command.isErr()) {
-		surroundings.stderr.write(`${BINARY_NAME}: ${failures.toLine(command.error.message)}\n`);
+		cliContext.stderr.write(`${BINARY_NAME}: ${failures.toSingleLine(command.error.message)}\n`);
 		return failures.getExitCode(command.error);
 	}
 
 	return cli.run(command.value, context);
 }
 
-function createCli(commands: Commands): clipanion.Cli<shared.Surroundings> {
-	const cli = new clipanion.Cli<shared.Surroundings>({
+function createCli(commands: CommandClasses): clipanion.Cli<base.CommandContext> {
+	const cli = new clipanion.Cli<base.CommandContext>({
 		binaryName: BINARY_NAME,
 		binaryLabel: 'wagtailroute, a proxy fleet for backend servers',
 		binaryVersion: packageFile.version,
@@ -64,7 +64,7 @@
 	return cli;
 }
 
-function getDefinitions(cli: clipanion.Cli<shared.Surroundings>): readonly checking.CommandDefinition[] {
+function getDefinitions(cli: clipanion.Cli<base.CommandContext>): readonly commandArguments.CommandDefinition[] {
 	return cli.definitions().map(({path, usage, options}) => ({
 		path: path.split(' ').slice(1),
 		usage,
@@ -73,17 +73,17 @@
 }
 
 function parseCommand(
-	cli: clipanion.Cli<shared.Surroundings>,
-	words: readonly string[],
-	context: shared.Surroundings,
-): results.Result<clipanion.Command<shared.Surroundings>, failures.CommandFailure> {
+	cli: clipanion.Cli<base.CommandContext>,
+	argv: readonly string[],
+	context: base.CommandContext,
+): results.Result<clipanion.Command<base.CommandContext>, failures.CommandFailure> {
 	try {
-		return results.Ok(cli.process([...words], context));
+		return results.Ok(cli.process([...argv], context));
 	} catch (error) {
-		const definition = checking.findDefinition(words, getDefinitions(cli));
+		const definition = commandArguments.findDefinition(argv, getDefinitions(cli));
 		const accepted = definition?.usage ?? `${BINARY_NAME} --help`;
 		const [reason] = (error as Error).message.split('\n', 1);
 		const message = `arguments: ${reason} accepted: ${accepted}`;
-		return results.Err(core.createFailure('bad-setting', failures.toLine(message)));
+		return results.Err(core.createFailure('bad-setting', failures.toSingleLine(message)));
 	}
 }
--- a/packages/wagtailroute-cli/src/commands/admin-command.ts
+++ b/packages/wagtailroute-cli/src/commands/admin-command.ts
@@ -1,35 +1,35 @@
 /**
-A command that asks the admin port of one host.
+Base classes of the commands that send requests to the admin port of one host.
 */
 import type * as zod from 'zod';
-import * as admin from '../admin-client.ts';
+import * as adminClient from '../admin-client.ts';
 import * as formats from '../formats.ts';
 import * as settings from '../settings.ts';
-import * as shared from './command.ts';
+import * as base from './command.ts';
 
 /**
-A command with the flags of a question.
+A command with the address and the token of an admin port as flags.
 */
-export abstract class AdminCommand extends shared.SharedCommand {
-	admin = shared.createFlag('admin');
-	optionalOperatorToken = shared.createFlag('optionalOperatorToken');
+export abstract class AdminCommand extends base.BaseCommand {
+	admin = base.createFlag('admin');
+	optionalOperatorToken = base.createFlag('optionalOperatorToken');
 
 	/**
-	Reads the settings, runs `work` with a client and closes the client.
+	Reads the settings, runs `action` with a client and closes the client.
 	*/
 	protected async withClient<Schema extends zod.ZodObject>(
 		schema: Schema,
-		work: (client: admin.AdminClient, settings: zod.output<Schema>) => Promise<shared.CommandResult>,
-	): Promise<shared.CommandResult> {
+		action: (client: adminClient.AdminClient, settings: zod.output<Schema>) => Promise<base.CommandResult>,
+	): Promise<base.CommandResult> {
 		const read = this.readSettings(schema);
 		if (read.isErr()) {
 			return read;
 		}
 
-		const asked = read.value as unknown as zod.output<typeof settings.ADMIN_SETTINGS>;
-		const client = admin.createAdminClient(asked.admin, asked.optionalOperatorToken);
+		const adminSettings = read.value as unknown as zod.output<typeof settings.ADMIN_SETTINGS>;
+		const client = adminClient.createAdminClient(adminSettings.admin, adminSettings.optionalOperatorToken);
 		try {
-			return await work(client, read.value);
+			return await action(client, read.value);
 		} finally {
 			await client.close();
 		}
@@ -37,26 +37,29 @@
 }
 
 /**
-A command that shows the answer to one GET.
+A command that prints the answer to one GET request.
 */
 export abstract class QueryCommand extends AdminCommand {
-	format = shared.createFlag('format');
+	format = base.createFlag('format');
 
+	/**
+	Returns the encoded path of the request.
+	*/
 	abstract getPath(): string;
 
-	override async carryOut(): Promise<shared.CommandResult> {
+	override async run(): Promise<base.CommandResult> {
 		return this.withClient(settings.ADMIN_SETTINGS, async (client, {format}) => {
-			const answer = await client.ask({method: 'GET', path: this.getPath()});
-			return answer.andThen(value => admin.parseAnswer(value, settings.ANY_JSON).map(json => format === 'json'
+			const answer = await client.sendRequest({method: 'GET', path: this.getPath()});
+			return answer.andThen(value => adminClient.parseJsonAnswer(value, settings.ANY_JSON).map(json => format === 'json'
 				? JSON.stringify(json, undefined, 2)
 				: this.formatText(json, value)));
 		});
 	}
 
 	/**
-	Writes the answer as text; a command with a better form overrides it.
+	Formats the answer as text. A command with a format of its own overrides this method.
 	*/
-	protected formatText(value: unknown, _answer: admin.AdminAnswer): string {
+	protected formatText(value: unknown, _answer: adminClient.AdminAnswer): string {
 		return formats.formatValue(value);
 	}
 }
--- a/packages/wagtailroute-cli/src/commands/command.ts
+++ b/packages/wagtailroute-cli/src/commands/command.ts
@@ -1,5 +1,5 @@
 /**
-What all commands share: their surroundings, their flags and the way they end.
+Base class of all commands, and declarations of their flags.
 */
 import type * as stream from 'node:stream';
 import * as clipanion from 'clipanion';
@@ -10,27 +10,27 @@
 import * as settings from '../settings.ts';
 
 /**
-What a command works with.
+The context that clipanion passes to a command.
 */
-export type Surroundings = clipanion.BaseContext & {
+export type CommandContext = clipanion.BaseContext & {
 	readonly environment: settings.Environment;
 	readonly stdout: stream.Writable;
 	readonly stderr: stream.Writable;
 };
 
 /**
-What a command ends with: the text to print, which may be empty.
+The text to print on stdout, which may be empty, or a failure.
 */
 export type CommandResult = results.Result<string, failures.CommandFailure>;
 
 /**
-A command that ends with a text or a failure.
+A command that returns a text or a failure. A failure is written to stderr in one line and sets the exit code.
 */
-export abstract class SharedCommand extends clipanion.Command<Surroundings> {
-	abstract carryOut(): Promise<CommandResult>;
+export abstract class BaseCommand extends clipanion.Command<CommandContext> {
+	abstract run(): Promise<CommandResult>;
 
 	override async execute(): Promise<number> {
-		const result = await this.carryOut();
+		const result = await this.run();
 		if (result.isErr()) {
 			this.context.stderr.write(`wagtailroute: ${result.error.message}\n`);
 			return failures.getExitCode(result.error);
@@ -44,7 +44,7 @@
 	}
 
 	/**
-	Reads the settings that the schema names from this command's flags and the environment.
+	Reads the settings that are keys of the schema from the flags of this command and the environment.
 	*/
 	protected readSettings<Schema extends zod.ZodObject>(
 		schema: Schema,
@@ -54,7 +54,7 @@
 }
 
 /**
-Declares a flag with a value.
+Declares a flag with a value. The property of the command must be named by the same key.
 */
 export function createFlag(key: flags.FlagKey): string | undefined {
 	const flag: flags.Flag = flags.FLAGS[key];
@@ -63,7 +63,7 @@
 }
 
 /**
-Declares a flag without a value.
+Declares a flag without a value. The property of the command must be named by the same key.
 */
 export function createSwitch(key: flags.FlagKey): boolean | undefined {
 	const flag: flags.Flag = flags.FLAGS[key];
--- a/packages/wagtailroute-cli/src/commands/hosts.ts
+++ b/packages/wagtailroute-cli/src/commands/hosts.ts
@@ -5,34 +5,34 @@
 import type * as host from 'wagtailroute-host';
 import * as settings from '../settings.ts';
 import * as running from '../running.ts';
-import * as shared from './command.ts';
+import * as base from './command.ts';
 
 type HostModule = typeof host;
 
 /**
-`run`: a host with its own addresses, told by settings.
+`run`: one host of the fleet, with its addresses and roles from the settings.
 */
-export class RunCommand extends shared.SharedCommand {
+export class RunCommand extends base.BaseCommand {
 	static override paths = [['run']];
 	static override usage = clipanion.Command.Usage({description: 'Run one host of the fleet'});
 
-	hostId = shared.createFlag('hostId');
-	failureDomain = shared.createFlag('failureDomain');
-	region = shared.createFlag('region');
-	roles = shared.createFlag('roles');
-	trafficAddress = shared.createFlag('trafficAddress');
-	adminAddress = shared.createFlag('adminAddress');
-	peerAddress = shared.createFlag('peerAddress');
-	seeds = shared.createFlag('seeds');
-	dataFolder = shared.createFlag('dataFolder');
-	initialControl = shared.createFlag('initialControl');
-	operatorToken = shared.createFlag('operatorToken');
-	fleetSecret = shared.createFlag('fleetSecret');
-	logFormat = shared.createFlag('logFormat');
-	logLevel = shared.createFlag('logLevel');
-	statsd = shared.createFlag('statsd');
+	hostId = base.createFlag('hostId');
+	failureDomain = base.createFlag('failureDomain');
+	region = base.createFlag('region');
+	roles = base.createFlag('roles');
+	trafficAddress = base.createFlag('trafficAddress');
+	adminAddress = base.createFlag('adminAddress');
+	peerAddress = base.createFlag('peerAddress');
+	seeds = base.createFlag('seeds');
+	dataFolder = base.createFlag('dataFolder');
+	initialControl = base.createFlag('initialControl');
+	operatorToken = base.createFlag('operatorToken');
+	fleetSecret = base.createFlag('fleetSecret');
+	logFormat = base.createFlag('logFormat');
+	logLevel = base.createFlag('logLevel');
+	statsd = base.createFlag('statsd');
 
-	override async carryOut(): Promise<shared.CommandResult> {
+	override async run(): Promise<base.CommandResult> {
 		const read = this.readSettings(settings.HOST_SETTINGS);
 		if (read.isErr()) {
 			return read;
@@ -44,19 +44,19 @@
 }
 
 /**
-`dev`: everything in this process, on loopback.
+`dev`: a small fleet with stand-in backend servers in this process, on loopback addresses.
 */
-export class DevCommand extends shared.SharedCommand {
+export class DevCommand extends base.BaseCommand {
 	static override paths = [['dev']];
 	static override usage = clipanion.Command.Usage({description: 'Run a small fleet with stand-in backend servers in one process'});
 
-	trafficPort = shared.createFlag('trafficPort');
-	adminPort = shared.createFlag('adminPort');
-	optionalOperatorToken = shared.createFlag('optionalOperatorToken');
-	logFormat = shared.createFlag('logFormat');
-	logLevel = shared.createFlag('logLevel');
+	trafficPort = base.createFlag('trafficPort');
+	adminPort = base.createFlag('adminPort');
+	optionalOperatorToken = base.createFlag('optionalOperatorToken');
+	logFormat = base.createFlag('logFormat');
+	logLevel = base.createFlag('logLevel');
 
-	override async carryOut(): Promise<shared.CommandResult> {
+	override async run(): Promise<base.CommandResult> {
 		const read = this.readSettings(settings.DEV_SETTINGS);
 		if (read.isErr()) {
 			return read;
@@ -69,7 +69,7 @@
 }
 
 /**
-Loads the host only where it is needed: a query starts faster without it.
+Imports the host only when a command needs it: the other commands start faster without it.
 */
 async function importHost(): Promise<HostModule> {
 	return import('wagtailroute-host');
--- a/packages/wagtailroute-cli/src/commands/load.ts
+++ b/packages/wagtailroute-cli/src/commands/load.ts
@@ -1,5 +1,5 @@
 /**
-The command that loads an address.
+The command that sends a load of requests to addresses and checks the answers.
 */
 import * as files from 'node:fs/promises';
 import * as clipanion from 'clipanion';
@@ -9,35 +9,35 @@
 import type * as zod from 'zod';
 import * as failures from '../failures.ts';
 import * as settings from '../settings.ts';
-import * as shared from './command.ts';
+import * as base from './command.ts';
 
 type LoadModule = typeof load;
 
 /**
-`load`: bounded in rate, time and concurrency.
+`load`: a load of bounded rate, time and concurrency.
 */
-export class LoadCommand extends shared.SharedCommand {
+export class LoadCommand extends base.BaseCommand {
 	static override paths = [['load']];
 	static override usage = clipanion.Command.Usage({description: 'Send a bounded load to an address and check every answer'});
 
-	targets = shared.createFlag('targets');
-	service = shared.createFlag('service');
-	requestsPerSecond = shared.createFlag('requestsPerSecond');
-	seconds = shared.createFlag('seconds');
-	warmupSeconds = shared.createFlag('warmupSeconds');
-	concurrency = shared.createFlag('concurrency');
-	mix = shared.createFlag('mix');
-	seed = shared.createFlag('seed');
-	standins = shared.createFlag('standins');
-	format = shared.createFlag('format');
+	targets = base.createFlag('targets');
+	service = base.createFlag('service');
+	requestsPerSecond = base.createFlag('requestsPerSecond');
+	seconds = base.createFlag('seconds');
+	warmupSeconds = base.createFlag('warmupSeconds');
+	concurrency = base.createFlag('concurrency');
+	mix = base.createFlag('mix');
+	seed = base.createFlag('seed');
+	standins = base.createFlag('standins');
+	format = base.createFlag('format');
 
-	override async carryOut(): Promise<shared.CommandResult> {
+	override async run(): Promise<base.CommandResult> {
 		const read = this.readSettings(settings.LOAD_SETTINGS);
 		if (read.isErr()) {
 			return read;
 		}
 
-		// Loaded only here: the other commands start faster without it.
+		// Imported only when the command runs: the other commands start faster without this module.
 		const module = await import('wagtailroute-load');
 		const mix = await readMix(module, read.value.mix);
 		return mix.isErr() ? mix : this.runLoad(module, read.value, mix.value);
@@ -47,7 +47,7 @@
 		module: LoadModule,
 		given: zod.output<typeof settings.LOAD_SETTINGS>,
 		mix: load.Mix,
-	): Promise<shared.CommandResult> {
+	): Promise<base.CommandResult> {
 		const result = await module.runLoad({
 			...given,
 			mix,
@@ -86,5 +86,5 @@
 }
 
 function createMixFailure(path: string, reason: string): failures.CommandFailure {
-	return core.createFailure('bad-setting', `--mix: the value ${JSON.stringify(path)} is not accepted; accepted: a file with a mix of requests (${failures.toLine(reason)})`);
+	return core.createFailure('bad-setting', `--mix: the value ${JSON.stringify(path)} is not accepted; accepted: a file with a mix of requests (${failures.toSingleLine(reason)})`);
 }
--- a/packages/wagtailroute-cli/src/commands/platform.ts
+++ b/packages/wagtailroute-cli/src/commands/platform.ts
@@ -1,24 +1,25 @@
 /**
-The command that runs one process on the platform. It stands alone: its process loads nothing that only other commands use.
+The command that runs one process on the platform. It is in a module of its own, so that its process loads nothing that only other
+commands use.
 */
 import * as clipanion from 'clipanion';
 import * as core from 'wagtailroute-core';
 import * as results from 'ts-results-es';
 import * as running from '../running.ts';
 import * as settings from '../settings.ts';
-import * as shared from './command.ts';
+import * as base from './command.ts';
 
 /**
-`platform`: a process as the platform's settings file describes it.
+`platform`: one process, described by the settings file of the platform.
 */
-export class PlatformCommand extends shared.SharedCommand {
+export class PlatformCommand extends base.BaseCommand {
 	static override paths = [['platform']];
 	static override usage = clipanion.Command.Usage({description: 'Run one process of the fleet on the platform'});
 
-	settingsFile = shared.createFlag('settingsFile');
-	logLevel = shared.createFlag('logLevel');
+	settingsFile = base.createFlag('settingsFile');
+	logLevel = base.createFlag('logLevel');
 
-	override async carryOut(): Promise<shared.CommandResult> {
+	override async run(): Promise<base.CommandResult> {
 		const read = this.readSettings(settings.PLATFORM_SETTINGS);
 		if (read.isErr()) {
 			return read;
--- a/packages/wagtailroute-cli/src/commands/queries.ts
+++ b/packages/wagtailroute-cli/src/commands/queries.ts
@@ -1,18 +1,18 @@
 /**
-The commands that only ask.
+The commands that read from an admin port and change nothing.
 */
 import * as clipanion from 'clipanion';
 import * as results from 'ts-results-es';
-import type * as admin from '../admin-client.ts';
+import type * as adminClient from '../admin-client.ts';
 import * as formats from '../formats.ts';
 import * as settings from '../settings.ts';
-import * as asking from './admin-command.ts';
-import * as shared from './command.ts';
+import * as adminCommand from './admin-command.ts';
+import * as base from './command.ts';
 
 /**
-`catalogue list`: the entries by name, with owner and revision.
+`catalogue list`: the entries with name, owner and revision.
 */
-export class CatalogueListCommand extends asking.QueryCommand {
+export class CatalogueListCommand extends adminCommand.QueryCommand {
 	static override paths = [['catalogue', 'list']];
 	static override usage = clipanion.Command.Usage({description: 'List the entries of the catalogue'});
 
@@ -22,9 +22,9 @@
 }
 
 /**
-`catalogue show NAME`: the entry as YAML, headed by its revision.
+`catalogue show NAME`: the entry as YAML, after a comment with its revision.
 */
-export class CatalogueShowCommand extends asking.QueryCommand {
+export class CatalogueShowCommand extends adminCommand.QueryCommand {
 	static override paths = [['catalogue', 'show']];
 	static override usage = clipanion.Command.Usage({description: 'Show an entry as the host has it in force'});
 
@@ -34,15 +34,15 @@
 		return `/catalogue/${encodeURIComponent(this.name)}`;
 	}
 
-	protected override formatText(value: unknown, answer: admin.AdminAnswer): string {
+	protected override formatText(value: unknown, answer: adminClient.AdminAnswer): string {
 		return `# revision ${answer.revision ?? 'unknown'}\n${formats.formatYaml(value)}`;
 	}
 }
 
 /**
-`catalogue history NAME`: who changed an entry, and when.
+`catalogue history NAME`: the changes of an entry, with author and time.
 */
-export class CatalogueHistoryCommand extends asking.QueryCommand {
+export class CatalogueHistoryCommand extends adminCommand.QueryCommand {
 	static override paths = [['catalogue', 'history']];
 	static override usage = clipanion.Command.Usage({description: 'List the changes of an entry'});
 
@@ -56,7 +56,7 @@
 /**
 `fleet status`: one line for each host of the fleet.
 */
-export class FleetStatusCommand extends asking.QueryCommand {
+export class FleetStatusCommand extends adminCommand.QueryCommand {
 	static override paths = [['fleet', 'status']];
 	static override usage = clipanion.Command.Usage({description: 'Show the hosts of the fleet as the host sees them'});
 
@@ -66,9 +66,9 @@
 }
 
 /**
-`upstreams list SERVICE`: leases and states, as one host knows them.
+`upstreams list SERVICE`: the upstreams of a service with leases and states, as one host knows them.
 */
-export class UpstreamsListCommand extends asking.QueryCommand {
+export class UpstreamsListCommand extends adminCommand.QueryCommand {
 	static override paths = [['upstreams', 'list']];
 	static override usage = clipanion.Command.Usage({description: 'List the upstreams of a service'});
 
@@ -80,18 +80,18 @@
 }
 
 /**
-`report burn`: the report as the host wrote it.
+`report burn`: the report of error budgets, printed as the host formats it.
 */
-export class ReportBurnCommand extends asking.AdminCommand {
+export class ReportBurnCommand extends adminCommand.AdminCommand {
 	static override paths = [['report', 'burn']];
 	static override usage = clipanion.Command.Usage({description: 'Report how fast each service spends its error budget'});
 
-	reportFormat = shared.createFlag('reportFormat');
-	window = shared.createFlag('window');
+	reportFormat = base.createFlag('reportFormat');
+	window = base.createFlag('window');
 
-	override async carryOut(): Promise<shared.CommandResult> {
+	override async run(): Promise<base.CommandResult> {
 		return this.withClient(settings.REPORT_SETTINGS, async (client, {reportFormat, window}) => {
-			const answer = await client.ask({method: 'GET', path: `/report/burn?window=${window}&format=${reportFormat}`});
+			const answer = await client.sendRequest({method: 'GET', path: `/report/burn?window=${window}&format=${reportFormat}`});
 			return answer.andThen(({text}) => results.Ok(text.trimEnd()));
 		});
 	}
--- a/packages/wagtailroute-cli/src/constants.ts
+++ b/packages/wagtailroute-cli/src/constants.ts
@@ -1,48 +1,48 @@
 /**
-Bounds and exit codes of the command line.
+Limits, intervals and exit codes of the command line.
 */
 
 /**
-Exit code for a request that was refused or a host that could not be asked.
+Exit code for every failure other than a bad setting, and for a host that a second signal ends.
 */
-export const EXIT_REFUSED = 1;
+export const EXIT_FAILURE = 1;
 
 /**
-Exit code for a bad or unknown setting.
+Exit code for a bad or unknown setting, command or argument.
 */
 export const EXIT_BAD_SETTING = 2;
 
 /**
-Longest wait in milliseconds for one answer of an admin port.
+Time in which the whole answer of an admin port must arrive.
 */
 export const ANSWER_TIMEOUT_MILLISECONDS = 10_000;
 
 /**
-Greatest answer in bytes that is read from an admin port.
+Maximum size of the body of an answer of an admin port.
 */
-export const ANSWER_BYTES = 268_435_456;
+export const MAX_ANSWER_BYTES = 268_435_456;
 
 /**
-Greatest file of entries in bytes.
+Maximum size of a file of catalogue entries.
 */
-export const ENTRIES_FILE_BYTES = 16_777_216;
+export const MAX_ENTRIES_FILE_BYTES = 16_777_216;
 
 /**
-How often a change is sent before it is given up.
+Maximum number of times that a change is sent, the first one included.
 */
-export const CHANGE_ATTEMPTS = 6;
+export const MAX_CHANGE_ATTEMPTS = 6;
 
 /**
-Wait in milliseconds before the first resend of a change; it doubles with each further one.
+Delay before the first retry of a change. It doubles with each further retry.
 */
-export const CHANGE_WAIT_MILLISECONDS = 200;
+export const CHANGE_RETRY_DELAY_MILLISECONDS = 200;
 
 /**
-Time in milliseconds between two questions whether a change is in force.
+Interval between two requests that ask whether a change is in force.
 */
-export const IN_FORCE_POLL_MILLISECONDS = 200;
+export const IN_FORCE_POLL_INTERVAL_MILLISECONDS = 200;
 
 /**
-Longest wait in milliseconds for a change to be in force on every host.
+Time after which the command no longer waits for a change to be in force on every host.
 */
-export const IN_FORCE_MILLISECONDS = 15_000;
+export const IN_FORCE_TIMEOUT_MILLISECONDS = 15_000;
--- a/packages/wagtailroute-cli/src/failures.ts
+++ b/packages/wagtailroute-cli/src/failures.ts
@@ -5,13 +5,13 @@
 import * as constants from './constants.ts';
 
 /**
-- `bad-setting`: a flag, variable, command or argument that isn't accepted.
+- `bad-setting`: a flag, variable, command, argument or input file isn't accepted.
 - `unreachable`: the host gave no answer.
 - `refused`: the host answered with an error.
-- `bad-answer`: the answer isn't what the interface says.
-- `not-in-force`: the change was taken, but some hosts lack it.
-- `wrong-truth`: a load run found an answer or an outcome that is wrong.
-- `stopped`: the host stopped by itself.
+- `bad-answer`: the answer isn't of the expected shape.
+- `not-in-force`: the change was committed, but isn't in force on some hosts yet.
+- `wrong-truth`: a load run found a wrong answer, or an outcome that differs from what the backend servers ran.
+- `stopped`: the host failed to start or to stop, for example because its address is in use.
 */
 export type CommandFailureKind =
 	| 'bad-setting'
@@ -23,33 +23,33 @@
 	| 'stopped';
 
 /**
-A failure of a command.
+A failure of a command, with the message that the operator gets.
 */
 export type CommandFailure = core.Failure<CommandFailureKind>;
 
 /**
-Returns the exit code that tells a failure to scripts.
+Returns the exit code of a failure.
 */
 export function getExitCode(failure: CommandFailure): number {
-	return failure.kind === 'bad-setting' ? constants.EXIT_BAD_SETTING : constants.EXIT_REFUSED;
+	return failure.kind === 'bad-setting' ? constants.EXIT_BAD_SETTING : constants.EXIT_FAILURE;
 }
 
 /**
-Writes any thrown value as one line.
+Describes any thrown value in one line.
 */
 export function describeError(error: unknown): string {
 	if (!(error instanceof Error)) {
-		return toLine(String(error));
+		return toSingleLine(String(error));
 	}
 
 	// An AggregateError of refused connections has a code and no message.
 	const {code} = error as NodeJS.ErrnoException;
-	return toLine(error.message === '' ? String(code) : error.message);
+	return toSingleLine(error.message === '' ? String(code) : error.message);
 }
 
 /**
-Makes one line of a text.
+Replaces each run of white space, line breaks included, with one space.
 */
-export function toLine(text: string): string {
+export function toSingleLine(text: string): string {
 	return text.replaceAll(/\s+/gv, ' ').trim();
 }
--- a/packages/wagtailroute-cli/src/flags.ts
+++ b/packages/wagtailroute-cli/src/flags.ts
@@ -1,12 +1,12 @@
 /**
-Every flag of the command line: its name, what it accepts and how it is read. A flag's environment variable is
-`WAGTAILROUTE_` and its name in capitals, dashes as underscores.
+The flags of the command line: name, accepted values and schema. The environment variable of a flag is named `WAGTAILROUTE_`
+followed by the name of the flag in capitals, with underscores in place of dashes.
 */
 import type * as zod from 'zod';
 import * as schemas from './flag-schemas.ts';
 
 /**
-One flag. The value of a secret is never printed.
+A flag. `accepted` is shown in help and errors. The value of a flag with `isSecret` is never printed. A flag with `isSwitch` takes no value.
 */
 export type Flag = {
 	readonly name: string;
@@ -25,7 +25,7 @@
 const ADDRESSES_ACCEPTED = 'ip:port,ip:port,…';
 
 /**
-The flags by the key of their setting.
+The flags by the key of their setting. The default of a flag is part of its schema.
 */
 export const FLAGS = {
 	settingsFile: {
@@ -98,10 +98,10 @@
 		name: 'window', description: 'Span of time of the report', accepted: 'a span such as 5m, 1h or 3d', schema: schemas.span.prefault('1h'),
 	},
 	noWait: {
-		name: 'no-wait', description: 'Don\'t wait until the change is in force on every host', accepted: 'true or false', schema: schemas.toggle.prefault('false'), isSwitch: true,
+		name: 'no-wait', description: 'Don\'t wait until the change is in force on every host', accepted: 'true or false', schema: schemas.trueOrFalse.prefault('false'), isSwitch: true,
 	},
 	revision: {
-		name: 'revision', description: 'Change only this revision (default: the present one)', accepted: 'a whole number, 1 or more', schema: schemas.count.optional(),
+		name: 'revision', description: 'Change only this revision (default: the present one)', accepted: 'a whole number, 1 or more', schema: schemas.positiveInteger.optional(),
 	},
 	targets: {
 		name: 'targets', description: 'Traffic addresses to load', accepted: ADDRESSES_ACCEPTED, schema: schemas.addresses.prefault('127.0.0.1:8080'),
@@ -110,22 +110,22 @@
 		name: 'service', description: 'Service whose addresses are asked of the targets (default: load the targets themselves)', accepted: NAME_ACCEPTED, schema: schemas.name.optional(),
 	},
 	requestsPerSecond: {
-		name: 'requests-per-second', description: 'Rate of arrivals', accepted: COUNT_ACCEPTED, schema: schemas.count.prefault('100'),
+		name: 'requests-per-second', description: 'Rate of arrivals', accepted: COUNT_ACCEPTED, schema: schemas.positiveInteger.prefault('100'),
 	},
 	seconds: {
-		name: 'seconds', description: 'Length of the run', accepted: COUNT_ACCEPTED, schema: schemas.count.prefault('10'),
+		name: 'seconds', description: 'Length of the run', accepted: COUNT_ACCEPTED, schema: schemas.positiveInteger.prefault('10'),
 	},
 	warmupSeconds: {
-		name: 'warmup-seconds', description: 'Time at the start whose latencies aren\'t recorded', accepted: 'a whole number', schema: schemas.wholeNumber.prefault('0'),
+		name: 'warmup-seconds', description: 'Time at the start whose latencies aren\'t recorded', accepted: 'a whole number', schema: schemas.nonNegativeInteger.prefault('0'),
 	},
 	concurrency: {
-		name: 'concurrency', description: 'Greatest number of requests under way', accepted: COUNT_ACCEPTED, schema: schemas.count.prefault('2000'),
+		name: 'concurrency', description: 'Greatest number of requests under way', accepted: COUNT_ACCEPTED, schema: schemas.positiveInteger.prefault('2000'),
 	},
 	mix: {
 		name: 'mix', description: 'YAML file with the mix of requests (default: GET / only)', accepted: 'a path', schema: schemas.path.optional(),
 	},
 	seed: {
-		name: 'seed', description: 'Seed of the arrivals and of the mix', accepted: 'a whole number', schema: schemas.wholeNumber.prefault('1'),
+		name: 'seed', description: 'Seed of the arrivals and of the mix', accepted: 'a whole number', schema: schemas.nonNegativeInteger.prefault('1'),
 	},
 	standins: {
 		name: 'standins', description: 'Stand-ins whose runs are compared with the outcomes told', accepted: ADDRESSES_ACCEPTED, schema: schemas.addresses.prefault(''),
@@ -133,48 +133,48 @@
 } as const satisfies Readonly<Record<string, Flag>>;
 
 /**
-The key of a flag's setting.
+Key of the setting that a flag sets.
 */
 export type FlagKey = keyof typeof FLAGS;
 
 const ENVIRONMENT_PREFIX = 'WAGTAILROUTE_';
 
 /**
-Returns the name of a flag's environment variable.
+Returns the name of the environment variable of a flag.
 */
-export function getVariable(flag: Flag): string {
+export function getVariableName(flag: Flag): string {
 	return ENVIRONMENT_PREFIX + flag.name.replaceAll('-', '_').toUpperCase();
 }
 
 /**
-Returns the names of variables that look like ours but belong to no flag: a misspelt one would else be silently without
-effect.
+Returns the names of variables that have the prefix of this program and belong to no flag. A misspelt variable would otherwise
+be ignored silently.
 */
-export function findUnknownVariables(environment: Readonly<Record<string, string | undefined>>): readonly string[] {
-	const known = new Set(getVariables());
+export function findUnknownVariableNames(environment: Readonly<Record<string, string | undefined>>): readonly string[] {
+	const known = new Set(getVariableNames());
 	return Object.keys(environment).filter(name => name.startsWith(ENVIRONMENT_PREFIX) && !known.has(name));
 }
 
 /**
-Returns the flag that a word such as `--admin` names.
+Returns the flag that an argument such as `--admin` names.
 */
-export function findFlag(word: string): Flag | undefined {
+export function findFlag(argument: string): Flag | undefined {
 	const all: readonly Flag[] = Object.values(FLAGS);
-	return all.find(({name}) => word === `--${name}`);
+	return all.find(({name}) => argument === `--${name}`);
 }
 
 /**
-Returns the names of all variables.
+Returns the names of the environment variables of all flags, without repetition.
 */
-export function getVariables(): readonly string[] {
-	return [...new Set(Object.values(FLAGS).map(flag => getVariable(flag)))];
+export function getVariableNames(): readonly string[] {
+	return [...new Set(Object.values(FLAGS).map(flag => getVariableName(flag)))];
 }
 
-const SECRET_NAME = /tok|secret|key|pass|operator|fleet/iv;
+const SECRET_NAME_PATTERN = /tok|secret|key|pass|operator|fleet/iv;
 
 /**
-Says whether an unknown flag or variable may be meant for a secret, so that its value must not be printed.
+Returns whether an unknown flag or variable may be the misspelt name of a secret, whose value must not be printed.
 */
-export function isLikeSecret(name: string): boolean {
-	return SECRET_NAME.test(name);
+export function isPossibleSecretName(name: string): boolean {
+	return SECRET_NAME_PATTERN.test(name);
 }
--- a/packages/wagtailroute-cli/src/formats.ts
+++ b/packages/wagtailroute-cli/src/formats.ts
@@ -1,12 +1,12 @@
 /**
-Writes answers as text: single values as lines, lists of objects as tables.
+Formats answers as text: one line for a single value, a table for a list of objects.
 */
 import * as yaml from 'yaml';
 
 const COLUMN_GAP = '  ';
 
 /**
-Writes a value of JSON for people.
+Formats a JSON value as text for people. Nested fields of the rows of a table are left out.
 */
 export function formatValue(value: unknown): string {
 	if (!isRecord(value)) {
@@ -18,14 +18,14 @@
 }
 
 /**
-Writes a value of JSON as YAML.
+Formats a JSON value as YAML without a trailing line break.
 */
 export function formatYaml(value: unknown): string {
 	return yaml.stringify(value).trimEnd();
 }
 
 /**
-Writes rows as a table with a line of column names.
+Formats rows as a table with padded columns, headed by the column names.
 */
 export function formatTable(columns: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
 	const lines = [columns, ...rows];
--- a/packages/wagtailroute-cli/src/index.ts
+++ b/packages/wagtailroute-cli/src/index.ts
@@ -1,8 +1,8 @@
 /**
-The command line: flags and environment variables to settings, and the commands of operators.
+The command line: reads settings from flags and environment variables, and runs the commands of operators.
 */
 export {runCli} from './cli.ts';
-export {type CliSurroundings} from './command-line.ts';
+export {type CliContext as CliSurroundings} from './command-line.ts';
 export {
 	type Environment,
 	HOST_SETTINGS,
--- a/packages/wagtailroute-cli/src/main.ts
+++ b/packages/wagtailroute-cli/src/main.ts
@@ -1,5 +1,5 @@
 /**
-The entry of the program with all commands.
+Entry point of the script with all commands.
 */
 import * as cli from './cli.ts';
 import * as program from './program.ts';
--- a/packages/wagtailroute-cli/src/running.ts
+++ b/packages/wagtailroute-cli/src/running.ts
@@ -1,5 +1,5 @@
 /**
-Runs a host from its start to its stop.
+Runs a host until a signal stops it.
 */
 import type * as stream from 'node:stream';
 import * as core from 'wagtailroute-core';
@@ -8,34 +8,34 @@
 import * as signals from './signals.ts';
 
 /**
-Something that runs until it is stopped. `stop` drains it.
+A host that has started. `stop` drains it.
 */
-export type Running = {readonly stop: () => Promise<void>};
+export type RunningHost = {readonly stop: () => Promise<void>};
 
 /**
-Prints the line once it runs, waits for a signal, and stops it.
+Starts a host, prints `readyLine` once it has started, waits for a signal to stop, and stops the host.
 */
 export async function runUntilStopped(
 	output: stream.Writable,
-	line: string,
-	start: () => Promise<Running>,
-	waitForStop: () => Promise<undefined> = signals.waitForStop,
+	readyLine: string,
+	start: () => Promise<RunningHost>,
+	waitForStop: () => Promise<undefined> = signals.waitForStopSignal,
 ): Promise<results.Result<string, failures.CommandFailure>> {
 	try {
-		const stopped = waitForStop();
-		const running = await Promise.race([start(), stopped]);
-		// A start can wait for long, on a quorum for one: a signal during it ends the process without a drain, for nothing was
-		// served yet.
+		const stopSignal = waitForStop();
+		const running = await Promise.race([start(), stopSignal]);
+		// The start can take long, for example without a quorum. A signal during the start ends the process without a drain, since
+		// the host has not served anything yet.
 		if (!running) {
 			return results.Ok('');
 		}
 
-		output.write(`${line}\n`);
-		await stopped;
+		output.write(`${readyLine}\n`);
+		await stopSignal;
 		await running.stop();
 		return results.Ok('');
 	} catch (error) {
-		// Without a code it is a defect, whose stack is wanted.
+		// An error without a code is a defect: it is thrown, so that its stack is printed.
 		if ((error as NodeJS.ErrnoException).code === undefined) {
 			throw error;
 		}
--- a/packages/wagtailroute-cli/src/settings.ts
+++ b/packages/wagtailroute-cli/src/settings.ts
@@ -1,5 +1,5 @@
 /**
-The settings of each command, read from flags and environment variables; a flag goes before its variable.
+The settings of each command, read from flags and environment variables. A flag takes precedence over its variable.
 */
 import * as core from 'wagtailroute-core';
 import * as results from 'ts-results-es';
@@ -33,7 +33,7 @@
 });
 
 /**
-What one host of the fleet is started with.
+Settings of one host of the fleet.
 */
 export type HostSettings = zod.output<typeof HOST_SETTINGS>;
 
@@ -57,7 +57,7 @@
 });
 
 /**
-Settings of every question to an admin port.
+Settings of every command that sends requests to an admin port.
 */
 export const ADMIN_SETTINGS = zod.object({
 	admin: flags.FLAGS.admin.schema,
@@ -66,7 +66,7 @@
 });
 
 /**
-Settings of a change to the catalogue.
+Settings of the commands that change the catalogue.
 */
 export const CHANGE_SETTINGS = ADMIN_SETTINGS.extend({
 	noWait: flags.FLAGS.noWait.schema,
@@ -103,12 +103,12 @@
 export type Environment = Readonly<Record<string, string | undefined>>;
 
 /**
-What was given for each setting by flag; undefined for a flag left out.
+The value of each flag on the command line, undefined for a flag that is absent.
 */
 export type GivenFlags = Readonly<Partial<Record<flags.FlagKey, string | boolean | undefined>>>;
 
 /**
-Reads the settings that a schema names. The failure names the first setting at fault, its value and what is accepted.
+Reads the settings that are keys of the schema. A failure names the first invalid setting, its value and what is accepted.
 */
 export function readSettings<Schema extends zod.ZodObject>(
 	schema: Schema,
@@ -127,29 +127,29 @@
 }
 
 /**
-Fails when a variable looks like ours and belongs to no flag.
+Fails if a variable has the prefix of this program and belongs to no flag.
 */
 export function checkEnvironment(environment: Environment): results.Result<void, failures.CommandFailure> {
-	const [unknown] = flags.findUnknownVariables(environment);
+	const [unknown] = flags.findUnknownVariableNames(environment);
 	if (unknown === undefined) {
 		return results.Ok(undefined);
 	}
 
-	// A misspelt name of a secret must not print the secret.
-	const shown = flags.isLikeSecret(unknown) ? '(hidden)' : JSON.stringify(environment[unknown]);
-	const message = `${unknown}: an unknown setting, its value ${shown} is not accepted; accepted: ${flags.getVariables().join(', ')}`;
+	// The variable may be the misspelt name of a secret, whose value must not be printed.
+	const shown = flags.isPossibleSecretName(unknown) ? '(hidden)' : JSON.stringify(environment[unknown]);
+	const message = `${unknown}: an unknown setting, its value ${shown} is not accepted; accepted: ${flags.getVariableNames().join(', ')}`;
 	return results.Err(core.createFailure('bad-setting', message));
 }
 
 function getText(key: flags.FlagKey, given: GivenFlags, environment: Environment): string | undefined {
 	const flag: flags.Flag = flags.FLAGS[key];
 	const value = given[key];
-	return value === undefined ? environment[flags.getVariable(flag)] : String(value);
+	return value === undefined ? environment[flags.getVariableName(flag)] : String(value);
 }
 
 function describeBadSetting(key: flags.FlagKey, given: GivenFlags, environment: Environment): string {
 	const flag: flags.Flag = flags.FLAGS[key];
-	const variable = flags.getVariable(flag);
+	const variable = flags.getVariableName(flag);
 	const text = getText(key, given, environment);
 	if (text === undefined) {
 		return `--${flag.name} (or ${variable}) is missing, its value is empty; accepted: ${flag.accepted}`;
@@ -161,6 +161,6 @@
 }
 
 /**
-Any JSON.
+Any JSON value.
 */
 export const ANY_JSON = zod.json();
--- a/packages/wagtailroute-cli/src/signals.ts
+++ b/packages/wagtailroute-cli/src/signals.ts
@@ -1,5 +1,5 @@
 /**
-The signals that end a host.
+The signals that stop a host.
 */
 import process from 'node:process';
 import * as constants from './constants.ts';
@@ -7,25 +7,25 @@
 const STOP_SIGNALS: readonly NodeJS.Signals[] = ['SIGTERM', 'SIGINT'];
 
 /**
-Resolves at the first signal to stop. The second one ends the process at once: an operator must be able to end a host whose
-drain doesn't come to its end.
+Resolves at the first SIGTERM or SIGINT. The second one exits the process at once, so that an operator can end a host whose drain
+hangs.
 */
-export async function waitForStop(): Promise<undefined> {
+export async function waitForStopSignal(): Promise<undefined> {
 	return new Promise<undefined>(resolve => {
-		let count = 0;
-		const receive = (): void => {
-			count++;
-			if (count > 1) {
-				// The drain may hang: an exit code alone would not end it.
+		let signalCount = 0;
+		const handleSignal = (): void => {
+			signalCount++;
+			if (signalCount > 1) {
+				// Setting process.exitCode would not end a process whose drain hangs.
 				// eslint-disable-next-line unicorn/no-process-exit
-				process.exit(constants.EXIT_REFUSED);
+				process.exit(constants.EXIT_FAILURE);
 			}
 
 			resolve(undefined);
 		};
 
 		for (const signal of STOP_SIGNALS) {
-			process.on(signal, receive);
+			process.on(signal, handleSignal);
 		}
 	});
 }
