--- a/packages/wagtailroute-cli/src/arguments.ts
+++ b/packages/wagtailroute-cli/src/arguments.ts
@@ -58,8 +58,8 @@
 	const commands = definitions.map(({path}) => path.join(' ')).toSorted((left, right) => left.localeCompare(right));
 	// The arguments after a flag are left out: they may hold its value, which may be a secret.
 	const flagIndex = argv.findIndex(argument => argument.startsWith('-'));
-	const given = argv.slice(0, flagIndex === -1 ? undefined : flagIndex).join(' ');
-	return `command: the value ${JSON.stringify(given)} is not accepted; accepted: ${commands.join(', ')}, --help, --version`;
+	const givenCommand = argv.slice(0, flagIndex === -1 ? undefined : flagIndex).join(' ');
+	return `command: the value ${JSON.stringify(givenCommand)} is not accepted; accepted: ${commands.join(', ')}, --help, --version`;
 }
 
 function describeUnknownFlag(argv: readonly string[], index: number, definition: CommandDefinition): string {
@@ -67,9 +67,9 @@
 	const next = argv[index + 1];
 	const separator = argument.indexOf('=');
 	const value = separator === -1 ? next : argument.slice(separator + 1);
-	const given = value === undefined || (separator === -1 && value.startsWith('-')) ? '' : value;
+	const givenValue = value === undefined || (separator === -1 && value.startsWith('-')) ? '' : value;
 	// The flag may be the misspelt name of a secret, whose value must not be printed.
-	const shownValue = flags.isPossibleSecretName(getFlagName(argument)) ? '(hidden)' : JSON.stringify(given);
+	const shownValue = flags.isPossibleSecretName(getFlagName(argument)) ? '(hidden)' : JSON.stringify(givenValue);
 	return `${getFlagName(argument)}: an unknown flag, its value ${shownValue} is not accepted; accepted: ${definition.flags.join(', ')}`;
 }
 
--- a/packages/wagtailroute-cli/src/running.ts
+++ b/packages/wagtailroute-cli/src/running.ts
@@ -19,10 +19,10 @@
 	output: stream.Writable,
 	readyLine: string,
 	start: () => Promise<RunningHost>,
-	waitForStop: () => Promise<undefined> = signals.waitForStopSignal,
+	waitForStopSignal: () => Promise<undefined> = signals.waitForStopSignal,
 ): Promise<results.Result<string, failures.CommandFailure>> {
 	try {
-		const stopSignal = waitForStop();
+		const stopSignal = waitForStopSignal();
 		const running = await Promise.race([start(), stopSignal]);
 		// The start can take long, for example without a quorum. A signal during the start ends the process without a drain, since
 		// the host has not served anything yet.
