--- a/packages/wagtailroute-announcements/src/index.ts
+++ b/packages/wagtailroute-announcements/src/index.ts
@@ -1,8 +1,8 @@
 /**
-Announcements: leases of upstreams, kept alike on all hosts that carry their service.
+Announcements: leases of upstreams, replicated to all hosts that carry their service.
 */
 export {
-	DRAIN_HOLD_MILLISECONDS,
+	DRAIN_HOLD_DOWN_MILLISECONDS,
 	LEASE_MILLISECONDS,
 	LEASE_SECONDS,
 	RENEW_SECONDS,
@@ -16,12 +16,12 @@
 } from './leases.ts';
 export type {AnnouncementFailure, AnnouncementFailureKind} from './failures.ts';
 export type {
+	ConfirmedLease,
 	Digest,
 	Effect,
 	Event,
 	LeaseVersion,
 	Message,
-	VouchedLease,
 } from './messages.ts';
 export {parseAnnouncement, parseUpstreamId} from './parsing.ts';
 export {type AnnouncementState, createAnnouncements} from './state.ts';
