--- a/packages/wagtailroute-host/src/__tests__/unit/checked-peer.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/checked-peer.test.ts
@@ -20,16 +20,15 @@
 }
 
 for (const method of ANSWER_SCHEMAS.keys()) {
-	// Symptom: a host ends by an unhandled rejection, or answers a backend server with no status.
-	// Sequence: it asks a host that is faulty or of another version, whose answer has another shape.
-	// Cause: the answer was used as it came.
+	// An answer of a faulty host, or one of another version, that is used unchecked ends the calling host by an unhandled
+	// rejection, or leaves a backend server with an answer without a status.
 	test(`${method}: a malformed answer is a failure of the call`, async t => {
 		for (const malformed of MALFORMED) {
 			const refused: string[] = [];
 			const checked = checkPeer(createPeer(malformed), refusal => {
 				refused.push(refusal.method);
 			});
-			// eslint-disable-next-line no-await-in-loop -- One after the other.
+			// eslint-disable-next-line no-await-in-loop -- The answers are tested one after the other.
 			const answer = await checked.call(ADDRESS, method, {}, CALL_MILLISECONDS);
 			const isPossible = ANSWER_SCHEMAS.get(method)!.safeParse(malformed).success;
 			t.is(answer.isOk(), isPossible, JSON.stringify(malformed));
@@ -38,11 +37,11 @@
 	});
 }
 
-test('every method that answers has a shape for its parameters', t => {
+test('every method that answers has a schema for its parameters', t => {
 	t.deepEqual(ANSWER_SCHEMAS.keys().filter(method => !METHOD_SCHEMAS.has(method)).toArray(), []);
 });
 
-test('a method without a shape can not be registered', t => {
+test('a method without a schema cannot be registered', t => {
 	const checked = checkPeer(createPeer(undefined), () => undefined);
 	t.throws(() => checked.registerMethod('unheard-of', () => undefined), {message: /unheard-of/v});
 });
--- a/packages/wagtailroute-host/src/__tests__/unit/crash-guard.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/crash-guard.test.ts
@@ -1,5 +1,5 @@
 /**
-Requests that crash backend servers, through several hosts at once, against the records themselves.
+Requests that crash backend servers, sent through several hosts, against the real records.
 */
 import test from 'ava';
 import type * as proxy from 'wagtailroute-proxy';
@@ -39,7 +39,7 @@
 }
 
 /**
-Sends as the proxy does; `isCulprit` says what the request does to the server that runs it.
+Sends a request as the proxy does. `isCulprit`: the request crashes the server that runs it.
 */
 async function send(fleet: Fleet, {host, upstream, fingerprint, isCulprit}: {
 	readonly host: number;
@@ -78,12 +78,12 @@
 }
 
 test('a crashing request costs two upstreams at most, though it is resent through every host', async t => {
-	// Symptom: a service loses one backend server after the other. Sequence: a request crashes a server, its caller sends it
-	// again through another host. Cause: each host knows only the crashes that it saw.
+	// If each host knew only the crashes that it saw, a request resent through other hosts would crash one server after the
+	// other.
 	for (const seed of SEEDS) {
 		const random = utils.createRandom(seed);
 		const fleet = createFleet();
-		// eslint-disable-next-line no-await-in-loop -- The first send is alone: copies sent at the same moment are beyond any bound.
+		// eslint-disable-next-line no-await-in-loop -- The first send is alone, because copies sent at the same moment can't be bounded.
 		await send(fleet, {
 			host: 0, upstream: 'u1', fingerprint: 'boom', isCulprit: true,
 		});
@@ -91,7 +91,7 @@
 			const sends = HOSTS.flatMap((_name, host) => [1, 2].map(() => ({
 				host, upstream: UPSTREAMS[utils.pickIndex(random, UPSTREAMS.length)]!, fingerprint: 'boom', isCulprit: true,
 			})));
-			// eslint-disable-next-line no-await-in-loop -- One round after the other.
+			// eslint-disable-next-line no-await-in-loop -- The rounds run one after the other.
 			await Promise.all(sends.map(async request => send(fleet, request)));
 		}
 
@@ -100,7 +100,7 @@
 	}
 });
 
-test('what was seen to survive is no suspect, what was not is cleared by its trial', async t => {
+test('a request that a server survived is no suspect, others are cleared by a trial', async t => {
 	const fleet = createFleet();
 	const [guard] = fleet.guards;
 	await send(fleet, {
@@ -119,14 +119,14 @@
 	t.true(fleet.guards.every(other => other.getQuarantineStatus(SERVICE, 'once') === 'free'));
 });
 
-test('a survival excuses one crash, not all that follow', async t => {
-	// Symptom: a request that once was answered crashes one server after the other. Sequence: the data it reads has changed.
-	// Cause: what was seen to survive was above suspicion for good.
+test('a survival excuses one crash, not later ones', async t => {
+	// A request that was once answered can crash servers after the data that it reads changed, so a survival must not
+	// excuse it for good.
 	const fleet = createFleet();
 	const request = {host: 0, fingerprint: 'turned', isCulprit: true};
 	await send(fleet, {...request, upstream: 'u1', isCulprit: false});
 	for (const upstream of UPSTREAMS) {
-		// eslint-disable-next-line no-await-in-loop -- One resend after the other.
+		// eslint-disable-next-line no-await-in-loop -- The resends are sequential.
 		await send(fleet, {...request, upstream});
 	}
 
@@ -134,7 +134,7 @@
 	t.is(fleet.guards[1]!.getQuarantineStatus(SERVICE, 'turned'), 'quarantined');
 });
 
-test('a connection that is lost without a crash makes no suspect', async t => {
+test('a connection lost without a crash makes no suspect', async t => {
 	const fleet = createFleet();
 	const hasCrashed = await fleet.guards[0]!.detectCrash({
 		service: SERVICE, target: createTarget('u1'), fingerprint: 'x', isOnTrial: false,
@@ -143,7 +143,7 @@
 	t.is(fleet.guards[0]!.getQuarantineStatus(SERVICE, 'x'), 'free');
 });
 
-test('without the records a suspect is not sent, and is free again when they know nothing of it', async t => {
+test('a suspect is not sent while the records are unreachable, and is free again when they know nothing of it', async t => {
 	const fleet = createFleet();
 	fleet.fakeRecords.isUnreachable = true;
 	const request = {
@@ -157,7 +157,7 @@
 	t.is(fleet.guards[0]!.getQuarantineStatus(SERVICE, 'boom'), 'free');
 });
 
-test('a host that missed the news asks for what is newer', async t => {
+test('a host that missed a change gets the suspects of newer versions', async t => {
 	const fleet = createFleet();
 	await send(fleet, {
 		host: 0, upstream: 'u1', fingerprint: 'boom', isCulprit: true,
--- a/packages/wagtailroute-host/src/__tests__/unit/ejections.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/ejections.test.ts
@@ -1,5 +1,5 @@
 /**
-Ejections on hosts: requests, tables and leases of several hosts against the records themselves.
+Ejection requests, tables and leases of several hosts, against the real records.
 */
 import * as timers from 'node:timers/promises';
 import test from 'ava';
@@ -70,7 +70,7 @@
 			readmitted.push(upstream);
 		},
 	});
-	const ejectionRequests = createEjectionRequests(context, createAnnouncing(listed), async (...parameters) => host.isCut
+	const ejectionRequests = createEjectionRequests(context, createAnnouncer(listed), async (...parameters) => host.isCut
 		? results.Err({kind: 'no-quorum', message: '', isPossiblyTaken: false})
 		: fakeRecords.propose(...parameters));
 	return Object.assign(host, {
@@ -78,7 +78,7 @@
 	});
 }
 
-function createAnnouncing(listed: ReadonlySet<string>) {
+function createAnnouncer(listed: ReadonlySet<string>) {
 	return {
 		getUpstreams: () => [...listed].map(id => ({id, state: 'serving'})) as never,
 	};
@@ -118,10 +118,9 @@
 }
 
 for (const seed of [1, 2, 3, 4, 5, 6]) {
-	test(`hosts that ask together, are cut off and come back never act below the floor, seed ${seed}`, async t => {
-		// Symptom: fewer upstreams serve than the floor says, while each host sees it kept.
-		// Sequence: hosts ask for different upstreams at once; some are cut off and miss what ends and what begins.
-		// Cause: a host that decides alone, or acts on a table that it can't renew.
+	test(`hosts that request ejections at once and are cut off at times never go below the healthy floor, seed ${seed}`, async t => {
+		// A host that ejects by itself, or acts on a table that it can't renew, breaks the floor of the service: hosts eject
+		// different upstreams at once, or miss ejections that end and begin while they are cut off.
 		const random = utils.createRandom(seed);
 		const fleet = createFleet(8);
 		let most = 0;
@@ -132,7 +131,7 @@
 			}
 
 			fleet.isConfirmed = random() < 0.9;
-			// eslint-disable-next-line no-await-in-loop -- One round after the other.
+			// eslint-disable-next-line no-await-in-loop -- The rounds run one after the other.
 			await Promise.all(asking.map(async host => {
 				const upstream = UPSTREAMS[utils.pickIndex(random, UPSTREAMS.length)]!;
 				const epoch = host.leases.getEpoch(SERVICE, upstream);
@@ -151,10 +150,9 @@
 	});
 }
 
-test('a host whose lease ends takes all upstreams back, and reads the table anew later', async t => {
-	// Symptom: a host cut off goes on without an upstream that was readmitted, and the floor is broken with the next one.
-	// Sequence: an ejection; the host is cut off; the ejection ends elsewhere.
-	// Cause: a table that is believed for ever.
+test('a host whose lease expires returns all upstreams to service, and reads the table again later', async t => {
+	// A host that is cut off and keeps its table for ever misses that an ejection ended; together with the next ejection
+	// the floor is broken.
 	const fleet = createFleet(2);
 	const [near, far] = fleet.hosts as readonly [Host, Host];
 	t.is(await near.ejectionRequests.requestEjection(SERVICE, 'u1', FINDING), 'granted');
@@ -172,10 +170,9 @@
 	t.deepEqual(listEjected(far), ['u1']);
 });
 
-test('a leader that no quorum confirms hands out no table, and its hosts take all back', async t => {
-	// Symptom: hosts renew their lease on ejections that a new leader has ended.
-	// Sequence: the leader is cut off from the other members and still answers hosts.
-	// Cause: a table read without asking a quorum.
+test('a leader that no quorum confirms returns no table, and its hosts return all upstreams to service', async t => {
+	// A leader that is cut off from the other members and reads tables without a quorum lets hosts renew their lease on
+	// ejections that a new leader has ended.
 	const fleet = createFleet(1);
 	const host = fleet.hosts[0]!;
 	await host.ejectionRequests.requestEjection(SERVICE, 'u1', FINDING);
@@ -188,16 +185,15 @@
 	t.deepEqual(listEjected(host), []);
 });
 
-test('an ejected upstream that announces itself anew stays ejected', async t => {
-	// Symptom: a sick server is back in service as soon as it restarts its announcer.
-	// Sequence: it is ejected, its announcement ends, and begins again.
-	// Cause: an upstream that is new to the machine counts as serving.
+test('an ejected upstream that announces itself again stays ejected', async t => {
+	// An upstream that is new to the machine counts as serving, so an unhealthy server must not return to service by
+	// announcing itself again.
 	const fleet = createFleet(1);
 	const host = fleet.hosts[0]!;
 	const serviceDetection = startServiceDetection(host.context, {
 		entry: ENTRY as never,
 		epoch: 1,
-		announcing: createAnnouncing(host.listed) as never,
+		announcer: createAnnouncer(host.listed) as never,
 		ejectionRequests: host.ejectionRequests,
 		leases: host.leases,
 		sendSummary: () => undefined,
@@ -206,12 +202,12 @@
 	await host.ejectionRequests.requestEjection(SERVICE, 'u1', FINDING);
 	await advance(fleet, 1000);
 	serviceDetection.send({kind: 'ejected', upstream: 'u1'});
-	t.is(serviceDetection.getAdmission('u1'), 'ejected');
+	t.is(serviceDetection.getEjectionState('u1'), 'ejected');
 	host.listed.delete('u1');
 	serviceDetection.refresh();
 	host.listed.add('u1');
 	serviceDetection.refresh();
-	t.is(serviceDetection.getAdmission('u1'), 'ejected');
-	t.is(serviceDetection.getAdmission('u2'), 'in');
+	t.is(serviceDetection.getEjectionState('u1'), 'ejected');
+	t.is(serviceDetection.getEjectionState('u2'), 'in');
 	serviceDetection.stop();
 });
--- a/packages/wagtailroute-host/src/__tests__/unit/fake-records.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/fake-records.ts
@@ -1,5 +1,5 @@
 /**
-Hosts without a network: what parts of a host are given, and records that answer proposals at once.
+Hosts without a network: contexts for the modules of a host, and records in memory that answer proposals at once.
 */
 import * as results from 'ts-results-es';
 import * as core from 'wagtailroute-core';
@@ -12,28 +12,29 @@
 import {createRecordsMachine, type RecordsMachine} from '../../records-machine.ts';
 
 /**
-The records of a fake fleet.
+Records in memory, and the hosts that use them.
 */
 export type FakeRecords = {
 	readonly machine: RecordsMachine;
 	readonly propose: typeof proposeCommand;
 	/**
-	Creates what the parts of one host are given; pushes reach the methods that they register.
+	Creates the context of one host. Pushed messages reach the methods that it registers.
 	*/
 	readonly createContext: (hostId: core.HostId) => HostContext;
 	/**
-	While set, every proposal fails without having been taken.
+	While set, every proposal fails without being taken.
 	*/
 	isUnreachable: boolean;
 	now: number;
 	/**
-	Lets time go on and runs all that is repeated once.
+	Advances time and runs each repeated function once.
 	*/
 	readonly advance: (milliseconds: number) => void;
 };
 
 /**
-Creates the records. `push` tells the hosts of a notice, by a method that they registered.
+Creates the records. `createPush` returns the message that hosts get for a notice: a method that they registered, and its
+parameters.
 */
 export function createFakeRecords(createPush?: (tables: records.Records, notice: records.Notice) => {method: string; parameters: unknown}): FakeRecords {
 	const methods: Array<Map<string, peer.Method>> = [];
--- a/packages/wagtailroute-host/src/__tests__/unit/held-shares.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/held-shares.test.ts
@@ -1,5 +1,5 @@
 /**
-Shares of a fleet-wide limit as hosts hold them, against the records themselves over a network that loses and delays.
+Shares of a fleet-wide limit as hosts hold them, against the real records, over a network that loses and delays messages.
 */
 import test from 'ava';
 import * as fastCheck from 'fast-check';
@@ -19,22 +19,22 @@
 	inUse: number;
 	demand: number;
 	/**
-	Steps for which the host stays cut off from the records.
+	Steps for which the host remains cut off from the records.
 	*/
 	cut: number;
-	isAsking: boolean;
+	isRequesting: boolean;
 };
 
 /**
-Plays hosts whose demand changes and whose questions and answers are lost or late. Returns the most that was in use or
-could be used at any step, and the mean.
+Simulates hosts whose demand changes, and whose requests and answers are lost or late. Returns the maximum over all steps of
+what was in use or could be used, and the mean.
 */
 function play(seed: number): {readonly most: number; readonly mean: number} {
 	const random = utils.createRandom(seed);
 	const tables = records.createRecords();
 	const scheduledActions = new Map<number, Array<() => void>>();
 	const hosts: FakeHost[] = Array.from({length: HOSTS}, () => ({
-		held: heldShares.NO_SHARE, inUse: 0, demand: 0, cut: 0, isAsking: false,
+		held: heldShares.NO_SHARE, inUse: 0, demand: 0, cut: 0, isRequesting: false,
 	}));
 	let most = 0;
 	let sum = 0;
@@ -42,25 +42,25 @@
 	const renew = (host: FakeHost, name: string, step: number) => {
 		const now = step * STEP_MILLISECONDS;
 		const usage = {inUse: host.inUse, demand: host.demand};
-		if (host.isAsking || !heldShares.isDue(host.held, SHARED, {usage, now})) {
+		if (host.isRequesting || !heldShares.isDue(host.held, SHARED, {usage, now})) {
 			return;
 		}
 
 		const created = heldShares.createRequest(host.held, SHARED, {usage, now});
 		host.held = created.held;
-		host.isAsking = true;
+		host.isRequesting = true;
 		const isAnswerLost = host.cut > 0 || random() < 0.1;
-		const isQuestionLost = host.cut > 0 && random() < 0.5;
+		const isRequestLost = host.cut > 0 && random() < 0.5;
 		const delay = 1 + utils.pickIndex(random, 5);
 		scheduledActions.set(step + delay, [...scheduledActions.get(step + delay) ?? [], () => {
-			host.isAsking = false;
+			host.isRequesting = false;
 			const payload = {
 				requests: [{
 					service: 's', limitName: 'concurrency' as const, host: name, ...created.request,
 				}],
 			};
 			const stampedAt = (step + delay) * STEP_MILLISECONDS;
-			const answer = isQuestionLost ? undefined : tables.apply({name: 'renew-shares', stampedAt, payload}).result.shares[0];
+			const answer = isRequestLost ? undefined : tables.apply({name: 'renew-shares', stampedAt, payload}).result.shares[0];
 			const share = isAnswerLost || answer === undefined || 'kind' in answer ? undefined : answer;
 			host.held = heldShares.applyAnswer({...host.held, isUnanswered: false}, share, {requestedAt: now, inUse: host.inUse});
 		}]);
@@ -90,9 +90,9 @@
 	return {most, mean: sum / STEPS};
 }
 
-test('what all hosts use or could use stays within the limit', t => {
-	// Symptom: a backend server that bears 40 requests gets 50. Sequence: one host's smaller share is lost on the way, the
-	// rest is given to another. Cause: a share counted as given back before its host has come down to it.
+test('the hosts together never use, nor may use, more than the limit', t => {
+	// A grant of a smaller share is lost on the way. If the difference counted as released before the host's usage came down
+	// to it, another host would get it, and a backend server with a limit of 40 requests would get 50.
 	let mean = 0;
 	let runs = 0;
 	fastCheck.assert(fastCheck.property(fastCheck.integer({min: 1}), seed => {
@@ -105,19 +105,19 @@
 	t.true(mean / runs > LIMIT * 0.4);
 });
 
-test('a host uses nothing before its first share, and its safe part when the first question fails', t => {
+test('a host uses nothing before its first share, and its safe part when the first request fails', t => {
 	t.is(heldShares.getAmount(heldShares.NO_SHARE, SHARED, 0), 0);
 	const failed = heldShares.applyAnswer(heldShares.NO_SHARE, undefined, {requestedAt: 0, inUse: 0});
 	t.is(heldShares.getAmount(failed, SHARED, 0), 2);
 });
 
-test('a share falls back to its safe part when its lease ends, measured from before it was asked for', t => {
+test('a share falls back to its safe part when its lease expires, measured from before the request', t => {
 	const held = heldShares.applyAnswer(heldShares.NO_SHARE, {sequence: 1, amount: 20, safe: 2}, {requestedAt: 100, inUse: 0});
 	t.is(heldShares.getAmount(held, SHARED, 100 + records.SHARE_LEASE_MILLISECONDS - 1), 20);
 	t.is(heldShares.getAmount(held, SHARED, 100 + records.SHARE_LEASE_MILLISECONDS), 2);
 });
 
-test('a host with more in flight than its new share still holds the grant before it', t => {
+test('a host with more in flight than its new share still reports the earlier grant as held', t => {
 	const first = heldShares.applyAnswer(heldShares.NO_SHARE, {sequence: 3, amount: 20, safe: 2}, {requestedAt: 0, inUse: 0});
 	const second = heldShares.applyAnswer(first, {sequence: 5, amount: 10, safe: 2}, {requestedAt: 50, inUse: 15});
 	t.is(heldShares.createRequest(second, SHARED, {usage: {inUse: 15, demand: 15}, now: 60}).request.holds, 3);
--- a/packages/wagtailroute-host/src/__tests__/unit/summary-exchange.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/summary-exchange.test.ts
@@ -1,5 +1,5 @@
 /**
-What carriers tell each other of their upstreams, from one host's mail to another's.
+Detection summaries that carriers send each other.
 */
 import test from 'ava';
 import type * as core from 'wagtailroute-core';
@@ -34,10 +34,10 @@
 				methods.get(port)!(structuredClone(message));
 			},
 		} as unknown as HostContext['peer'];
-		const announcing = {
+		const announcer = {
 			getUpstreams: (service: core.ServiceName) => UPSTREAMS[service]!.map(id => ({id})) as never,
 		};
-		return startSummaryExchange({...context, settings, peer}, announcing as never, {
+		return startSummaryExchange({...context, settings, peer}, announcer as never, {
 			epoch: index + 7,
 			onSummary(service, summary) {
 				received.push({to: hostId, service, summary});
@@ -55,7 +55,7 @@
 	};
 }
 
-test('a summary reaches the other carriers of its service whole, all services in one message', t => {
+test('a summary reaches the other carriers of its service unchanged, those of all services in one message', t => {
 	const {exchanges, received, getMessageCount} = startExchanges();
 	const s = createSummary(1, ['u1', 'u2']);
 	const other = createSummary(4, ['v1']);
@@ -73,10 +73,9 @@
 	t.is(getMessageCount(), 2);
 });
 
-test('evidence about an upstream that the reader does not know counts for none', t => {
-	// Symptom: failures of one upstream are held against another one.
-	// Sequence: an upstream is announced to one host before the other hears of it, and fails there.
-	// Cause: names that are received by their hash.
+test('evidence about an upstream that the receiver does not know is ignored', t => {
+	// Upstreams are sent by hash. One that fails on a host before it is announced to the receiver must not count against
+	// another upstream there.
 	const {exchanges, received} = startExchanges();
 	exchanges[0]!.queue('s', createSummary(1, ['unknown', 'u2']));
 	exchanges[0]!.flush();
--- a/packages/wagtailroute-host/src/catalogue-changes.ts
+++ b/packages/wagtailroute-host/src/catalogue-changes.ts
@@ -1,5 +1,5 @@
 /**
-Operators' changes, from any host to the leader of the catalogue and back.
+Operators' changes of the catalogue: proposed from any host to the leader, and read back as history.
 */
 import type * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
@@ -9,23 +9,23 @@
 import {type ProposalFailure, proposeCommand} from './proposals.ts';
 
 /**
-A change as an operator asks for it.
+A change as requested by an operator.
 */
 export type ChangeRequest = {
 	readonly name: core.ServiceName;
 	/**
-	Absent to remove the entry.
+	Undefined to remove the entry.
 	*/
 	readonly entry: catalogue.Entry | undefined;
 	/**
-	The revision it was made from, 0 when the entry must not exist.
+	Revision that the change is based on; 0 when the entry must not exist.
 	*/
 	readonly expected: catalogue.Revision;
 	readonly changeId: string;
 };
 
 /**
-Brings a change to the catalogue. The Change-Id makes it safe to propose it again while its answer is lost.
+Proposes a change to the catalogue. The Change-Id makes it safe to propose it again when the answer is lost.
 */
 export async function changeCatalogue(
 	context: HostContext,
@@ -44,7 +44,7 @@
 }
 
 /**
-Returns the changes of an entry as a control host knows them, or none when no control host can be reached.
+Returns the history of an entry from the first control host that answers; empty when none does.
 */
 export async function fetchHistory(
 	context: HostContext,
@@ -54,7 +54,7 @@
 		.filter(member => member.roles.includes('control'))
 		.toArray());
 	for (const control of controls) {
-		// eslint-disable-next-line no-await-in-loop -- One control host's answer is enough.
+		// eslint-disable-next-line no-await-in-loop -- Stops at the first answer.
 		const answer = await context.peer.call(control.peerAddress, 'catalogue.history', {name}, CALL_TIMEOUT_MILLISECONDS);
 		if (answer.isOk()) {
 			return answer.value as readonly catalogue.HistoryItem[];
--- a/packages/wagtailroute-host/src/checked-peer.ts
+++ b/packages/wagtailroute-host/src/checked-peer.ts
@@ -1,9 +1,10 @@
 /**
-The calls between hosts, their parameters checked before any part sees them.
+Checks the parameters and answers of calls between hosts before any module uses them.
 
-A host that is faulty, or older or newer than this one, sends what this one's parts don't expect. Their machines treat an
-unexpected value as a defect and end the process, so one such host could end all others, and a command of that kind would end
-them again at each start. Here such a call is answered by an error, a notification or datagram is dropped; both are counted.
+A host that is faulty or of another version sends values that this one doesn't expect. The state machines treat an
+unexpected value as a defect and end the process, so that one such host could end all others, and a command of that kind
+would end them again at each start. A malformed call is answered by an error; a malformed notification or datagram is
+dropped. Both are counted.
 */
 import * as core from 'wagtailroute-core';
 import type * as peer from 'wagtailroute-peer';
@@ -13,19 +14,19 @@
 import {ANSWER_SCHEMAS, DATAGRAM_SCHEMAS, METHOD_SCHEMAS} from './method-schemas.ts';
 
 /**
-Told of each refused message.
+Called for each refused message.
 */
 export type RefusalListener = (refusal: {readonly method: string; readonly from?: core.HostId}) => void;
 
 /**
-Thrown in a method, which answers the caller with its message.
+Thrown in a method; the caller gets the message as an error.
 */
 class MalformedParameters extends Error {
 	override readonly name = 'MalformedParameters';
 }
 
 /**
-Returns the same end with its messages checked.
+Returns a peer that checks its messages.
 */
 export function checkPeer(unchecked: peer.Peer, onRefused: RefusalListener): peer.Peer {
 	return {
--- a/packages/wagtailroute-host/src/claims.ts
+++ b/packages/wagtailroute-host/src/claims.ts
@@ -1,5 +1,6 @@
 /**
-Claims of idempotency keys: one answer for the whole fleet, committed by a quorum before anything is sent.
+Claims of idempotency keys. A claim is committed by a quorum before the request is sent, so that the whole fleet gives the
+same answer.
 */
 import * as crypto from 'node:crypto';
 import * as proxy from 'wagtailroute-proxy';
@@ -36,11 +37,11 @@
 	});
 	if (proposed.isErr()) {
 		if (proposed.error.isPossiblyTaken) {
-			// The claim may stand although nobody will use it: given back, the key can be claimed again.
+			// The claim may have been taken although it won't be used. Settled as not run, the key can be claimed again.
 			settle(context, claim, {kind: 'not-run'});
 		}
 
-		// Not-run is true of this send only: an earlier one with the same key may have run, and nobody can look it up now.
+		// Only this send is known not to have run: an earlier one with the same key can't be looked up now.
 		return refuse(
 			'idempotency-records-unavailable',
 			`This send was not run; whether an earlier one with the Idempotency-Key ${request.key} was, can not be told now. ${proposed.error.message}`,
@@ -85,7 +86,7 @@
 }
 
 /**
-Stored headers are pairs; a name that comes more than once becomes a list.
+Converts header pairs to an object; a name that occurs more than once becomes a list.
 */
 function mergeHeaders(pairs: records.StoredAnswer['headers']): Record<string, string | string[]> {
 	const headers: Record<string, string | string[]> = {};
@@ -125,7 +126,8 @@
 }
 
 /**
-Settles in the background: the caller has its answer, and an attempt that is never settled becomes unknown by itself.
+Settles in the background: the caller already has its answer, and an attempt that is never settled becomes unknown by
+itself.
 */
 function settle(context: HostContext, claim: records.Claim, ending: records.Settlement['ending']): void {
 	const {
--- a/packages/wagtailroute-host/src/command-schemas.ts
+++ b/packages/wagtailroute-host/src/command-schemas.ts
@@ -1,8 +1,8 @@
 /**
-Shapes of the commands of the replicated groups.
+Schemas of the commands of the replicated groups.
 
-A command that reaches the log is applied by every replica of its group, now and after each start. One that throws there would
-stop them all for good, so it is refused before it is proposed, and again when it comes with the log of another host.
+Every replica of a group applies the commands in its log, also after each start, and a command that throws there would stop
+them all for good. It is therefore refused before it is proposed, and again when it arrives with the log of another host.
 */
 import * as catalogue from 'wagtailroute-catalogue';
 import type * as records from 'wagtailroute-records';
@@ -48,7 +48,7 @@
 	until: amount,
 });
 
-// The parts of a service's state are made by the state machine itself and handed on as they are.
+// The inner parts of a service's state are made by the state machine and passed on unchanged, so they aren't checked further.
 const serviceState = z.object({
 	ejections: z.object({version: count, ejected: z.array(z.object({upstream: name, epoch: count}))}),
 	shares: z.object({concurrency: z.looseObject({}), ratePerSecond: z.looseObject({})}),
@@ -114,19 +114,19 @@
 const removal = z.object({name, revision: count});
 
 /**
-A difference between two views of the catalogue, as another host answers it.
+Difference between two views of the catalogue, as answered by another host.
 */
 export const delta = z.object({
 	scope: z.enum(['changes', 'whole']), from: count, to: count, entries: z.array(versionedEntry), removals: z.array(removal),
 });
 
 /**
-Commands by group.
+Schema of the commands of each group.
 */
 export const COMMAND_SCHEMAS = {catalogue: change, records: recordsCommand} as const;
 
 /**
-States of a snapshot by group.
+Schema of the state in a snapshot of each group.
 */
 export const SNAPSHOT_SCHEMAS = {
 	catalogue: z.object({
--- a/packages/wagtailroute-host/src/constants.ts
+++ b/packages/wagtailroute-host/src/constants.ts
@@ -13,7 +13,7 @@
 export const MEMBERSHIP_TICK_INTERVAL_MILLISECONDS = 50;
 
 /**
-Milliseconds for which the news that a host leaves is given out.
+Milliseconds for which a leaving host goes on sending membership messages, so that the update spreads.
 */
 export const LEAVE_GOSSIP_MILLISECONDS = 300;
 
@@ -38,22 +38,22 @@
 export const CALL_TIMEOUT_MILLISECONDS = 2000;
 
 /**
-Milliseconds that a change may take, elections included, before its operator is told that it may have been taken.
+Milliseconds that a change may take, elections included, before the operator is told that it may have been taken.
 */
 export const CHANGE_TIMEOUT_MILLISECONDS = 8000;
 
 /**
-Milliseconds between two attempts of the same change or command at control hosts.
+Milliseconds between two attempts to propose the same command.
 */
 export const CONTROL_RETRY_DELAY_MILLISECONDS = 100;
 
 /**
-Milliseconds that a claim of an idempotency key may take; the caller waits meanwhile.
+Milliseconds that the claim of an idempotency key may take, while the caller waits.
 */
 export const CLAIM_TIMEOUT_MILLISECONDS = 2500;
 
 /**
-Milliseconds for which the settlement of a key is tried again.
+Milliseconds for which a settlement, or the end of a trial, is retried.
 */
 export const SETTLE_TIMEOUT_MILLISECONDS = 60_000;
 
@@ -63,17 +63,17 @@
 export const RECONCILE_INTERVAL_MILLISECONDS = 1000;
 
 /**
-Milliseconds between the stamps by which the leader of the records lets group time go on.
+Milliseconds between the ticks by which the leader of the records advances group time.
 */
 export const GROUP_TIME_INTERVAL_MILLISECONDS = 2000;
 
 /**
-Voters of the control group at most.
+Voters in a group.
 */
 export const MAX_VOTERS = 5;
 
 /**
-Milliseconds after which a control host that is gone is removed from the group.
+Milliseconds after which an unavailable control host may be replaced in a group.
 */
 export const REPLACE_MEMBER_DELAY_MILLISECONDS = 60_000;
 
@@ -114,17 +114,18 @@
 export const MAX_DRAIN_MILLISECONDS = 3_600_000;
 
 /**
-Milliseconds that a host waits after a crash for the other losses of the same moment.
+Milliseconds for which a host collects the other attempts lost at the same moment as a first one.
 */
 export const CRASH_COLLECTION_MILLISECONDS = 10;
 
 /**
-Milliseconds for which the answers to what was in flight at a crash are held after the report, so that all carriers know the suspects before anything is sent again.
+Milliseconds by which the answers to the requests in flight at a crash are delayed after the report, so that all carriers
+know the suspects before anything is sent again.
 */
 export const CRASH_ANSWER_DELAY_MILLISECONDS = 100;
 
 /**
-Milliseconds that an upstream may take to accept a connection after one was lost; longer is no crash.
+Milliseconds that an upstream may take to answer a new connection after one was lost; a timeout is no crash.
 */
 export const CRASH_PROBE_TIMEOUT_MILLISECONDS = 250;
 
@@ -134,27 +135,27 @@
 export const CRASH_REPORT_TIMEOUT_MILLISECONDS = 1000;
 
 /**
-Milliseconds for which a host suspects a request by itself, when the report of its crash may not have arrived.
+Milliseconds for which a host suspects a request after a crash that it saw, in case the report did not arrive.
 */
 export const LOCAL_SUSPICION_MILLISECONDS = 60_000;
 
 /**
-Milliseconds between two questions of a host for requests that may crash upstreams; it is told of changes at once.
+Milliseconds between two polls for suspect requests; changes are also pushed at once.
 */
 export const SUSPECT_POLL_INTERVAL_MILLISECONDS = 2000;
 
 /**
-Milliseconds after which the older half of the survived requests is forgotten.
+Milliseconds after which the older generation of survivals is dropped.
 */
 export const SURVIVALS_ROTATION_MILLISECONDS = 300_000;
 
 /**
-Milliseconds that the grant of a trial may take; the caller waits meanwhile.
+Milliseconds that the grant of a trial may take, while the caller waits.
 */
 export const TRIAL_REQUEST_TIMEOUT_MILLISECONDS = 2500;
 
 /**
-Milliseconds between two looks whether shares of limits are to be renewed.
+Milliseconds between two checks for shares that are due for renewal.
 */
 export const SHARE_TICK_INTERVAL_MILLISECONDS = 250;
 
@@ -164,7 +165,7 @@
 export const SHARE_RENEWAL_TIMEOUT_MILLISECONDS = 1000;
 
 /**
-Milliseconds between two looks of the records' leader for hosts that are gone.
+Milliseconds between two checks of the leader of the records for lost hosts.
 */
 export const LOST_HOSTS_CHECK_INTERVAL_MILLISECONDS = 1000;
 
@@ -205,12 +206,12 @@
 export const BURN_CONCURRENCY = 32;
 
 /**
-Milliseconds between two readings of the ejection tables without news; well below their lease.
+Milliseconds between two polls of the ejection tables; well below their lease. Changes are also pushed at once.
 */
 export const EJECTION_POLL_INTERVAL_MILLISECONDS = 4000;
 
 /**
-Control hosts asked for the ejection tables in one reading.
+Control hosts asked for the ejection tables in one poll.
 */
 export const MAX_EJECTION_POLL_ATTEMPTS = 4;
 
@@ -220,17 +221,18 @@
 export const EJECTION_REQUEST_TIMEOUT_MILLISECONDS = 2000;
 
 /**
-Milliseconds between a host's reports of the upstreams it knows, while any of them is ejected.
+Milliseconds between a host's reports of the upstreams that it sees, while any of them is ejected.
 */
 export const UPSTREAMS_REPORT_INTERVAL_MILLISECONDS = 10_000;
 
 /**
-Milliseconds for which a host takes upstreams of a service that is new to it for warm.
+Milliseconds after a service is first seen for which the upstreams that appear are assumed to be warm.
 */
 export const ASSUMED_WARM_MILLISECONDS = 10_000;
 
 /**
-Summaries that a host sends in a second over all services without urgent evidence; at least four for a single service.
+Summaries that a host sends per second for all its services together, without urgent evidence. A single service sends at
+least four.
 */
 export const DETECTION_SUMMARIES_PER_SECOND = 20;
 
@@ -240,12 +242,14 @@
 export const UPSTREAM_LIST_TIMEOUT_MILLISECONDS = 1000;
 
 /**
-Milliseconds between the ticks of detection: half of what the machine asks for, so that urgent evidence leaves soon.
+Milliseconds between the ticks of detection: half the shortest interval of the machine, so that urgent evidence is sent
+soon.
 */
 export const DETECTION_TICK_INTERVAL_MILLISECONDS = 50;
 
 /**
-Steps of detection that a host makes in a second over all services without failures; at least ten for a single service.
+Steps of detection that a host makes per second for all its services together, without failures. A single service makes at
+least ten.
 */
 export const DETECTION_STEPS_PER_SECOND = 40;
 
--- a/packages/wagtailroute-host/src/control-members.ts
+++ b/packages/wagtailroute-host/src/control-members.ts
@@ -1,17 +1,20 @@
 /**
-Chooses which control hosts vote in a group and which only follow.
+Chooses which control hosts vote in a group and which are learners.
 
-A host that is gone is replaced only after a while; the choice itself is the replication package's.
+Decides when an unavailable host may be replaced; the choice itself is made by the replication package.
 */
 import type * as core from 'wagtailroute-core';
 import * as replication from 'wagtailroute-replication';
 import {MAX_VOTERS, REPLACE_MEMBER_DELAY_MILLISECONDS} from './constants.ts';
 import type {HostContext, Member} from './context.ts';
 
+/**
+Monotonic time since which each host is unavailable, by the context of the host that observes it.
+*/
 const unavailableSince = new WeakMap<HostContext, Map<core.HostId, number>>();
 
 /**
-Returns the hosts that belong into a group.
+Returns the hosts that should be members of a group.
 */
 export function chooseControlMembers(
 	context: HostContext,
--- a/packages/wagtailroute-host/src/control.ts
+++ b/packages/wagtailroute-host/src/control.ts
@@ -1,5 +1,5 @@
 /**
-The control role: this host's replicas of the catalogue and of the records, on its disk.
+The control role: this host's replicas of the catalogue and of the records, stored on its disk.
 */
 import * as path from 'node:path';
 import * as catalogue from 'wagtailroute-catalogue';
@@ -28,7 +28,7 @@
 export type Control = {
 	readonly getStatus: () => Readonly<Partial<Record<GroupName, replication.GroupStatus>>>;
 	/**
-	Groups that this host can't take part in, with the reason: its store is damaged, or its disk failed.
+	Returns the groups that this host can't take part in, each with the reason: a damaged store or a failed disk.
 	*/
 	readonly getFailures: () => Readonly<Partial<Record<GroupName, string>>>;
 	readonly getHistory: (name: core.ServiceName) => readonly catalogue.HistoryItem[];
@@ -43,7 +43,8 @@
 type Groups = Partial<Record<GroupName, replication.Group>>;
 
 /**
-Starts the role. It returns at once; the groups join or are created in the background, as that may need other hosts.
+Starts the control role and returns at once. The groups open in the background, because joining or creating one may need
+other hosts.
 */
 export function startControl(context: HostContext): Control {
 	const {peer} = context;
@@ -86,14 +87,14 @@
 			records: recordsMachine.stateMachine,
 		};
 		for (const name of ['catalogue', 'records'] as const) {
-			// eslint-disable-next-line no-await-in-loop -- One after the other.
+			// eslint-disable-next-line no-await-in-loop -- The groups open one after the other.
 			const group = await openGroup(context, name, machines[name], failures);
 			if (group === undefined) {
 				continue;
 			}
 
 			groups[name] = group;
-			log.info('Group opened.', {group: name});
+			log.info('Replica of a group opened.', {group: name});
 		}
 	};
 
@@ -135,17 +136,17 @@
 		clock: context.now,
 		random: context.random,
 		schedule: context.schedule,
-		// Given at every start: the group creates itself once, and a wiped host joins as a new member.
+		// Passed at every start: the group is created only once, and a host whose disk was wiped joins as a new member.
 		initialMembers: {hosts: initialControl.map(initial => initial.id)},
 		getSeeds: () => getControlHosts(context),
 		onStopped(failure) {
 			failures[name] = failure.message;
-			log.error('Store failed, the replica stopped.', {group: name, failure: failure.message});
+			log.error('Replica stopped because its store failed.', {group: name, failure: failure.message});
 		},
 	});
 	if (opened.isErr()) {
 		failures[name] = opened.error.message;
-		log.error('Group could not be opened.', {group: name, failure: opened.error.message});
+		log.error('Replica of a group could not be opened.', {group: name, failure: opened.error.message});
 		return undefined;
 	}
 
@@ -207,7 +208,7 @@
 }
 
 /**
-Group time moves with the commands; without any, records and leases would never end.
+Proposes a tick. Group time advances only with commands; without any, records and leases would never expire.
 */
 async function advanceGroupTime(groups: Groups, recordsMachine: RecordsMachine): Promise<void> {
 	if (recordsMachine.records.getServices().length > 0) {
@@ -226,8 +227,8 @@
 
 	const members = context.store.read(state => state.members);
 	for (const command of lostHostDetector.findCommands(members, recordsMachine.records.getHolders())) {
-		context.log('control').info('Host lost.', {command: command.name, host: command.payload.host});
-		// eslint-disable-next-line no-await-in-loop -- A handful, one after the other.
+		context.log('control').info('Leader proposes a command for a host that is lost or has left.', {command: command.name, host: command.payload.host});
+		// eslint-disable-next-line no-await-in-loop -- There are few commands; they are proposed in order.
 		await propose(groups, recordsMachine, {group: 'records', command});
 	}
 }
@@ -241,10 +242,10 @@
 		}
 
 		const wantedMembers = chooseControlMembers(context, status);
-		// eslint-disable-next-line no-await-in-loop -- One step at a time keeps each safe.
+		// eslint-disable-next-line no-await-in-loop -- Only one membership change at a time is safe.
 		const change = await group.reconcile(wantedMembers);
 		if (change.isOk() && change.value !== undefined) {
-			log.info('Members of a group changed.', {group: name, change: JSON.stringify(change.value)});
+			log.info('Leader changed the members of a group.', {group: name, change: JSON.stringify(change.value)});
 		}
 	}
 }
--- a/packages/wagtailroute-host/src/crash-guard.ts
+++ b/packages/wagtailroute-host/src/crash-guard.ts
@@ -1,10 +1,10 @@
 /**
-Guards backend servers from requests that crash them, on a host that carries the service: reports crashes with what was in
-flight, sends suspects only on trial, refuses what is quarantined.
+Protects backend servers from requests that crash them, on a host that carries the service: reports crashes with the
+requests that were in flight, sends suspect requests only as trials, and refuses quarantined ones.
 
-What goes wrong without it: a request crashes the backend server that runs it, is sent again by the fleet or by its caller
-through any host, and takes one server after the other. A connection that is lost says little by itself; when the server
-then refuses a new connection it has crashed. The answers to what was in flight are held until the fleet knows the suspects.
+Without it, a request that crashes a backend server is sent again by the fleet, or by its caller through any host, and
+crashes one server after the other. A lost connection alone is no crash; a server that then refuses a new connection has
+crashed. The answers to the requests that were in flight are delayed until all carriers know the suspects.
 */
 import * as crypto from 'node:crypto';
 import * as net from 'node:net';
@@ -36,7 +36,7 @@
 import {createSuspects, type Suspects} from './suspects.ts';
 
 /**
-The guard of a host.
+The crash guard of a host.
 */
 export type HostCrashGuard = {
 	readonly guard: proxy.CrashGuard;
@@ -44,13 +44,16 @@
 };
 
 /**
-What tests may replace.
+Replacements for tests.
 */
 export type CrashGuardFakes = {
 	readonly propose?: typeof proposeCommand;
 	readonly isRefusing?: (address: core.Address) => Promise<boolean>;
 };
 
+/**
+Attempts that one upstream lost at the same moment. `result` is whether it crashed.
+*/
 type LossGroup = {
 	readonly fingerprints: Set<string>;
 	isOnTrial: boolean;
@@ -58,7 +61,7 @@
 };
 
 /**
-Starts the part.
+Starts the crash guard.
 */
 export function startCrashGuard(context: HostContext, fakes: CrashGuardFakes = {}): HostCrashGuard {
 	const {now, peer} = context;
@@ -71,16 +74,16 @@
 	const examineLoss = async (loss: proxy.LostAttempt, upstreamKey: string): Promise<boolean> => {
 		const incarnation = `${suspects.getVersion(loss.service)}`;
 		const isServerRefusing = await isRefusing(loss.target.address);
-		// What else was in flight there is lost at the same moment, but told one after the other.
+		// The other requests in flight at this upstream are lost at the same moment, but reported one after the other.
 		await wait(context, CRASH_COLLECTION_MILLISECONDS);
 		const group = lossGroups.get(upstreamKey)!;
 		lossGroups.delete(upstreamKey);
-		// A server that comes back at once does not refuse: a suspect that was on trial there is tied to its loss anyway.
+		// A server that restarts at once refuses no connection. The loss of a suspect on trial is reported even then.
 		if (!isServerRefusing && !group.isOnTrial) {
 			return false;
 		}
 
-		log.warn('Upstream crashed.', {service: loss.service, upstream: loss.target.id, inFlight: group.fingerprints.size});
+		log.warn('Upstream crashed; the requests in flight are reported.', {service: loss.service, upstream: loss.target.id, inFlight: group.fingerprints.size});
 		await reportCrash(loss, incarnation, group.fingerprints);
 		await wait(context, CRASH_ANSWER_DELAY_MILLISECONDS);
 		return true;
@@ -210,7 +213,7 @@
 		kind: 'granted',
 		isUsable: () => isUsable(result.validityMilliseconds),
 		end(ending) {
-			// Whether the server survives is not known: the trial stays until its time is over, so that no other copy runs.
+			// It is unknown whether the server survives. The trial lasts until it expires, so that no other copy runs meanwhile.
 			if (ending !== 'lost') {
 				end(ending);
 			}
@@ -233,7 +236,7 @@
 }
 
 /**
-Says whether a server refuses connections.
+Returns whether a server refuses connections. A timeout or another error is no refusal.
 */
 async function probe(address: core.Address): Promise<boolean> {
 	return new Promise(resolve => {
--- a/packages/wagtailroute-host/src/ejection-leases.ts
+++ b/packages/wagtailroute-host/src/ejection-leases.ts
@@ -1,8 +1,9 @@
 /**
 The ejections that this host acts on: tables read from the records under a lease.
 
-A host that can't renew the lease takes every upstream back into service. What goes wrong otherwise: cut off, it would miss
-that an upstream was readmitted, others would eject another one for it, and together they would go below the floor.
+A host that can't renew its lease returns every upstream to service. Otherwise a host that is cut off would miss that an
+upstream was readmitted; other hosts would eject another one in its place, and together they would go below the healthy
+floor.
 */
 import type * as core from 'wagtailroute-core';
 import * as records from 'wagtailroute-records';
@@ -18,7 +19,7 @@
 import {chooseControlHost} from './proposals.ts';
 
 /**
-The leases of a host.
+The ejection leases of a host.
 */
 export type EjectionLeases = {
 	/**
@@ -31,17 +32,20 @@
 };
 
 /**
-What the leases need.
+Services whose tables the host needs, and listeners for changes of the tables.
 */
 export type EjectionLeasesOptions = {
 	/**
-	Services whose tables this host needs.
+	Returns the services whose tables this host needs.
 	*/
 	readonly getServices: () => Iterable<core.ServiceName>;
 	readonly onEjected: (service: core.ServiceName, upstream: core.UpstreamId) => void;
 	readonly onReadmitted: (service: core.ServiceName, upstream: core.UpstreamId) => void;
 };
 
+/**
+Latest table of a service: the epoch of the ejection of each ejected upstream.
+*/
 type HeldTable = {
 	readonly version: number;
 	readonly epochs: ReadonlyMap<core.UpstreamId, number>;
@@ -50,7 +54,7 @@
 const EMPTY_TABLE: HeldTable = {version: 0, epochs: new Map()};
 
 /**
-Starts to keep the leases.
+Starts to poll the tables and renew the lease.
 */
 export function startEjectionLeases(context: HostContext, options: EjectionLeasesOptions): EjectionLeases {
 	const log = context.log('detection');
@@ -67,7 +71,7 @@
 				continue;
 			}
 
-			log.info('Upstream readmitted.', {service, upstream});
+			log.info('Ejected upstream returned to service.', {service, upstream});
 			options.onReadmitted(service, upstream);
 		}
 
@@ -76,7 +80,7 @@
 				continue;
 			}
 
-			log.warn('Upstream ejected.', {service, upstream, epoch});
+			log.warn('Upstream ejected from service.', {service, upstream, epoch});
 			options.onEjected(service, upstream);
 		}
 	};
@@ -139,7 +143,7 @@
 					return;
 				}
 
-				log.warn('Ejection lease ended, all upstreams are taken back.');
+				log.warn('Ejection lease expired; all ejected upstreams return to service.');
 				dropAllTables();
 			}),
 		),
@@ -156,7 +160,7 @@
 
 	let address = chooseControlHost(context);
 	for (let attempt = 0; address !== undefined && attempt < MAX_EJECTION_POLL_ATTEMPTS; attempt++) {
-		// eslint-disable-next-line no-await-in-loop -- The next host is known from the answer.
+		// eslint-disable-next-line no-await-in-loop -- Each answer names the next host to ask.
 		const called = await context.peer.call(address, EJECTION_TABLES_METHOD, {versions}, CALL_TIMEOUT_MILLISECONDS);
 		const answer = called.isOk() ? called.value as EjectionTablesAnswer : undefined;
 		if (answer?.kind === 'tables') {
--- a/packages/wagtailroute-host/src/ejection-requests.ts
+++ b/packages/wagtailroute-host/src/ejection-requests.ts
@@ -1,5 +1,6 @@
 /**
-What a host asks of the records about upstreams that look sick: an ejection, its end, and a report of the upstreams it knows.
+A host's commands to the records about unhealthy upstreams: requests an ejection, ends one, and reports the upstreams that
+this host sees.
 */
 import type * as announcements from 'wagtailroute-announcements';
 import type * as catalogue from 'wagtailroute-catalogue';
@@ -12,12 +13,12 @@
 import {proposeCommand} from './proposals.ts';
 
 /**
-Answer to a request for an ejection; `unreachable` when the records gave none in time.
+Answer to a request for an ejection; `unreachable` when the records gave no answer in time.
 */
 export type EjectionRequestAnswer = 'granted' | 'floor' | 'not-serving' | 'settling' | 'unreachable';
 
 /**
-The grantor as this host reaches it. An entry that is no longer in the catalogue asks for nothing.
+Commands about upstreams of one host. They do nothing for a service that is no longer in the catalogue.
 */
 export type EjectionRequests = {
 	readonly requestEjection: (
@@ -30,11 +31,11 @@
 };
 
 /**
-Creates the way to the grantor. Tests give `propose` to stand for the records.
+Creates the commands. Tests replace `propose` by records in memory.
 */
 export function createEjectionRequests(
 	context: HostContext,
-	announcing: Pick<Announcer, 'getUpstreams'>,
+	announcer: Pick<Announcer, 'getUpstreams'>,
 	propose: typeof proposeCommand = proposeCommand,
 ): EjectionRequests {
 	const createUpstreamView = (service: core.ServiceName) => {
@@ -43,7 +44,7 @@
 			return undefined;
 		}
 
-		const upstreams = announcing.getUpstreams(service);
+		const upstreams = announcer.getUpstreams(service);
 		const listIdsInState = (state: announcements.Upstream['state']) =>
 			upstreams.filter(upstream => upstream.state === state).map(upstream => upstream.id);
 		return {
--- a/packages/wagtailroute-host/src/ejection-tables.ts
+++ b/packages/wagtailroute-host/src/ejection-tables.ts
@@ -1,8 +1,10 @@
 /**
-The control side of ejections: gives hosts the table of what is ejected, and tells carriers at once that it changed.
+The control side of ejections: answers hosts with the tables of ejected upstreams, and notifies carriers when a table
+changes.
 
 A table is read only after a quorum has confirmed that this host still leads. A leader that was cut off would otherwise hand
-out old tables: hosts would renew their lease on ejections that were ended, and together with new ones break the floor.
+out old tables: hosts would renew their lease on ejections that have ended, and together with new ones break the healthy
+floor.
 */
 import type * as core from 'wagtailroute-core';
 import type * as records from 'wagtailroute-records';
@@ -11,12 +13,12 @@
 import {findPeerAddress, type HostContext} from './context.ts';
 
 /**
-The versions that a host knows, by service.
+Versions of the tables that the requesting host has, by service.
 */
 export type EjectionTablesRequest = {readonly versions: Readonly<Record<core.ServiceName, number>>};
 
 /**
-What is ejected of one service.
+The ejected upstreams of one service.
 */
 export type EjectionTable = {
 	readonly service: core.ServiceName;
@@ -25,14 +27,14 @@
 };
 
 /**
-Answer to a question: the tables whose version is another one. Those left out are as the host knows them.
+Answer: the tables whose version differs from the requested one. The requesting host already has the others.
 */
 export type EjectionTablesAnswer =
 	| {readonly kind: 'tables'; readonly tables: readonly EjectionTable[]}
 	| {readonly kind: 'not-leader'; readonly leader?: core.HostId};
 
 /**
-Names of the methods.
+Names of the methods: hosts read the tables by the first, carriers are notified of a change by the second.
 */
 export const EJECTION_TABLES_METHOD = 'ejections.list';
 export const EJECTION_CHANGE_METHOD = 'ejections.changed';
@@ -71,7 +73,7 @@
 }
 
 /**
-Tells the carriers of a service that its table changed. Called on the leader, when the change is committed.
+Notifies the carriers of a service that its table changed. Called on the leader when the change is committed.
 */
 export function notifyEjectionChanges(context: HostContext, notices: readonly records.Notice[]): void {
 	const services = new Set(notices.filter(notice => notice.kind === 'ejection').map(notice => notice.service));
--- a/packages/wagtailroute-host/src/group-schemas.ts
+++ b/packages/wagtailroute-host/src/group-schemas.ts
@@ -1,8 +1,8 @@
 /**
-Shapes of the messages of a replicated group.
+Schemas of the messages of a replicated group.
 
-A replica takes entries into its log as they come, and to its disk. Entries out of order or of another shape would stay there
-and stop the replica at each start.
+A replica appends received entries to its log on disk. Malformed entries, or entries out of order, would stay there and stop
+the replica at each start.
 */
 import type * as replication from 'wagtailroute-replication';
 import * as z from 'zod';
@@ -52,7 +52,8 @@
 type Numbered = {readonly index: number; readonly term: number};
 
 /**
-Entries follow on each other and on `previousIndex`, and none is of a later term than its sender's.
+Returns whether entries have consecutive indexes after `previousIndex`, and terms that never decrease nor exceed the term of
+their sender.
 */
 function isInOrder({previousIndex, previousTerm, term, entries}: {
 	readonly previousIndex: number;
@@ -71,7 +72,7 @@
 */
 export const groupMessage = z.custom<replication.GroupMessage>(value => {
 	const head = messageHead.safeParse(value);
-	// A look-up by kind: a union would try one shape after the other, on the most frequent messages between control hosts.
+	// Finds the schema by kind. A union would try one after the other, on the most frequent messages between control hosts.
 	return head.success && (GROUP_SCHEMAS[head.data.group].get(head.data.kind)?.safeParse(value).success ?? false);
 });
 
--- a/packages/wagtailroute-host/src/held-shares.ts
+++ b/packages/wagtailroute-host/src/held-shares.ts
@@ -1,13 +1,13 @@
 /**
-What a host holds of one fleet-wide limit: the lease that it may use, and what it asks for next. Pure.
+The share of one fleet-wide limit that a host holds, and its next request for one. Pure functions.
 
-A host may use a share only until its lease ends by its own clock, measured from before it asked; after that its safe part.
-Before its first share it uses nothing, and its part of the safe fraction when the records can not be reached.
+A host may use a share until its lease expires, measured by its own clock from before the request; after that only the safe
+part. Before its first share it uses nothing, or its part of the safe fraction when the records can't be reached.
 */
 import * as records from 'wagtailroute-records';
 
 /**
-A limit as the catalogue and the carriers give it.
+A limit from the catalogue, with the number of hosts that share it.
 */
 export type SharedLimit = {
 	readonly limitName: records.LimitName;
@@ -16,63 +16,63 @@
 };
 
 /**
-The state of one limit. Immutable.
+What the host holds of one limit. Immutable.
 */
 export type HeldShare = {
 	/**
-	Sequence of the grant that the host has come down to.
+	Sequence of the newest grant whose amount the usage has come down to; sent with each request.
 	*/
 	readonly holds: number;
 	readonly latest?: records.Share;
 	/**
-	Until when the latest share may be used, monotonic.
+	Monotonic time at which the lease of the latest share expires.
 	*/
 	readonly expiresAt: number;
 	readonly requestedAt?: number;
 	/**
-	The first question had no answer.
+	Whether a request failed. It matters only before the first share.
 	*/
 	readonly isUnanswered: boolean;
 };
 
 /**
-How much of the limit is in use. Amounts in the limit's unit.
+Usage of a limit, in the unit of the limit.
 */
 export type ShareUsage = {
 	/**
-	What can not be given back at once: requests in flight; 0 for a rate.
+	What can't be released at once: requests in flight; 0 for a rate.
 	*/
 	readonly inUse: number;
 	/**
-	What could have been used since the last question.
+	What could have been used since the last request.
 	*/
 	readonly demand: number;
 };
 
 /**
-The state before the first question.
+State before the first request.
 */
 export const NO_SHARE: HeldShare = {holds: 0, expiresAt: 0, isUnanswered: false};
 
 /**
-Milliseconds after which a share that is used is renewed, a third of its lease.
+Milliseconds after which a share in use is renewed: a third of its lease.
 */
 const RENEWAL_INTERVAL_MILLISECONDS = records.SHARE_LEASE_MILLISECONDS / 3;
 
 /**
-Milliseconds between two questions of a host that could use more than it holds.
+Milliseconds between requests of a host whose demand exceeds its share.
 */
 const GROWTH_REQUEST_INTERVAL_MILLISECONDS = 250;
 
 /**
-What is asked for beyond the demand, as a factor, so that it can grow until the next question.
+Requested amount as a multiple of the demand, so that usage can grow until the next request.
 */
 const DEMAND_HEADROOM_FACTOR = 1.25;
 
 const UNITS: Readonly<Record<records.LimitName, records.ShareUnit>> = {concurrency: 'whole', ratePerSecond: 'fractional'};
 
 /**
-Returns what the host may use now.
+Returns how much of the limit the host may use now.
 */
 export function getAmount({latest, expiresAt, isUnanswered}: HeldShare, {limitName, limit, carriers}: SharedLimit, now: number): number {
 	if (latest !== undefined) {
@@ -83,8 +83,8 @@
 }
 
 /**
-Says whether it is time to ask: at first, when more could be used than is held, and before the lease of a share that is
-used ends. What is not used is left to run out.
+Returns whether to request a share now: at first, when the demand exceeds the share, and before the lease of a share in use
+expires. An unused share is left to expire.
 */
 export function isDue(held: HeldShare, limit: SharedLimit, {usage, now}: {readonly usage: ShareUsage; readonly now: number}): boolean {
 	const {requestedAt, latest} = held;
@@ -99,14 +99,14 @@
 }
 
 /**
-Returns the question to ask now, and the state that has asked it.
+Returns the request to send now, and the state after sending it.
 */
 export function createRequest(held: HeldShare, limit: SharedLimit, {usage, now}: {readonly usage: ShareUsage; readonly now: number}): {
 	readonly held: HeldShare;
 	readonly request: Omit<records.ShareRequest, 'host'>;
 } {
 	const holds = held.latest !== undefined && usage.inUse <= getAmount(held, limit, now) ? held.latest.sequence : held.holds;
-	// Half of an even part is asked for in any case, so that the first requests of a burst need not wait.
+	// At least half of an even part is requested, so that the first requests of a burst need not wait.
 	const minDemand = limit.limit / limit.carriers / 2;
 	const demand = Math.min(limit.limit, Math.ceil(Math.max(minDemand, usage.demand * DEMAND_HEADROOM_FACTOR)));
 	return {
@@ -118,7 +118,7 @@
 }
 
 /**
-Takes the answer to a question asked at `requestedAt`; undefined when there was none.
+Applies the answer to a request sent at `requestedAt`; undefined when there was none.
 */
 export function applyAnswer(
 	held: HeldShare,
--- a/packages/wagtailroute-host/src/host-detection.ts
+++ b/packages/wagtailroute-host/src/host-detection.ts
@@ -1,8 +1,9 @@
 /**
-Detection on this host: evidence from its own requests, pooled with that of the other carriers, and the verdicts that follow.
+Failure detection on this host: combines evidence from its own requests with the summaries of the other carriers, and
+derives the health of each upstream.
 
-One serviceDetection runs for each service that this host carries. What it asks for goes to the records, which grant an ejection only
-while the floor of the whole service holds; what they granted comes back through the ejection leases.
+Each service that this host carries has its own detection. Ejections are requested from the records, which grant one only
+while the service as a whole keeps its healthy floor. Granted ejections reach this host through the ejection leases.
 */
 import type * as core from 'wagtailroute-core';
 import * as detection from 'wagtailroute-detection';
@@ -22,23 +23,26 @@
 import {startServiceDetection, type ServiceDetection, type DetectionPeriods} from './service-detection.ts';
 
 /**
-Detection on a host.
+Detection of all services on a host.
 */
 export type HostDetection = UpstreamHealth & {
 	readonly teardown: utils.Teardown;
 };
 
+/**
+Exclusive upper bound of the random epoch that tells the processes of this host apart.
+*/
 const EPOCH_RANGE = 2 ** 31;
 
 /**
-Starts the part.
+Starts detection on this host.
 */
-export function startHostDetection(context: HostContext, announcing: Announcer): HostDetection {
+export function startHostDetection(context: HostContext, announcer: Announcer): HostDetection {
 	const {settings, store} = context;
 	const detections = new Map<core.ServiceName, ServiceDetection>();
 	const listeners = new Set<(service: core.ServiceName) => void>();
 	const epoch = utils.pickIndex(context.random, EPOCH_RANGE);
-	const ejectionRequests = createEjectionRequests(context, announcing);
+	const ejectionRequests = createEjectionRequests(context, announcer);
 
 	const notifyChanged = (service: core.ServiceName) => {
 		for (const listener of listeners) {
@@ -58,7 +62,7 @@
 		},
 	});
 
-	const summaryExchange = startSummaryExchange(context, announcing, {
+	const summaryExchange = startSummaryExchange(context, announcer, {
 		epoch,
 		onSummary(service, summary) {
 			getDetection(service)?.applySummary(summary);
@@ -75,7 +79,7 @@
 		const created = startServiceDetection(context, {
 			entry,
 			epoch,
-			announcing,
+			announcer,
 			ejectionRequests,
 			leases,
 			sendSummary(summary) {
@@ -123,14 +127,14 @@
 	};
 
 	return {
-		getEjectionState: (service, upstream) => detections.get(service)?.getAdmission(upstream) ?? 'in',
+		getEjectionState: (service, upstream) => detections.get(service)?.getEjectionState(upstream) ?? 'in',
 		isAvoided: (service, upstream) => detections.get(service)?.isAvoided(upstream) ?? false,
 		getRampStart: (service, upstream) => detections.get(service)?.getRampStart(upstream),
 		beginAttempt(service, target) {
-			getDetection(service)?.recordStart(target);
+			getDetection(service)?.beginAttempt(target);
 		},
 		recordAttempt(service, report) {
-			detections.get(service)?.recordEnd(report);
+			detections.get(service)?.recordAttempt(report);
 		},
 		registerChangeListener(listener) {
 			listeners.add(listener);
@@ -141,7 +145,7 @@
 		teardown: utils.mergeTeardowns(
 			leases.teardown,
 			summaryExchange.teardown,
-			announcing.registerChangeListener(service => {
+			announcer.registerChangeListener(service => {
 				detections.get(service)?.refresh();
 			}),
 			store.registerUpdateListener((_state, _previous, dirty) => {
@@ -164,8 +168,8 @@
 }
 
 /**
-A host that carries many services does the regular work of each less often, so that what it spends in all stays the same;
-what stands out is told and weighed at once all the same.
+Returns the periods of routine work of each service. They grow with the number of services, so that the total cost on this
+host stays the same; urgent evidence is still sent and evaluated at once.
 */
 function getPeriods(services: number): DetectionPeriods {
 	return {
--- a/packages/wagtailroute-host/src/lost-hosts.ts
+++ b/packages/wagtailroute-host/src/lost-hosts.ts
@@ -1,31 +1,30 @@
 /**
-Hosts that are gone, as far as the records are concerned: the leader makes what they were running `unknown`, and takes back
-the shares of hosts that have left for good.
+Detection of hosts that the records have lost: the leader marks their running requests `unknown`, and reclaims the shares of
+hosts that have left for good.
 
-What goes wrong without it: a host dies between claim and settlement, and its callers are told `running` until the budget of
-the request is over. What is proposed follows from the records and the members as they are at the moment, so that a new
-leader needs no memory of what the last one saw. A host that is only taken for dead loses nothing: its settlement still
-stands when it comes.
+Without it, when a host dies between claim and settlement, its callers get `running` until the time budget of the request is
+over. The commands follow only from the current records and members, so a new leader needs no memory of its predecessor. A
+host that is wrongly taken for dead loses nothing: its settlement still counts when it arrives.
 */
 import type * as core from 'wagtailroute-core';
 import type * as records from 'wagtailroute-records';
 import type {Member} from './context.ts';
 
 /**
-A command that a lost host calls for.
+A command about a lost host.
 */
 export type LostHostCommand = Extract<records.Command, {readonly name: 'lose-host' | 'forget-host'}>;
 
 /**
-Finds lost hosts; asked again and again by the leader.
+Detects lost hosts; the leader calls it periodically.
 */
 export type LostHostDetector = {
 	readonly findCommands: (members: ReadonlyMap<core.HostId, Member>, holders: readonly records.RecordHolder[]) => readonly LostHostCommand[];
 };
 
 /**
-Creates the watch. A holder must look lost twice in a row: the news of a restart may come after the first claim of the
-host's new process.
+Creates the detector. A holder must look lost in two calls in a row: the first claim of a restarted host may arrive before
+the update of its membership.
 */
 export function createLostHostDetector(): LostHostDetector {
 	let suspected: ReadonlySet<string> = new Set();
@@ -34,8 +33,8 @@
 	return {
 		findCommands(members, holders) {
 			const lost = holders.filter(holder => isLost(members.get(holder.host), holder));
-			const confirmed = lost.filter(holder => suspected.has(getName(holder)));
-			suspected = new Set(lost.map(holder => getName(holder)));
+			const confirmed = lost.filter(holder => suspected.has(getHolderKey(holder)));
+			suspected = new Set(lost.map(holder => getHolderKey(holder)));
 			const left = [...known.keys(), ...members.keys()].filter(host => hasLeft(members.get(host)) && !forgotten.has(host));
 			for (const host of left) {
 				forgotten.add(host);
@@ -57,7 +56,8 @@
 }
 
 /**
-A host that the leader has not heard of says nothing: the leader itself may have just started.
+Returns whether the process that holds records is gone. A member that the leader doesn't know is not lost: the leader itself
+may have just started.
 */
 function isLost(member: Member | undefined, holder: records.RecordHolder): boolean {
 	return member !== undefined
@@ -65,12 +65,13 @@
 }
 
 /**
-A dead host may only be out of reach and go on using its safe part; it has left when it said so or was forgotten.
+Returns whether a host has left for good: it said so, or was forgotten. A dead host may only be out of reach and still use
+the safe part of its shares.
 */
 function hasLeft(member: Member | undefined): boolean {
 	return member === undefined || member.state === 'left';
 }
 
-function getName({host, bootId}: records.RecordHolder): string {
+function getHolderKey({host, bootId}: records.RecordHolder): string {
 	return JSON.stringify([host, bootId]);
 }
--- a/packages/wagtailroute-host/src/membership.ts
+++ b/packages/wagtailroute-host/src/membership.ts
@@ -1,5 +1,5 @@
 /**
-Membership on this host: which hosts of the fleet run, kept in the host's state.
+Membership on this host: runs the membership protocol and keeps the known hosts in the host's state.
 */
 import * as util from 'node:util';
 import * as timers from 'node:timers/promises';
@@ -12,19 +12,19 @@
 import type {HostRole} from './settings.ts';
 
 /**
-Membership on a host.
+The membership of a host.
 */
 export type Membership = {
 	/**
-	Tells the others that this host soon refuses requests.
+	Announces that this host will soon refuse requests.
 	*/
 	readonly drain: () => void;
 	/**
-	Says whether a host answers this one only by way of others.
+	Returns whether a host answers this one only through other hosts.
 	*/
 	readonly hasPathFault: (host: core.HostId) => boolean;
 	/**
-	Tells the others that this host stops, and stops taking part.
+	Announces that this host stops, and stops taking part.
 	*/
 	readonly leave: () => Promise<void>;
 };
@@ -33,7 +33,7 @@
 const SEQUENCE_RANGE = 2 ** 30;
 
 /**
-Starts the part.
+Starts the membership protocol.
 */
 export function startMembership(context: HostContext): Membership {
 	const {settings, peer, store} = context;
@@ -66,8 +66,8 @@
 					context.commands.dispatchCommand('fetch-catalogue', {address: member.peerAddress, revision: member.catalogueRevision});
 				}
 
-				// A new revision alone changes the record of every host of the fleet: copying the table for each would cost
-				// a large fleet more than all else in its control.
+				// A new catalogue revision changes the record of every host. Copying the table for each of them would cost
+				// a large fleet more than all its other control work.
 				const previous = store.read(state => state.members.get(member.id));
 				const current = toMember(member);
 				if (previous !== undefined && util.isDeepStrictEqual(previous, current)) {
@@ -104,7 +104,7 @@
 			machine.send({kind: 'tick'});
 		}),
 	);
-	log.info('Membership started.', {seeds: getSeeds(settings).length});
+	log.info('Membership protocol started.', {seeds: getSeeds(settings).length});
 
 	return {
 		hasPathFault: host => membership.hasPathFault(machine.read(), host),
@@ -113,7 +113,7 @@
 		},
 		async leave() {
 			machine.send({kind: 'leave'});
-			// The news travels with the messages of the next ticks.
+			// The messages of the next ticks carry the update.
 			await timers.setTimeout(LEAVE_GOSSIP_MILLISECONDS);
 			teardown();
 			machine.stop();
@@ -124,7 +124,7 @@
 function logChange(context: HostContext, member: membership.Member): void {
 	const previous = context.store.read(state => state.members.get(member.id));
 	if (previous?.state !== member.state || previous.draining !== member.draining) {
-		context.log('membership').info('Host changed.', {id: member.id, state: member.state, draining: member.draining});
+		context.log('membership').info('State of a host changed.', {id: member.id, state: member.state, draining: member.draining});
 	}
 }
 
--- a/packages/wagtailroute-host/src/message-schemas.ts
+++ b/packages/wagtailroute-host/src/message-schemas.ts
@@ -1,7 +1,7 @@
 /**
-Shapes that the messages between hosts share.
+Schemas of values that occur in many messages between hosts.
 
-They check types, not truth: hosts trust each other, and a newer host may send members that this one doesn't know.
+They check types, not plausibility: hosts trust each other, and a newer host may send properties that this one doesn't know.
 */
 import * as net from 'node:net';
 import * as z from 'zod';
@@ -9,22 +9,22 @@
 const MAX_PORT = 65_535;
 
 /**
-Far above any count that is reached, and far below where adding one no longer changes a number.
+Far above any count that occurs, and far below the limit of exact integers.
 */
 const MAX_COUNT = 2 ** 48;
 
 /**
-Names of hosts, services and upstreams. Longer than any that is accepted elsewhere.
+Name of a host, service or upstream. The bound is above what is accepted elsewhere.
 */
 export const name = z.string().max(1024);
 
 /**
-Any text within the size of a message.
+Any text; the size of a message bounds it.
 */
 export const text = z.string();
 
 /**
-A whole number from 0: revisions, terms, indexes, versions.
+An integer from 0: revisions, terms, indexes, versions.
 */
 export const count = z.int().min(0).max(MAX_COUNT);
 
@@ -34,8 +34,7 @@
 export const amount = z.number();
 
 /**
-An address as an object. Anything that is no number of an IP would be looked up by name, and a port out of range throws where
-it is used.
+An address as an object. Anything but an IP would be resolved by DNS, and a port out of range would throw where it is used.
 */
 export const address = z.object({
 	ip: z.string().refine(ip => net.isIP(ip) > 0),
@@ -45,7 +44,7 @@
 const ADDRESS_PATTERN = /^(?:\[(?<v6>[^\]]+)\]|(?<v4>[^:]+)):(?<port>\d{1,5})$/v;
 
 /**
-An address as `ip:port`, brackets around an IPv6 number.
+An address as `ip:port`, with brackets around an IPv6 address.
 */
 export const addressText = z.string().refine(given => {
 	const groups = ADDRESS_PATTERN.exec(given)?.groups;
--- a/packages/wagtailroute-host/src/method-schemas.ts
+++ b/packages/wagtailroute-host/src/method-schemas.ts
@@ -1,5 +1,5 @@
 /**
-Shapes of the parameters of each method between hosts, and of the datagrams of the membership.
+Schemas of the parameters and answers of the methods between hosts, and of the membership datagrams.
 */
 import * as report from 'wagtailroute-report';
 import * as z from 'zod';
@@ -43,7 +43,7 @@
 	failureDomain: name, slots: count, connections: count, state: z.enum(['serving', 'draining']),
 });
 
-// One count more than there are verdicts would be added to the next bucket.
+// A row with more counts than verdicts would spill into the next bucket.
 const bucketRow = z.array(amount).min(1).max(1 + report.VERDICTS.length);
 
 const copy = z.array(z.object({
@@ -51,7 +51,7 @@
 }));
 
 /**
-Parameters by method. A method without a shape can't be registered.
+Schema of the parameters of each method. A method without one can't be registered.
 */
 export const METHOD_SCHEMAS: ReadonlyMap<string, z.ZodType> = new Map<string, z.ZodType>([
 	['announcements.message', z.object({from: name, message: carrierMessage})],
@@ -97,7 +97,8 @@
 const summary = z.object({services: z.array(z.looseObject({})), untracked: amount});
 
 /**
-Answers by method. Most are awaited where nobody handles a rejection, so a malformed one would end the host that asked.
+Schema of the answer of each method. Most answers are awaited where no rejection is handled, so a malformed one would end
+the process of the calling host.
 */
 export const ANSWER_SCHEMAS: ReadonlyMap<string, z.ZodType> = new Map<string, z.ZodType>([
 	['catalogue.delta', delta],
@@ -153,7 +154,7 @@
 };
 
 /**
-Parameters of datagrams by method.
+Schema of the parameters of each datagram.
 */
 export const DATAGRAM_SCHEMAS: ReadonlyMap<string, z.ZodType> = new Map<string, z.ZodType>([
 	['membership', z.discriminatedUnion('kind', [
--- a/packages/wagtailroute-host/src/proposals.ts
+++ b/packages/wagtailroute-host/src/proposals.ts
@@ -1,9 +1,9 @@
 /**
-Brings commands to the leader of a replicated group, from any host.
+Sends commands from any host to the leader of a replicated group.
 
-What can go wrong on the way decides what may be told: a command that surely was not taken is sent again or told as not
-run, one that may have been taken is told as unknown. Commands carry their own identity (Change-Id, attempt), so that
-sending one again never runs it twice.
+A failed call leaves one of two cases: a command that was surely not taken is sent again or reported as not run; one that
+may have been taken is reported as unknown. Commands carry their own identity (Change-Id, attempt), so that sending one
+again never runs it twice.
 */
 import * as timers from 'node:timers/promises';
 import * as core from 'wagtailroute-core';
@@ -19,14 +19,14 @@
 export type GroupName = 'catalogue' | 'records';
 
 /**
-Why a command brought no result. `isPossiblyTaken` says whether it may take effect all the same.
+Why a command has no result. `isPossiblyTaken`: the command may still take effect.
 */
 export type ProposalFailure = core.Failure<'no-quorum' | 'no-control-host'> & {
 	readonly isPossiblyTaken: boolean;
 };
 
 /**
-What a control host answers to a command.
+Answer of a control host to a command.
 */
 export type ProposalAnswer =
 	| {readonly kind: 'applied'; readonly value: unknown}
@@ -34,9 +34,9 @@
 	| {readonly kind: 'failed'; readonly isPossiblyTaken: boolean};
 
 /**
-Proposes a command and returns its result, trying control hosts until the time is over.
+Proposes a command and returns its result, trying control hosts until the timeout.
 
-@param isRepeatable The command carries its own identity, so that it may be sent again though it may have been taken.
+@param isRepeatable The command carries its own identity, so it may be sent again even if it may have been taken.
 */
 export async function proposeCommand(
 	context: HostContext,
@@ -51,7 +51,7 @@
 		const address = chooseControlHost(context, leaderHint);
 		leaderHint = undefined;
 		if (address !== undefined) {
-			// eslint-disable-next-line no-await-in-loop -- One control host after the other.
+			// eslint-disable-next-line no-await-in-loop -- Control hosts are tried one after the other.
 			const answer = await callControlHost(context, address, {group, command, milliseconds: deadlineAt - context.now()});
 			if (answer.kind === 'applied') {
 				return results.Ok(answer.value);
@@ -65,7 +65,7 @@
 		}
 
 		if (leaderHint === undefined) {
-			// eslint-disable-next-line no-await-in-loop -- An election takes its time.
+			// eslint-disable-next-line no-await-in-loop -- Waits for an election.
 			await timers.setTimeout(CONTROL_RETRY_DELAY_MILLISECONDS);
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 /**
-Returns the address of a control host: the hinted one, else any.
+Returns the address of the control host `leaderHint` if known, otherwise of a random one.
 */
 export function chooseControlHost(context: HostContext, leaderHint?: core.HostId): core.Address | undefined {
 	const {settings} = context;
--- a/packages/wagtailroute-host/src/quarantine-updates.ts
+++ b/packages/wagtailroute-host/src/quarantine-updates.ts
@@ -1,25 +1,25 @@
 /**
-The control side of the quarantine: tells the carriers of a service which requests may crash its backend servers, at once
-when that changes, and again to hosts that ask because they may have missed it.
+The control side of the quarantine: notifies the carriers of a service of changes to its suspect requests, and lists the
+suspects for hosts that poll because they may have missed a change.
 */
 import type * as core from 'wagtailroute-core';
 import type * as records from 'wagtailroute-records';
 import {findPeerAddress, type HostContext} from './context.ts';
 
 /**
-What a host must know of one fingerprint.
+Status of one request fingerprint.
 */
 export type SuspectStatus = {
 	readonly fingerprint: string;
 	readonly standing: records.QuarantineStatus;
 	/**
-	How long it holds, in milliseconds.
+	Milliseconds for which the status holds.
 	*/
 	readonly milliseconds: number;
 };
 
 /**
-One change, as it is pushed.
+A change, as it is pushed to carriers.
 */
 export type SuspectChange = SuspectStatus & {
 	readonly service: core.ServiceName;
@@ -27,12 +27,12 @@
 };
 
 /**
-The versions that a host knows, by service.
+Versions that the requesting host has, by service.
 */
 export type SuspectsRequest = {readonly versions: Readonly<Record<core.ServiceName, number>>};
 
 /**
-All suspects of the services whose version is newer.
+Answer: all suspects of the services whose version is newer than the requested one.
 */
 export type SuspectsAnswer = {
 	readonly services: ReadonlyArray<{
@@ -43,13 +43,13 @@
 };
 
 /**
-Names of the methods.
+Names of the methods: carriers are notified of a change by the first, hosts poll by the second.
 */
 export const SUSPECT_CHANGE_METHOD = 'quarantine.changed';
 export const SUSPECTS_METHOD = 'quarantine.list';
 
 /**
-Tells the carriers of changes. Called on the leader, when they are committed.
+Notifies the carriers of changes. Called on the leader when they are committed.
 */
 export function notifySuspectChanges(context: HostContext, tables: records.Records, notices: readonly records.Notice[]): void {
 	for (const notice of notices) {
@@ -70,7 +70,7 @@
 }
 
 /**
-Answers a host that asks, from what this replica has applied.
+Lists the suspects for a host, as this replica has applied them.
 */
 export function listSuspects(tables: records.Records, {versions}: SuspectsRequest): SuspectsAnswer {
 	const services = Object.entries(versions).flatMap(([service, version]) => {
--- a/packages/wagtailroute-host/src/records-machine.ts
+++ b/packages/wagtailroute-host/src/records-machine.ts
@@ -1,17 +1,17 @@
 /**
-The records as a replicated state machine on this host: stamps commands with group time while this host leads, and opens
-services on their first command.
+The records as a replicated state machine: stamps commands with group time while this host leads, and opens a service on its
+first command.
 */
 import * as records from 'wagtailroute-records';
 import type * as replication from 'wagtailroute-replication';
 
 /**
-The machine and what prepares commands for it.
+The state machine, and the preparation of its commands.
 */
 export type RecordsMachine = {
 	readonly stateMachine: replication.StateMachine;
 	/**
-	Returns the commands to propose for one asked for, the asked one last.
+	Returns the commands to propose for a requested one. The requested one is last.
 	*/
 	readonly prepare: (command: records.Command) => readonly records.Command[];
 	readonly records: records.Records;
@@ -20,7 +20,8 @@
 /**
 Creates the machine.
 
-@param onNotices Told of what hosts must learn, on each replica, also for commands that are applied anew after a start.
+@param onNotices Called on each replica with changes that hosts must be notified of, also for commands that are applied
+again after a start.
 */
 export function createRecordsMachine(
 	now: () => number,
--- a/packages/wagtailroute-host/src/service-detection.ts
+++ b/packages/wagtailroute-host/src/service-detection.ts
@@ -1,6 +1,6 @@
 /**
-Detection of one service on this host: its machine, the evidence of this host's own requests, and what follows for the
-choice of an upstream.
+Detection of one service on this host: runs its state machine, collects evidence from this host's own requests, and keeps
+what the choice of an upstream needs.
 */
 import type * as announcements from 'wagtailroute-announcements';
 import type * as catalogue from 'wagtailroute-catalogue';
@@ -21,28 +21,28 @@
 export type ServiceDetection = {
 	readonly send: (event: detection.Event) => void;
 	/**
-	Takes what another carrier saw.
+	Applies the summary of another carrier.
 	*/
 	readonly applySummary: (summary: detection.Summary) => void;
 	/**
-	Takes the service's upstreams anew.
+	Reads the upstreams of the service again.
 	*/
 	readonly refresh: () => void;
 	/**
-	Does what is due: a summary and a step of the machine when their quiet periods are over, both earlier when something
-	stands out; a report while upstreams are ejected.
+	Does the work that is due: sends a summary and steps the machine at the end of their periods, or earlier on urgent evidence;
+	reports the upstreams while any is ejected.
 	*/
 	readonly tick: (time: number, periods: DetectionPeriods) => void;
-	readonly recordStart: (target: proxy.Target) => void;
-	readonly recordEnd: (report: proxy.AttemptReport) => void;
-	readonly getAdmission: (upstream: core.UpstreamId) => selection.EjectionState;
+	readonly beginAttempt: (target: proxy.Target) => void;
+	readonly recordAttempt: (report: proxy.AttemptReport) => void;
+	readonly getEjectionState: (upstream: core.UpstreamId) => selection.EjectionState;
 	readonly isAvoided: (upstream: core.UpstreamId) => boolean;
 	readonly getRampStart: (upstream: core.UpstreamId) => number | undefined;
 	readonly stop: () => void;
 };
 
 /**
-Milliseconds between the regular work of a watch in quiet times.
+Milliseconds between summaries and between steps of a service without urgent evidence.
 */
 export type DetectionPeriods = {
 	readonly summaryMilliseconds: number;
@@ -50,20 +50,20 @@
 };
 
 /**
-What a watch needs.
+Options of the detection of one service.
 */
 export type ServiceDetectionOptions = {
 	readonly entry: catalogue.Entry;
 	/**
-	Differs from that of the host's earlier lives.
+	Differs between the processes of this host, so that a restart is recognised.
 	*/
 	readonly epoch: number;
-	readonly announcing: Announcer;
+	readonly announcer: Announcer;
 	readonly ejectionRequests: EjectionRequests;
 	readonly leases: EjectionLeases;
 	readonly sendSummary: (summary: detection.Summary) => void;
 	/**
-	Told when the choice of an upstream must follow.
+	Called when the state of an upstream changes in a way that affects the choice of upstreams.
 	*/
 	readonly onChange: () => void;
 };
@@ -91,11 +91,11 @@
 };
 
 /**
-Starts to watch a service.
+Starts detection of a service.
 */
 export function startServiceDetection(context: HostContext, options: ServiceDetectionOptions): ServiceDetection {
 	const {settings, now, random} = context;
-	const {announcing, ejectionRequests, leases, onChange} = options;
+	const {announcer, ejectionRequests, leases, onChange} = options;
 	const service = options.entry.name;
 	const log = context.log('detection');
 	const requestsInFlight = new WeakMap<proxy.Target, detection.InFlightRequest>();
@@ -109,7 +109,7 @@
 	let isActive = false;
 
 	const requestEjection = async (upstream: core.UpstreamId, finding: detection.Finding) => {
-		log.info('Upstream looks sick.', {
+		log.info('Upstream found unhealthy; its ejection is requested.', {
 			service, upstream, symptom: finding.symptom, rate: finding.rate, normal: finding.normalRate, hosts: finding.hosts,
 		});
 		const answer = await ejectionRequests.requestEjection(service, upstream, finding);
@@ -118,7 +118,7 @@
 			return;
 		}
 
-		log.warn('Ejection refused.', {service, upstream, reason: answer});
+		log.warn('Ejection of an upstream was not granted.', {service, upstream, reason: answer});
 		machine.send({kind: 'refused', upstream, reason: answer === 'unreachable' ? 'unreachable' : 'floor'});
 	};
 
@@ -149,23 +149,23 @@
 			'start-trial': onChange,
 			'end-trial': onChange,
 			'steer-away'({upstream, until, cause}) {
-				log.info('Upstream avoided by this host.', {service, upstream, cause});
+				log.info('This host avoids an upstream.', {service, upstream, cause});
 				avoidedUntil.set(upstream, until);
 				onChange();
 				context.schedule(until - now(), onChange);
 			},
 			'report-shared'({suspects}) {
-				log.warn('Many upstreams look sick together, none is ejected.', {service, suspects: suspects.length});
+				log.warn('Many upstreams look unhealthy at once; none is ejected.', {service, suspects: suspects.length});
 			},
 			'report-self'({unreachable}) {
-				log.error('This host reaches few upstreams that others reach.', {service, unreachable: unreachable.length});
+				log.error('This host reaches only few of the upstreams that other hosts reach.', {service, unreachable: unreachable.length});
 			},
 		},
 	});
 
 	/**
-	An upstream that appears while its service is already known here has just started, and starts cold. Those that are
-	there when this host begins to know the service are taken for warm.
+	Records when upstreams began to warm up. An upstream that appears while its service is already known here has just started,
+	and is cold. Those present when this host first sees the service are assumed to be warm.
 	*/
 	const updateRampStarts = (upstreams: readonly announcements.Upstream[]) => {
 		const known = machine.read().upstreams;
@@ -187,13 +187,13 @@
 	const getPhase = (upstream: core.UpstreamId) => machine.read().upstreams.get(upstream)?.phase.kind;
 
 	const refresh = () => {
-		const upstreams = announcing.getUpstreams(service);
+		const upstreams = announcer.getUpstreams(service);
 		updateRampStarts(upstreams);
 		machine.send({
 			kind: 'upstreams-changed',
 			upstreams: upstreams.map(({id, state}) => ({id, state, rampStartedAt: rampStarts.get(id)})),
 		});
-		// An ejected upstream that announces itself anew comes as an unknown one: it must not slip back into service.
+		// An ejected upstream that announces itself again is new to the machine, and would count as serving.
 		for (const {id} of upstreams) {
 			if (leases.getEpoch(service, id) !== undefined && getPhase(id) === 'serving') {
 				machine.send({kind: 'ejected', upstream: id});
@@ -240,16 +240,16 @@
 			reportedAt = time;
 			ejectionRequests.reportUpstreams(service);
 		},
-		recordStart(target) {
+		beginAttempt(target) {
 			requestsInFlight.set(target, evidence.begin(target.id, now()));
 		},
-		recordEnd(report) {
+		recordAttempt(report) {
 			const ticket = requestsInFlight.get(report.target);
 			if (ticket !== undefined) {
 				evidence.end(ticket, RESULTS_BY_ENDING[report.ending], now());
 			}
 		},
-		getAdmission(upstream) {
+		getEjectionState(upstream) {
 			const phase = getPhase(upstream);
 			return phase === undefined ? 'in' : EJECTION_STATES[phase];
 		},
--- a/packages/wagtailroute-host/src/share-leases.ts
+++ b/packages/wagtailroute-host/src/share-leases.ts
@@ -1,6 +1,6 @@
 /**
-Shares of the fleet-wide limits on this host: leased from the records for all services in one renewal, a few times a
-second at most, so that the hosts together never exceed a limit.
+Shares of the fleet-wide limits, leased from the records. One command renews the shares of all services of this host, a few
+times a second at most. The shares of all hosts together never exceed a limit.
 */
 import type * as catalogue from 'wagtailroute-catalogue';
 import type * as core from 'wagtailroute-core';
@@ -12,7 +12,7 @@
 import {proposeCommand} from './proposals.ts';
 
 /**
-What a service has in use and could use.
+Usage of each limit of a service.
 */
 export type ServiceUsage = Readonly<Record<records.LimitName, heldShares.ShareUsage>>;
 
@@ -21,7 +21,7 @@
 */
 export type ServiceShares = {
 	/**
-	What this host may use now; `ratePerSecond` is undefined when the service has no such limit.
+	Returns what this host may use now; `ratePerSecond` is undefined when the service has no such limit.
 	*/
 	readonly getAmounts: () => {readonly concurrency: number; readonly ratePerSecond?: number};
 	/**
@@ -33,7 +33,7 @@
 };
 
 /**
-The shares of a host.
+The share leases of a host.
 */
 export type ShareLeases = {
 	readonly open: (entry: catalogue.Entry, options: ServiceSharesOptions) => ServiceShares;
@@ -41,17 +41,20 @@
 };
 
 /**
-What the shares of a service follow.
+Usage and carriers of a service, from which its renewals are made.
 */
 export type ServiceSharesOptions = {
 	/**
-	Returns the use since the last renewal; called once for each renewal.
+	Returns the usage since the last call, and starts a new period. Called once for each renewal.
 	*/
 	readonly collectUsage: () => ServiceUsage;
+	/**
+	Returns the usage of the current period.
+	*/
 	readonly getUsage: () => ServiceUsage;
 	readonly getCarrierCount: () => number;
 	/**
-	Told when what may be used has changed, also when a lease has ended.
+	Called when the usable amounts may have changed, for example because a lease expired.
 	*/
 	readonly onChange: () => void;
 };
@@ -73,7 +76,7 @@
 const LIMIT_NAMES: readonly records.LimitName[] = ['concurrency', 'ratePerSecond'];
 
 /**
-Starts the part.
+Starts to renew the shares of opened services. Tests replace `propose` by records in memory.
 */
 export function startShareLeases(context: HostContext, propose: typeof proposeCommand = proposeCommand): ShareLeases {
 	const {now, settings} = context;
@@ -95,7 +98,7 @@
 		isRenewing = true;
 		const requestedAt = now();
 		const payload: records.CommandPayloads['renew-shares'] = {requests: renewals.map(({request}) => request)};
-		// A renewal that was asked twice has two answers, of which the later one is used: nothing is exceeded.
+		// A renewal that is proposed twice is granted twice; only the later grant is used, so no limit is exceeded.
 		const proposed = await propose(context, 'records', {name: 'renew-shares', stampedAt: 0, payload}, {
 			timeoutMilliseconds: SHARE_RENEWAL_TIMEOUT_MILLISECONDS,
 			isRepeatable: true,
@@ -111,7 +114,7 @@
 			service.options.onChange();
 		}
 
-		// A service that was opened meanwhile has requests that wait for its first share.
+		// Requests of a service that was opened during this renewal wait for its first share.
 		if (open.values().some(service => !service.isReady())) {
 			void renewDue();
 		}
--- a/packages/wagtailroute-host/src/summary-exchange.ts
+++ b/packages/wagtailroute-host/src/summary-exchange.ts
@@ -1,6 +1,7 @@
 /**
-What the hosts that carry the same services tell each other of their upstreams. One message to a carrier holds what is due
-of all services: the way costs more than what is told.
+Exchange of detection summaries between the hosts that carry the same services.
+
+One message to a carrier holds the due summaries of all services, because a message costs more than its content.
 */
 import type * as core from 'wagtailroute-core';
 import * as detection from 'wagtailroute-detection';
@@ -9,17 +10,20 @@
 import {findPeerAddress, type HostContext} from './context.ts';
 
 /**
-The mail of a host.
+The exchange of one host.
 */
 export type SummaryExchange = {
 	/**
-	Keeps a summary for the other carriers of the service, until `flush`.
+	Queues a summary for the other carriers of the service; `flush` sends it.
 	*/
 	readonly queue: (service: core.ServiceName, summary: detection.Summary) => void;
 	readonly flush: () => void;
 	readonly teardown: utils.Teardown;
 };
 
+/**
+Message on the wire. `told` holds the encoded summary of each service.
+*/
 type SummaryMessage = {
 	readonly host: core.HostId;
 	readonly failureDomain: core.FailureDomain;
@@ -30,9 +34,9 @@
 const SUMMARY_METHOD = 'detection.summary';
 
 /**
-Starts the mail. Its method: `detection.summary` between carriers.
+Registers the method `detection.summary`, by which carriers receive summaries.
 */
-export function startSummaryExchange(context: HostContext, announcing: Announcer, {epoch, onSummary}: {
+export function startSummaryExchange(context: HostContext, announcer: Announcer, {epoch, onSummary}: {
 	readonly epoch: number;
 	readonly onSummary: (service: core.ServiceName, summary: detection.Summary) => void;
 }): SummaryExchange {
@@ -41,7 +45,7 @@
 
 	const receive = ({host, failureDomain, epoch: senderEpoch, told}: SummaryMessage) => {
 		for (const [service, sequence, text] of told) {
-			const upstreams = detection.decodeUpstreamSummaries(text, announcing.getUpstreams(service).map(({id}) => id), senderEpoch);
+			const upstreams = detection.decodeUpstreamSummaries(text, announcer.getUpstreams(service).map(({id}) => id), senderEpoch);
 			if (upstreams !== undefined) {
 				onSummary(service, {
 					host, failureDomain, epoch: senderEpoch, sequence, upstreams,
--- a/packages/wagtailroute-host/src/suspects.ts
+++ b/packages/wagtailroute-host/src/suspects.ts
@@ -1,40 +1,49 @@
 /**
-What a host knows of requests that may crash backend servers, and which requests it has seen a backend server survive.
+Requests that may crash backend servers, as known on this host, and requests that a backend server survived.
 
-A look-up for a request of a service without suspects costs one access to a map. Bounded: suspects by the records' own
-bound, survived ones by two generations of which the older is dropped.
+The status of a request of a service without suspects costs one map access. Memory is bounded: the records bound the number
+of suspects, and survivals are kept in two generations of which the older one is dropped.
 */
 import type * as core from 'wagtailroute-core';
 import type * as records from 'wagtailroute-records';
 import type {SuspectsAnswer, SuspectChange} from './quarantine-updates.ts';
 
 /**
-What a host knows.
+The suspects of all services.
 */
 export type Suspects = {
 	readonly getQuarantineStatus: (service: core.ServiceName, fingerprint: string, now: number) => 'free' | 'suspect' | 'quarantined';
 	/**
-	Suspects a request by what this host saw itself, until the records say more.
+	Marks a request as suspect after a crash that this host saw, until the records say more.
 	*/
 	readonly addLocalSuspect: (service: core.ServiceName, fingerprint: string, until: number) => void;
 	/**
-	Drops what this host believed of a request, when the records know nothing of it.
+	Removes the entry of a request that the records know nothing of.
 	*/
 	readonly clear: (service: core.ServiceName, fingerprint: string) => void;
+	/**
+	Applies a change pushed by the leader. Older versions are ignored.
+	*/
 	readonly applyChange: (change: SuspectChange, now: number) => void;
+	/**
+	Replaces the suspects of the services whose version in the answer is newer.
+	*/
 	readonly replaceSuspects: (answer: SuspectsAnswer, now: number) => void;
 	/**
-	Versions of the services that this host has served.
+	Returns the versions of the services that this host has served.
 	*/
 	readonly getVersions: () => Readonly<Record<core.ServiceName, number>>;
 	readonly getVersion: (service: core.ServiceName) => number;
+	/**
+	Records that a server survived the request.
+	*/
 	readonly recordSurvival: (service: core.ServiceName, fingerprint: string) => void;
 	/**
-	Says whether a server has survived the request since it was last in flight at a crash.
+	Returns whether a server survived the request since it was last in flight at a crash, and forgets the survival.
 	*/
 	readonly consumeSurvival: (service: core.ServiceName, fingerprint: string) => boolean;
 	/**
-	Drops the older half of the survived requests: what a server survived long ago says little of its present state.
+	Drops the older generation of survivals: they say little of the present state of a server.
 	*/
 	readonly rotateSurvivals: () => void;
 	readonly removeService: (service: core.ServiceName) => void;
@@ -50,12 +59,12 @@
 };
 
 /**
-Survived requests remembered in one generation.
+Survivals in one generation.
 */
 const MAX_SURVIVALS = 4096;
 
 /**
-Creates an empty table. Held in a closure and changed in place, as every request passes here.
+Creates an empty table. It is changed in place, because every request reads it.
 */
 export function createSuspects(): Suspects {
 	const services = new Map<core.ServiceName, ServiceSuspects>();
@@ -95,7 +104,7 @@
 				return;
 			}
 
-			// A gap is left for the next question to fill.
+			// After a gap the version stays, so that the next poll fills the gap.
 			tracked.version = version === tracked.version + 1 ? version : tracked.version;
 			if (standing === 'cleared') {
 				tracked.entries.delete(fingerprint);
@@ -128,7 +137,7 @@
 			}
 		},
 		consumeSurvival(service, fingerprint) {
-			// Each survival excuses one crash: a request that once was harmless and no longer is must not stay above suspicion.
+			// A survival excuses only one crash, so that a request that was once harmless can become a suspect.
 			const {recentSurvivals: recent, olderSurvivals: older} = open(service);
 			const isRecent = recent.delete(fingerprint);
 			return older.delete(fingerprint) || isRecent;
