--- a/packages/wagtailroute-host/src/control-members.ts
+++ b/packages/wagtailroute-host/src/control-members.ts
@@ -37,14 +37,14 @@
 }
 
 function recordUnavailable(context: HostContext, running: readonly Member[]): void {
-	const since = unavailableSince.get(context) ?? new Map<core.HostId, number>();
-	unavailableSince.set(context, since);
+	const sinceByHost = unavailableSince.get(context) ?? new Map<core.HostId, number>();
+	unavailableSince.set(context, sinceByHost);
 	const names = new Set(running.map(member => member.id));
 	for (const member of context.store.read(state => state.members.values().toArray())) {
 		if (names.has(member.id)) {
-			since.delete(member.id);
-		} else if (!since.has(member.id)) {
-			since.set(member.id, context.now());
+			sinceByHost.delete(member.id);
+		} else if (!sinceByHost.has(member.id)) {
+			sinceByHost.set(member.id, context.now());
 		}
 	}
 }
--- a/packages/wagtailroute-host/src/crash-guard.ts
+++ b/packages/wagtailroute-host/src/crash-guard.ts
@@ -204,7 +204,7 @@
 	readonly clear: () => void;
 };
 
-const TRIAL_ANSWERS: {readonly [Kind in TrialResult['kind']]: (granting: TrialResultOptions<Kind>) => proxy.TrialAnswer} = {
+const TRIAL_ANSWERS: {readonly [Kind in TrialResult['kind']]: (options: TrialResultOptions<Kind>) => proxy.TrialAnswer} = {
 	clear({clear}) {
 		clear();
 		return {kind: 'free'};
--- a/packages/wagtailroute-host/src/lost-hosts.ts
+++ b/packages/wagtailroute-host/src/lost-hosts.ts
@@ -1,5 +1,5 @@
 /**
-Detection of hosts that the records have lost: the leader marks their running requests `unknown`, and reclaims the shares of
+Detection of lost hosts for the records: the leader marks their running requests `unknown`, and reclaims the shares of
 hosts that have left for good.
 
 Without it, when a host dies between claim and settlement, its callers get `running` until the time budget of the request is
--- a/packages/wagtailroute-host/src/suspects.ts
+++ b/packages/wagtailroute-host/src/suspects.ts
@@ -138,9 +138,9 @@
 		},
 		consumeSurvival(service, fingerprint) {
 			// A survival excuses only one crash, so that a request that was once harmless can become a suspect.
-			const {recentSurvivals: recent, olderSurvivals: older} = open(service);
-			const isRecent = recent.delete(fingerprint);
-			return older.delete(fingerprint) || isRecent;
+			const {recentSurvivals, olderSurvivals} = open(service);
+			const isRecent = recentSurvivals.delete(fingerprint);
+			return olderSurvivals.delete(fingerprint) || isRecent;
 		},
 		rotateSurvivals() {
 			for (const tracked of services.values()) {
