--- a/scripts/capacity/carrier-roles.ts
+++ b/scripts/capacity/carrier-roles.ts
@@ -97,7 +97,7 @@
 	const message = bytes === undefined ? {} : getCost(facts, 'notification', bytes);
 	return {
 		what: SUMMARIES,
-		mechanism: `detection \`evidence.ts\`, host \`service-detection.ts\` (${hostTimes.DETECTION_SUMMARIES_PER_SECOND} summaries a second to ${CARRIERS - 1} hosts)`,
+		mechanism: `detection \`evidence-collector.ts\`, host \`service-detection.ts\` (${hostTimes.DETECTION_SUMMARIES_PER_SECOND} summaries a second to ${CARRIERS - 1} hosts)`,
 		state: 'evidence since the last summary',
 		perSecond: rate,
 		cost: {
