--- a/packages/wagtailroute-fleet/src/__tests__/unit/dispatch-client.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/dispatch-client.test.ts
@@ -45,7 +45,7 @@
 	const retired = new Set<string>();
 	const delay = {milliseconds: 0};
 	const controls = [control, ...others];
-	const own = startHostDispatcher(context, {
+	const ownDispatcher = startHostDispatcher(context, {
 		...fixture.ONLY_DISPATCHER,
 		settings: {budget: {ratio: 0.2, extra: 2, windowMilliseconds: 10_000}, floor: 0.7},
 		listCandidates: () => [CANDIDATE],
@@ -65,7 +65,7 @@
 			waitForOne: async () => undefined,
 			isOwnHostStandby: () => false,
 		},
-		ownDispatcher: own,
+		ownDispatcher,
 		isRetired: upstream => retired.has(upstream),
 		getLinkDelay: () => delay.milliseconds,
 	});
--- a/packages/wagtailroute-fleet/src/__tests__/unit/recent-usage.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/recent-usage.test.ts
@@ -11,16 +11,16 @@
 
 function setUp() {
 	let time = 0;
-	const uses = createRecentUsage(() => time, WINDOW_MILLISECONDS);
+	const recentUsage = createRecentUsage(() => time, WINDOW_MILLISECONDS);
 	return {
-		uses,
+		recentUsage,
 		admit(at: number, organisation: string, by: object) {
 			time = at;
-			uses.record({service: 'archive', organisation, admittedBy: by});
+			recentUsage.record({service: 'archive', organisation, admittedBy: by});
 		},
 		collectUnreported(at: number, dispatcher: object) {
 			time = at;
-			return uses.collectUnreported(dispatcher);
+			return recentUsage.collectUnreported(dispatcher);
 		},
 	};
 }
--- a/packages/wagtailroute-fleet/src/__tests__/unit/standby-choice.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/standby-choice.test.ts
@@ -50,12 +50,12 @@
 });
 
 test('a requesting host that opened another link is found by the new one', t => {
-	const askers = createRequestingHosts();
+	const requestingHosts = createRequestingHosts();
 	const [old, next] = [fixture.createFakeLink(() => undefined), fixture.createFakeLink(() => undefined)];
-	askers.add({id: 'front', failureDomain: 'a'}, old);
-	askers.add({id: 'front', failureDomain: 'a'}, next);
-	askers.remove(old);
-	t.is(askers.find('front'), next);
-	t.is(askers.findByLink(old), undefined);
-	t.is(askers.count(), 1);
+	requestingHosts.add({id: 'front', failureDomain: 'a'}, old);
+	requestingHosts.add({id: 'front', failureDomain: 'a'}, next);
+	requestingHosts.remove(old);
+	t.is(requestingHosts.find('front'), next);
+	t.is(requestingHosts.findByLink(old), undefined);
+	t.is(requestingHosts.count(), 1);
 });
--- a/packages/wagtailroute-fleet/src/dispatcher-finder.ts
+++ b/packages/wagtailroute-fleet/src/dispatcher-finder.ts
@@ -44,14 +44,14 @@
 };
 
 /**
-Creates a finder that takes every dispatcher for responsive.
+Creates a finder that treats every dispatcher as responsive until it is marked as unresponsive.
 */
 export function createDispatcherFinder({now}: Pick<FleetContext, 'now'>, options: DispatcherFinderOptions): DispatcherFinder {
 	const unresponsiveSince = new WeakMap<link.Link, number>();
 	const isResponsive = ({link}: LinkedHost) => {
 		const since = unresponsiveSince.get(link) ?? -Infinity;
-		const heardAt = now() - link.getSilenceMilliseconds();
-		return now() - since >= UNRESPONSIVE_DISPATCHER_MILLISECONDS && heardAt > since;
+		const lastMessageAt = now() - link.getSilenceMilliseconds();
+		return now() - since >= UNRESPONSIVE_DISPATCHER_MILLISECONDS && lastMessageAt > since;
 	};
 
 	const findControlHost = (service: core.ServiceName) => {
--- a/packages/wagtailroute-fleet/src/fleet-view.ts
+++ b/packages/wagtailroute-fleet/src/fleet-view.ts
@@ -41,7 +41,7 @@
 	/**
 	Applies new, changed and forgotten instances, and retirements.
 	*/
-	readonly applyInstances: (news: InstanceChanges) => void;
+	readonly applyInstances: (changes: InstanceChanges) => void;
 	readonly applyRetirements: (retirements: readonly generations.Retirement[]) => void;
 	/**
 	Fetches all instances from one of the linked control hosts, which then sends every change; does nothing while such a link is open.
--- a/packages/wagtailroute-fleet/src/registry.ts
+++ b/packages/wagtailroute-fleet/src/registry.ts
@@ -130,8 +130,8 @@
 	/**
 	Relays a heartbeat: at once if it changes something, otherwise in a batch, since most heartbeats change nothing.
 	*/
-	const relay = (heartbeat: instances.Heartbeat, reception: instances.HeartbeatOutcome) => {
-		if (reception === 'news') {
+	const relay = (heartbeat: instances.Heartbeat, outcome: instances.HeartbeatOutcome) => {
+		if (outcome === 'news') {
 			pendingBatch = {...pendingBatch, news: [...pendingBatch.news, {...heartbeat, ageMilliseconds: 0}]};
 			flushBatch();
 			return;
@@ -142,9 +142,9 @@
 	};
 
 	const applyHeartbeat = (heartbeat: instances.Heartbeat, receivedAt: number) => {
-		const reception = table.applyHeartbeat(heartbeat, receivedAt);
-		const wasSilent = reception !== 'stale' && silentUpstreams.delete(heartbeat.upstream);
-		if (reception === 'news') {
+		const outcome = table.applyHeartbeat(heartbeat, receivedAt);
+		const wasSilent = outcome !== 'stale' && silentUpstreams.delete(heartbeat.upstream);
+		if (outcome === 'news') {
 			const {upstream, service, address, slots, sequence, failureDomain} = heartbeat;
 			log.info('An upstream instance is new or changed.', {
 				upstream, service, address: `${address.ip}:${address.port}`, slots, sequence, failureDomain,
@@ -153,11 +153,11 @@
 			notifyFollowers({heard: [{...heartbeat, ageMilliseconds: now() - receivedAt}], forgotten: [], retirements: []});
 		}
 
-		if (reception === 'news' || wasSilent) {
+		if (outcome === 'news' || wasSilent) {
 			onChanged(heartbeat.service);
 		}
 
-		return reception;
+		return outcome;
 	};
 
 	const applyRelayed = (heartbeats: readonly RelayedHeartbeat[]) => {
@@ -203,12 +203,12 @@
 	const stopChecking = context.repeat(HOUSEKEEPING_INTERVAL_MILLISECONDS, checkSilence);
 	return {
 		receiveHeartbeat(heartbeat) {
-			const reception = applyHeartbeat(heartbeat, now());
-			if (reception !== 'stale') {
-				relay(heartbeat, reception);
+			const outcome = applyHeartbeat(heartbeat, now());
+			if (outcome !== 'stale') {
+				relay(heartbeat, outcome);
 			}
 
-			return reception;
+			return outcome;
 		},
 		receiveRelayed(batch) {
 			applyRelayed(batch.news);
@@ -252,8 +252,8 @@
 		countInstances: () => table.listAll().length,
 		loaded,
 		findLatestStart(server) {
-			const newest = table.findLatest(server);
-			return newest === undefined ? 0 : instances.parseUpstreamId(newest.upstream).startedAt;
+			const latest = table.findLatest(server);
+			return latest === undefined ? 0 : instances.parseUpstreamId(latest.upstream).startedAt;
 		},
 		teardown: stopChecking,
 	};
--- a/packages/wagtailroute-fleet/src/routing.ts
+++ b/packages/wagtailroute-fleet/src/routing.ts
@@ -55,7 +55,7 @@
 */
 export function createRouter(context: FleetContext, options: RouterOptions): Router {
 	const {fleetView} = options;
-	const chooseShare = generations.createServiceChooser(context.random);
+	const chooseService = generations.createServiceChooser(context.random);
 	const usualTimes = createUsualTimes();
 	const callerDeadlines = createCallerDeadlines();
 
@@ -75,7 +75,7 @@
 			return caller;
 		}
 
-		const service = fleetView.findService(chooseShare(route))!;
+		const service = fleetView.findService(chooseService(route))!;
 		const routeContext: RouteContext = {
 			route, service, bodyBytes: generation.limits.bodyBytes, waitedMilliseconds: callerDeadlines.estimateWaited(route, timeoutMilliseconds), caller,
 		};
--- a/packages/wagtailroute-fleet/src/startup-gate.ts
+++ b/packages/wagtailroute-fleet/src/startup-gate.ts
@@ -10,7 +10,7 @@
 import type {FleetContext} from './context.ts';
 
 /**
-Tells the traffic server whether the host serves requests, and lets them wait until it does.
+Reports to the traffic server whether the host serves requests, and holds requests until it does.
 */
 export type StartupGate = proxy.RoutesPort & {
 	/**
--- a/packages/wagtailroute-host/src/host.ts
+++ b/packages/wagtailroute-host/src/host.ts
@@ -84,9 +84,9 @@
 	const distribution = registerDistribution(context);
 	const announcer = startAnnouncer(context);
 	const detection = startHostDetection(context, announcer);
-	const sharing = startShareLeases(context);
+	const shareLeases = startShareLeases(context);
 	const guarding = startCrashGuard(context);
-	const services = startServices(context, announcer, {upstreamHealth: detection, sharing});
+	const services = startServices(context, announcer, {upstreamHealth: detection, shareLeases});
 	const burnReporter = startBurnReporter(context);
 	const teardown = utils.mergeTeardowns(
 		carriers,
@@ -94,7 +94,7 @@
 		announcer.teardown,
 		detection.teardown,
 		services.teardown,
-		sharing.teardown,
+		shareLeases.teardown,
 		guarding.teardown,
 		burnReporter.teardown,
 		registerUpstreamList(context, {announcer, upstreamHealth: detection}),
--- a/packages/wagtailroute-host/src/service-admission.ts
+++ b/packages/wagtailroute-host/src/service-admission.ts
@@ -44,7 +44,7 @@
 /**
 Creates the admission of a service and opens its shares of the limits.
 */
-export function createServiceAdmission(context: HostContext, entry: catalogue.Entry, sharing: ShareLeases): ServiceAdmission {
+export function createServiceAdmission(context: HostContext, entry: catalogue.Entry, shareLeases: ShareLeases): ServiceAdmission {
 	const {now} = context;
 	const waiting = new Map<admission.Ticket, CompleteAdmission>();
 	let capacity = {slots: 0, carriers: 1};
@@ -71,7 +71,7 @@
 		applyResolutions(controller.setLimits(limits, now()));
 	};
 
-	const shares = sharing.open(entry, {
+	const shares = shareLeases.open(entry, {
 		getUsage,
 		collectUsage() {
 			const usage = getUsage();
--- a/packages/wagtailroute-host/src/service-detection.ts
+++ b/packages/wagtailroute-host/src/service-detection.ts
@@ -101,7 +101,7 @@
 	const requestsInFlight = new WeakMap<proxy.Target, detection.InFlightRequest>();
 	const rampStarts = new Map<core.UpstreamId, number>();
 	const avoidedUntil = new Map<core.UpstreamId, number>();
-	const evidence = detection.createEvidenceCollector({host: settings.hostId, failureDomain: settings.failureDomain, epoch: options.epoch});
+	const evidenceCollector = detection.createEvidenceCollector({host: settings.hostId, failureDomain: settings.failureDomain, epoch: options.epoch});
 	const createdAt = now();
 	let reportedAt = 0;
 	let steppedAt = 0;
@@ -222,11 +222,11 @@
 		send: machine.send,
 		refresh,
 		applySummary(summary) {
-			evidence.applySummary(summary, now());
+			evidenceCollector.applySummary(summary, now());
 			applyToMachine(summary);
 		},
 		tick(time, periods) {
-			const summary = evidence.collectDueSummary(time, periods.summaryMilliseconds);
+			const summary = evidenceCollector.collectDueSummary(time, periods.summaryMilliseconds);
 			if (summary !== undefined) {
 				applyToMachine(summary);
 				options.sendSummary(summary);
@@ -241,12 +241,12 @@
 			ejectionRequests.reportUpstreams(service);
 		},
 		beginAttempt(target) {
-			requestsInFlight.set(target, evidence.begin(target.id, now()));
+			requestsInFlight.set(target, evidenceCollector.begin(target.id, now()));
 		},
 		recordAttempt(report) {
 			const ticket = requestsInFlight.get(report.target);
 			if (ticket !== undefined) {
-				evidence.end(ticket, RESULTS_BY_ENDING[report.ending], now());
+				evidenceCollector.end(ticket, RESULTS_BY_ENDING[report.ending], now());
 			}
 		},
 		getEjectionState(upstream) {
--- a/packages/wagtailroute-host/src/services.ts
+++ b/packages/wagtailroute-host/src/services.ts
@@ -62,7 +62,7 @@
 export function startServices(
 	context: HostContext,
 	announcer: Announcer,
-	{upstreamHealth, sharing}: {readonly upstreamHealth: UpstreamHealth; readonly sharing: ShareLeases},
+	{upstreamHealth, shareLeases}: {readonly upstreamHealth: UpstreamHealth; readonly shareLeases: ShareLeases},
 ): Services {
 	const carried = new Map<core.ServiceName, CarriedService>();
 	const forwarded = new Map<core.ServiceName, proxy.ServicePort>();
@@ -80,7 +80,7 @@
 		}
 
 		existing?.stop();
-		const created = createCarried(context, entry, {announcer, upstreamHealth, sharing});
+		const created = createCarried(context, entry, {announcer, upstreamHealth, shareLeases});
 		carried.set(entry.name, created);
 		return created.port;
 	};
@@ -146,15 +146,15 @@
 function createCarried(
 	context: HostContext,
 	entry: catalogue.Entry,
-	{announcer, upstreamHealth, sharing}: {
+	{announcer, upstreamHealth, shareLeases}: {
 		readonly announcer: Announcer;
 		readonly upstreamHealth: UpstreamHealth;
-		readonly sharing: ShareLeases;
+		readonly shareLeases: ShareLeases;
 	},
 ): CarriedService {
 	const {settings, now, random} = context;
 	const selector = selection.createSelector({localFailureDomain: settings.failureDomain});
-	const admitter = createServiceAdmission(context, entry, sharing);
+	const admitter = createServiceAdmission(context, entry, shareLeases);
 	let upstreams: ReadonlyMap<core.UpstreamId, announcements.Upstream> = new Map();
 	const retry = createRetryPort(entry.limits.retryRatio, now, admitter.getUsualMilliseconds);
 
--- a/packages/wagtailroute-proxy/src/answers.ts
+++ b/packages/wagtailroute-proxy/src/answers.ts
@@ -29,22 +29,22 @@
 @param random Uniform in [0, 1); spreads `Retry-After`.
 */
 export function createProblem(failure: RequestFailure, random: () => number): Problem {
-	const meaning = retries.getFailureDefinition(failure.kind);
+	const definition = retries.getFailureDefinition(failure.kind);
 	const body = JSON.stringify({
 		type: `urn:wagtailroute:problem:${failure.kind}`,
-		title: meaning.title,
-		status: meaning.status,
+		title: definition.title,
+		status: definition.status,
 		detail: failure.message,
-		outcome: meaning.outcome,
+		outcome: definition.outcome,
 	});
-	const retryAfter = failure.retryAfterMilliseconds ?? meaning.retryAfterMilliseconds;
+	const retryAfter = failure.retryAfterMilliseconds ?? definition.retryAfterMilliseconds;
 	return {
-		status: meaning.status,
+		status: definition.status,
 		headers: {
 			'content-type': 'application/problem+json',
 			'content-length': String(buffer.Buffer.byteLength(body)),
-			'proxy-status': createProxyStatus(meaning.proxyStatus),
-			[OUTCOME_HEADER]: meaning.outcome,
+			'proxy-status': createProxyStatus(definition.proxyStatus),
+			[OUTCOME_HEADER]: definition.outcome,
 			...retryAfter !== undefined && {'retry-after': String(getRetryAfterValue(retryAfter, random))},
 		},
 		body,
--- a/packages/wagtailroute-proxy/src/exchange.ts
+++ b/packages/wagtailroute-proxy/src/exchange.ts
@@ -241,7 +241,7 @@
 
 	#finish(failure: OptionalFailure): void {
 		const {response, match, request, organisation, ports: {dialect, recordRequest, now, random}} = this.#context;
-		const failureMeaning = failure === undefined ? undefined : retries.getFailureDefinition(failure.kind);
+		const failureDefinition = failure === undefined ? undefined : retries.getFailureDefinition(failure.kind);
 		if (failure !== undefined) {
 			answers.answerFailure(response, () => dialect.createProblem(failure, random));
 		}
@@ -255,8 +255,8 @@
 			upstream: this.#sender.lastUpstream,
 			advertised: this.#sender.advertised,
 			choosingMilliseconds: this.#sender.choosingMilliseconds,
-			outcome: failureMeaning?.outcome ?? this.#storedOutcome ?? this.#sender.reportedOutcome,
-			status: response.headersSent ? response.statusCode : failureMeaning?.status ?? response.statusCode,
+			outcome: failureDefinition?.outcome ?? this.#storedOutcome ?? this.#sender.reportedOutcome,
+			status: response.headersSent ? response.statusCode : failureDefinition?.status ?? response.statusCode,
 			milliseconds: now() - this.#startedAt,
 			failure,
 			isCancelled: this.#abortController.getReason() === 'cancelled',
