--- a/packages/wagtailroute-dispatch/src/choosing.ts
+++ b/packages/wagtailroute-dispatch/src/choosing.ts
@@ -1,8 +1,8 @@
 /**
 Choice of an upstream for a slot request.
 
-A request goes to the upstream with the lowest cost: expected delay, crossing of failure domains, doubt and risk. To suspended upstreams idempotent
-requests go first, where there are any: they find the end of a failure period and can be sent again when it has not ended.
+A request goes to the upstream with the lowest cost: expected delay, crossing of failure domains, doubt and risk. Trials of
+suspended upstreams prefer idempotent requests, where there are any: these show whether the failure period has ended, and can be sent again if not.
 */
 import * as core from 'wagtailroute-core';
 import type {SlotRequest} from './slot-requests.ts';
@@ -198,7 +198,7 @@
 
 One success does not prove that a failure period has ended, so further trials are left to idempotent requests where there are any. Where there are
 none and no upstream has a free slot, non-idempotent requests are not delayed: half of a small pool may stay suspended for seconds after its failure
-periods have ended, while all requests wait for the other half. A trial may lose one request; the delay makes all of them late. The same applies when
+periods have ended, while all requests wait for the other half. A trial may lose one request, while the delay would make all of them late. The same applies when
 requests fail although slots are free: suspended upstreams recover while those that replace them fail.
 */
 function getTrialDueAt(upstream: Upstream, request: SlotRequest, {hasRecentIdempotent, isFull, needsIdleUpstreams}: TrialContext): number {
--- a/packages/wagtailroute-dispatch/src/dispatcher.ts
+++ b/packages/wagtailroute-dispatch/src/dispatcher.ts
@@ -1,9 +1,9 @@
 /**
-Dispatcher: grants the slots of backend servers to requests, one at a time, for all entry hosts that ask it.
+Dispatcher: grants the slots of backend servers to requests, one at a time, for all entry hosts that request them from it.
 
-An entry host with a few requests per second can neither find the free slot among hundreds nor distinguish a failing upstream from a healthy one. Here
-all requests of a service come together: each is granted a free slot, is queued for the next one, or is refused at once when none can become free in
-time. The ending of one request is known before the next one is placed.
+An entry host with a few requests per second can neither find the free slot among hundreds nor distinguish a failing upstream from a healthy one. A
+dispatcher receives all requests of a service: each is granted a free slot, is queued for the next one, or is refused at once when none can become
+free in time. What one request showed about its upstream counts in the choice for all later ones.
 
 A dispatcher keeps no durable state. When it fails, another host's dispatcher replaces it, to which the entry hosts report the requests in progress.
 */
@@ -475,7 +475,7 @@
 	}
 
 	/**
-	Refuses the queued requests for which no upstream is usable any more, after upstreams started to drain or asked their entry host to back off.
+	Refuses the queued requests for which no upstream is usable any more, after upstreams started to drain or advertised a backoff.
 	*/
 	#refuseUnservable(service: Service, causes: ReadonlyArray<Pick<core.Advertisement, 'kind'>>, now: number): readonly Effect[] {
 		if (causes.every(({kind}) => kind === 'rate-limit')) {
--- a/packages/wagtailroute-dispatch/src/upstreams.ts
+++ b/packages/wagtailroute-dispatch/src/upstreams.ts
@@ -139,7 +139,7 @@
 }
 
 /**
-Sets the doubt to the value of another dispatcher, and the next trial to the latest time. The other dispatcher continues its trials or has just done
+Sets the doubt to the value of another dispatcher, and delays the next trial by the policy's maximum. The other dispatcher continues its trials or has just done
 the last one. Without the delay, every host that dispatches alone would immediately send a trial, which may be a non-idempotent request.
 */
 export function applyReportedDoubt(upstream: Upstream, doubt: number, now: number): void {
--- a/packages/wagtailroute-fleet/src/constants.ts
+++ b/packages/wagtailroute-fleet/src/constants.ts
@@ -14,8 +14,8 @@
 export const SLOT_REQUEST_TIMEOUT_MILLISECONDS = 250;
 
 /**
-Longest time in milliseconds that a host adds to its timeouts while large bodies fill its own network link. Without it the host would take every control host
-for lost and use its own dispatcher, which knows neither the slots in use nor what other dispatchers hold against upstreams.
+Longest time in milliseconds that a host adds to its timeouts while large bodies fill its own network link. Without it the host would consider every control
+host lost and use its own dispatcher, which knows neither the slots in use nor the doubts of other dispatchers about upstreams.
 */
 export const MAX_LINK_DELAY_MILLISECONDS = 1000;
 
@@ -174,7 +174,7 @@
 export const REOPEN_DELAY_MILLISECONDS = 1000;
 
 /**
-Seconds for which callers may cache the directory's answer. Short, so that they turn away from a stopping host while it still serves.
+Seconds for which callers may cache the directory's answer. Short, so that they stop using a stopping host while it still serves.
 */
 export const ADDRESS_TTL_SECONDS = 2;
 
@@ -401,7 +401,7 @@
 export const ABSENCE_GROUP_MILLISECONDS = 250;
 
 /**
-Milliseconds without a message after which an entry host no longer counts as absent: its callers have turned to others.
+Milliseconds without a message after which an entry host no longer counts as absent: its callers use other hosts by then.
 */
 export const MAX_ABSENCE_MILLISECONDS = 60_000;
 
--- a/packages/wagtailroute-fleet/src/dispatch-client.ts
+++ b/packages/wagtailroute-fleet/src/dispatch-client.ts
@@ -290,7 +290,7 @@
 		}
 
 		if (dispatcher === undefined) {
-			this.#askOwnDispatcher(pending);
+			this.#requestFromOwnDispatcher(pending);
 			return;
 		}
 
@@ -388,7 +388,7 @@
 		}
 	}
 
-	#askOwnDispatcher(pending: PendingSlotRequest): void {
+	#requestFromOwnDispatcher(pending: PendingSlotRequest): void {
 		pending.dispatcher = undefined;
 		const {request} = pending;
 		const reason = pending.failedDispatchers === 0 ? 'no-dispatcher' : 'no-answer';
--- a/packages/wagtailroute-fleet/src/host-count.ts
+++ b/packages/wagtailroute-fleet/src/host-count.ts
@@ -1,7 +1,7 @@
 /**
 The number of entry hosts that serve callers, for dispatchers that grant only the share of the hosts that request slots from them.
 
-A control host that has just started knows only a few entry hosts. If those were taken for all, the share of each dispatcher would be too large, so the largest number
+A control host that has just started knows only a few entry hosts. If it counted only those, the share of each dispatcher would be too large, so the largest number
 that entry hosts reported recently counts.
 */
 import {ENTRY_HOST_COUNT_TTL_MILLISECONDS} from './constants.ts';
--- a/packages/wagtailroute-fleet/src/host-dispatcher.ts
+++ b/packages/wagtailroute-fleet/src/host-dispatcher.ts
@@ -427,7 +427,7 @@
 }
 
 /**
-Sends everything that upstreams advertise and that is in force to another host.
+Sends another host all advertisements of upstreams that are in force.
 */
 export function sendUpdates(to: link.Link, dispatcher: Pick<HostDispatcher, 'listUpdates'>): void {
 	for (const message of dispatcher.listUpdates()) {
--- a/packages/wagtailroute-fleet/src/messages.ts
+++ b/packages/wagtailroute-fleet/src/messages.ts
@@ -109,12 +109,13 @@
 };
 
 /**
-A heartbeat that changes nothing but its time: its instance, its sequence number and the milliseconds since it was received.
+A heartbeat that shows only that its instance still runs: the instance, the sequence number and the milliseconds since it was received.
 */
 export type RefreshedHeartbeat = readonly [upstream: core.UpstreamId, sequence: number, age: number];
 
 /**
-Heartbeats that a control host passes on to the others: `news` with everything that they say, `refreshed` with their time only.
+Heartbeats that a control host passes on to the others: `news` with all their fields, `refreshed` with their
+sequence number and age only.
 */
 export type HeartbeatBatch = {
 	readonly news: readonly RelayedHeartbeat[];
--- a/packages/wagtailroute-fleet/src/slot-request-encoding.ts
+++ b/packages/wagtailroute-fleet/src/slot-request-encoding.ts
@@ -1,7 +1,7 @@
 /**
-The compact encoding of slot requests and their answers between hosts, which call a slot request an ask.
+The compact encoding of slot requests and their answers between hosts. On the wire a slot request is called an ask.
 
-Each request costs one ask, one answer and one end between failure domains, where traffic may be expensive: with named properties they
+Each request costs one slot request, one answer and one end between failure domains, where traffic may be expensive: with named properties they
 take 700 bytes, in this encoding 150. What all requests of a route have in common is sent once over each link; a host and its failure
 domain are known from the link's first message.
 */
--- a/packages/wagtailroute-host/src/__tests__/unit/ejections.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/ejections.test.ts
@@ -125,14 +125,14 @@
 		const fleet = createFleet(8);
 		let most = 0;
 		for (let round = 0; round < 150; round++) {
-			const requestingHosts = fleet.hosts.filter(() => random() < 0.3);
+			const selectedHosts = fleet.hosts.filter(() => random() < 0.3);
 			for (const host of fleet.hosts) {
 				host.isCut = host.isCut ? random() < 0.96 : random() < 0.05;
 			}
 
 			fleet.isConfirmed = random() < 0.9;
 			// eslint-disable-next-line no-await-in-loop -- The rounds run one after the other.
-			await Promise.all(requestingHosts.map(async host => {
+			await Promise.all(selectedHosts.map(async host => {
 				const upstream = UPSTREAMS[utils.pickIndex(random, UPSTREAMS.length)]!;
 				const epoch = host.leases.getEpoch(SERVICE, upstream);
 				return epoch === undefined
