--- a/packages/wagtailroute-fleet/src/__tests__/unit/dispatch-client.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/dispatch-client.test.ts
@@ -207,10 +207,10 @@
 test('a slot at an upstream that the host knows as retired is given back and another one is requested', async t => {
 	// Guards against a request that reaches an upstream after its draining was acknowledged: the dispatcher is partitioned from the other control hosts and
 	// does not receive the retirement, while this host does.
-	let asks = 0;
+	let requestCount = 0;
 	const {client, link, retired} = setUp(() => {
-		asks++;
-		return asks === 1 ? GRANT : ['grant', 'v', '10.0.0.5:80', 0];
+		requestCount++;
+		return requestCount === 1 ? GRANT : ['grant', 'v', '10.0.0.5:80', 0];
 	});
 	retired.add('u');
 	t.like(await client.requestSlot(fixture.SLOT_REQUEST_DRAFT).answer, {kind: 'grant', upstream: 'v', id: 'front:2'});
--- a/packages/wagtailroute-fleet/src/__tests__/unit/host-dispatcher.test.ts
+++ b/packages/wagtailroute-fleet/src/__tests__/unit/host-dispatcher.test.ts
@@ -77,10 +77,10 @@
 	t.true(listSent(METHODS.believe).every(({host}) => host === 'front-1'));
 	t.deepEqual(listSent(METHODS.beliefNews), []);
 	await context.pass(1000);
-	const news = listSent(METHODS.beliefNews);
-	t.is(news.length, HOSTS.length - 1);
-	t.false(news.some(({host}) => host === 'front-1'));
-	t.deepEqual((news[0]!.parameters as Belief[]).map(({upstream}) => upstream).toSorted(), suspended);
+	const notifications = listSent(METHODS.beliefNews);
+	t.is(notifications.length, HOSTS.length - 1);
+	t.false(notifications.some(({host}) => host === 'front-1'));
+	t.deepEqual((notifications[0]!.parameters as Belief[]).map(({upstream}) => upstream).toSorted(), suspended);
 });
 
 test('a host that applies the received beliefs has the same doubts about the upstreams', async t => {
--- a/packages/wagtailroute-host/src/__tests__/unit/crash-guard.test.ts
+++ b/packages/wagtailroute-host/src/__tests__/unit/crash-guard.test.ts
@@ -48,12 +48,12 @@
 	readonly isCulprit: boolean;
 }): Promise<string> {
 	const guard = fleet.guards[host]!;
-	const standing = guard.getQuarantineStatus(SERVICE, fingerprint);
-	if (standing === 'quarantined' || fleet.crashed.has(upstream)) {
-		return standing;
+	const status = guard.getQuarantineStatus(SERVICE, fingerprint);
+	if (status === 'quarantined' || fleet.crashed.has(upstream)) {
+		return status;
 	}
 
-	const trial = standing === 'free'
+	const trial = status === 'free'
 		? undefined
 		: await guard.requestTrial({
 			service: SERVICE, fingerprint, upstream, budgetMilliseconds: 1000,
--- a/packages/wagtailroute-host/src/quarantine-updates.ts
+++ b/packages/wagtailroute-host/src/quarantine-updates.ts
@@ -59,11 +59,11 @@
 
 		const {service, change} = notice;
 		const entry = tables.getService(service)?.quarantine.entries.find(({fingerprint}) => fingerprint === change.fingerprint);
-		const news: SuspectChange = {service, ...change, milliseconds: (entry?.until ?? 0) - tables.getGroupTime()};
+		const message: SuspectChange = {service, ...change, milliseconds: (entry?.until ?? 0) - tables.getGroupTime()};
 		for (const carrier of context.store.read(state => state.carriers.get(service) ?? [])) {
 			const address = findPeerAddress(context, carrier);
 			if (address !== undefined) {
-				context.peer.notify(address, SUSPECT_CHANGE_METHOD, news);
+				context.peer.notify(address, SUSPECT_CHANGE_METHOD, message);
 			}
 		}
 	}
--- a/packages/wagtailroute-host/src/summary-exchange.ts
+++ b/packages/wagtailroute-host/src/summary-exchange.ts
@@ -43,8 +43,8 @@
 	const {settings, peer, store} = context;
 	const pending = new Map<core.HostId, Array<SummaryMessage['told'][number]>>();
 
-	const receive = ({host, failureDomain, epoch: senderEpoch, told}: SummaryMessage) => {
-		for (const [service, sequence, text] of told) {
+	const receive = ({host, failureDomain, epoch: senderEpoch, told: encodedSummaries}: SummaryMessage) => {
+		for (const [service, sequence, text] of encodedSummaries) {
 			const upstreams = detection.decodeUpstreamSummaries(text, announcer.getUpstreams(service).map(({id}) => id), senderEpoch);
 			if (upstreams !== undefined) {
 				onSummary(service, {
@@ -56,18 +56,18 @@
 
 	return {
 		queue(service, {sequence, upstreams}) {
-			const told = [service, sequence, detection.encodeUpstreamSummaries(upstreams, epoch)] as const;
+			const encodedSummary = [service, sequence, detection.encodeUpstreamSummaries(upstreams, epoch)] as const;
 			const carriers = store.read(state => state.carriers.get(service) ?? []);
 			const others = carriers.filter(id => id !== settings.hostId);
 			for (const carrier of others) {
-				pending.set(carrier, [...pending.get(carrier) ?? [], told]);
+				pending.set(carrier, [...pending.get(carrier) ?? [], encodedSummary]);
 			}
 		},
 		flush() {
-			for (const [carrier, told] of pending) {
+			for (const [carrier, encodedSummaries] of pending) {
 				const address = findPeerAddress(context, carrier);
 				const message: SummaryMessage = {
-					host: settings.hostId, failureDomain: settings.failureDomain, epoch, told,
+					host: settings.hostId, failureDomain: settings.failureDomain, epoch, told: encodedSummaries,
 				};
 				if (address !== undefined) {
 					peer.notify(address, SUMMARY_METHOD, message);
--- a/packages/wagtailroute-proxy/src/request-sender.ts
+++ b/packages/wagtailroute-proxy/src/request-sender.ts
@@ -136,9 +136,9 @@
 
 	async #chooseTarget(): Promise<ports.Target | failures.RequestFailure | undefined> {
 		const {now} = this.#context.ports;
-		const askedAt = now();
+		const choosingStartedAt = now();
 		const target = await this.#targets.choose(this.#hasBeenSent);
-		this.choosingMilliseconds += now() - askedAt;
+		this.choosingMilliseconds += now() - choosingStartedAt;
 		return target;
 	}
 
