--- a/packages/wagtailroute-fleet/src/host-dispatcher.ts
+++ b/packages/wagtailroute-fleet/src/host-dispatcher.ts
@@ -103,7 +103,7 @@
 	*/
 	readonly requestShare: RequestShare;
 	/**
-	Whether this host receives what other dispatchers grant, as control hosts do. A host that does not grants only its share of a rate limit.
+	Whether this host receives what other dispatchers grant, as control hosts do. Otherwise its dispatcher grants only its share of a rate limit.
 	*/
 	readonly isReceivingUpdates: boolean;
 	/**
